--- a/directory/answers.go
+++ b/directory/answers.go
@@ -5,54 +5,55 @@
 	"time"
 )
 
-// answers keeps when the platform was asked for a feed and when it last answered, for
-// logs and metrics. It is safe for concurrent use.
-type answers struct {
+// callTimes records, for logs and metrics, when the platform was asked for a feed and when it
+// last answered. It is safe for concurrent use.
+type callTimes struct {
 	mu sync.Mutex
-	// asked is when the oldest unanswered call was made; zero: there is none.
-	asked time.Time
-	// overdue says that it should have been answered.
+	// oldestCall is when the oldest unanswered call was made; zero if there is none.
+	oldestCall time.Time
+	// overdue reports whether that call should have been answered by now.
 	overdue bool
-	// answered is when the last answer came; zero: none did.
-	answered time.Time
+	// lastAnswer is when the last answer arrived; zero if none did.
+	lastAnswer time.Time
 }
 
-func (a *answers) noteCall() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.asked.IsZero() {
-		a.asked = time.Now()
+func (c *callTimes) noteCall() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.oldestCall.IsZero() {
+		c.oldestCall = time.Now()
 	}
 }
 
-// noteOverdue notes that the platform should have answered by now.
-func (a *answers) noteOverdue() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.overdue = true
+// noteOverdue records that the platform should have answered by now.
+func (c *callTimes) noteOverdue() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.overdue = true
 }
 
-// noteAnswer notes an answer. Calls made before it count no more.
-func (a *answers) noteAnswer() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.asked, a.overdue = time.Time{}, false
-	a.answered = time.Now()
+// noteAnswer records an answer, which settles all calls made before it.
+func (c *callTimes) noteAnswer() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.oldestCall, c.overdue = time.Time{}, false
+	c.lastAnswer = time.Now()
 }
 
-// noteStandBy notes that no call is made any more, as others follow the feed.
-func (a *answers) noteStandBy() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.asked, a.overdue = time.Time{}, false
+// noteStandBy records that this router makes no more calls because other routers follow the
+// feed.
+func (c *callTimes) noteStandBy() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.oldestCall, c.overdue = time.Time{}, false
 }
 
-// age returns how long ago the last answer came, and how long the calls under way
-// have gone without one; zero where there is none.
-func (a *answers) age() (answer, call time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return since(a.answered), since(a.asked)
+// ages returns the time since the last answer and the time that the oldest pending call has
+// gone unanswered; zero where there is none.
+func (c *callTimes) ages() (answer, call time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return since(c.lastAnswer), since(c.oldestCall)
 }
 
 func since(moment time.Time) time.Duration {
@@ -62,33 +63,33 @@
 	return time.Since(moment)
 }
 
-// FeedAge is how old what is known of a feed may be.
+// FeedAge describes how recent the data of a feed is.
 type FeedAge struct {
-	// Answer is how long ago the platform last answered a call for the feed.
+	// Answer is the time since the platform last answered a call for the feed.
 	Answer time.Duration
-	// Call is how long the oldest call under way has gone unanswered; zero: there is none.
+	// Call is how long the oldest pending call has gone unanswered; zero if there is none.
 	Call time.Duration
-	// Stale is how old what is known of the feed may be: zero while a call waits for
-	// changes at a platform that answers, or other routers do that for this one.
+	// Stale is the maximum age of what is known of the feed. It is zero while a call waits for
+	// changes at a platform that answers, or while other routers follow the feed for this one.
 	Stale time.Duration
 }
 
-// Ages returns the age of each feed, by its name.
+// FeedAges returns the age of each feed by feed name.
 func (f *Follower) Ages() map[string]FeedAge {
-	ages := make(map[string]FeedAge, len(f.answers))
-	for name, a := range f.answers {
-		ages[name] = a.feedAge()
+	ages := make(map[string]FeedAge, len(f.callTimes))
+	for name, times := range f.callTimes {
+		ages[name] = times.feedAge()
 	}
 	return ages
 }
 
-func (a *answers) feedAge() FeedAge {
-	answer, call := a.age()
+func (c *callTimes) feedAge() FeedAge {
+	answer, call := c.ages()
 	age := FeedAge{Answer: answer, Call: call}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.overdue {
-		age.Stale = since(a.answered)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.overdue {
+		age.Stale = since(c.lastAnswer)
 	}
 	return age
 }
--- a/directory/evacuation.go
+++ b/directory/evacuation.go
@@ -62,7 +62,7 @@
 // expireEvacuation ends an evacuation that operators did not write again within the grace.
 func (s *state) expireEvacuation(dataCentre string, e evacuation) bool {
 	s.evacuations[dataCentre] = evacuation{revision: e.revision, ended: true}
-	s.believed++
+	s.unversionedChanges++
 	return true
 }
 
--- a/directory/evacuation_test.go
+++ b/directory/evacuation_test.go
@@ -25,10 +25,10 @@
 	return entry
 }
 
-// startTwoDataCentres starts a scene with target a in north and target b in south.
-func startTwoDataCentres(t *testing.T) *scene {
+// startTwoDataCentres starts a harness with target a in north and target b in south.
+func startTwoDataCentres(t *testing.T) *harness {
 	t.Helper()
-	s := startScene(t)
+	s := startHarness(t)
 	s.configurations.set(version(4))
 	s.targets.set(targetEntryIn("a", "north"), targetEntryIn("b", "south"))
 	synctest.Wait()
@@ -36,7 +36,7 @@
 }
 
 // checkTakesWork compares which targets take work with want.
-func (s *scene) checkTakesWork(t *testing.T, want map[string]bool) {
+func (s *harness) checkTakesWork(t *testing.T, want map[string]bool) {
 	t.Helper()
 	targets := s.last().Declarations.Targets
 	for name, takes := range want {
@@ -95,8 +95,8 @@
 	})
 }
 
-// importFrom imports what the follower of another scene exports.
-func (s *scene) importFrom(t *testing.T, from *scene) {
+// importFrom imports what the follower of another harness exports.
+func (s *harness) importFrom(t *testing.T, from *harness) {
 	t.Helper()
 	encoded, err := from.follower.Export(s.follower.Known())
 	if err != nil {
@@ -118,7 +118,7 @@
 		time.Sleep(time.Second)
 		s.configurations.set(evacuationRemoval("north"))
 		s.configurations.mu.Lock()
-		s.configurations.forgetful = true
+		s.configurations.historyLost = true
 		s.configurations.mu.Unlock()
 		s.configurations.setDown(false)
 		time.Sleep(2 * time.Second)
--- a/directory/exchange.go
+++ b/directory/exchange.go
@@ -8,8 +8,8 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// exported is the directory as one router gives it to another.
-type exported struct {
+// peerExport is the encoding of the directory that routers send to each other.
+type peerExport struct {
 	Version        config.Version      `json:"version"`
 	ConfigRevision config.Revision     `json:"config_revision,omitempty"`
 	Declarations   config.Declarations `json:"declarations"`
@@ -19,8 +19,8 @@
 	OperatorRevision config.Revision               `json:"directed,omitempty"`
 	Targets          map[string]exportedTarget     `json:"targets"`
 	Gone             map[string]config.Revision    `json:"gone"`
-	// Lapsed holds removals that are not believed yet. The other router has to have them
-	// with what came after them, as it will not ask for what is older again.
+	// Lapsed holds removals that are not applied yet. The other router needs them together with
+	// the later changes, because it never asks again for anything older than its revision.
 	Lapsed map[string]exportedLapse `json:"lapsed,omitempty"`
 	// Unconfirmed holds entries that are not used yet, for the same reason.
 	Unconfirmed map[string]exportedUnconfirmed `json:"unconfirmed,omitempty"`
@@ -31,41 +31,43 @@
 type exportedTarget struct {
 	Target   config.Target   `json:"target"`
 	Revision config.Revision `json:"revision"`
-	// Corrected says that the platform lists the target as staying still.
+	// Corrected reports that the target is leaving although the platform does not list it as
+	// leaving.
 	Corrected bool `json:"corrected,omitempty"`
 }
 
 type exportedEvacuation struct {
 	Revision config.Revision `json:"revision"`
 	Ended    bool            `json:"over,omitempty"`
-	// Left is the time, in nanoseconds, until the evacuation expires; zero: it does not.
+	// Left is the time, in nanoseconds, until the evacuation expires; zero if it does not
+	// expire.
 	Left time.Duration `json:"left,omitempty"`
 }
 
 type exportedLapse struct {
 	Revision config.Revision `json:"revision"`
-	// Left is the time, in nanoseconds, until the removal is believed.
+	// Left is the time, in nanoseconds, until the removal is applied.
 	Left time.Duration `json:"left"`
 }
 
 type exportedUnconfirmed struct {
 	exportedTarget
-	// Left is the time, in nanoseconds, until the entry is believed.
+	// Left is the time, in nanoseconds, until the entry is confirmed.
 	Left time.Duration `json:"left"`
 }
 
-// Known is what a router has of the directory.
+// Cursor describes how much of the directory a router knows.
 type Known struct {
 	Version config.Version `json:"version"`
 	// ConfigRevision is the highest revision of the entries that operators wrote.
 	ConfigRevision config.Revision `json:"config_revision,omitempty"`
 	Revision       config.Revision `json:"revision"`
-	// PlatformOnly says that all of it comes from the platform itself, which may list as
-	// staying what other routers know to have left.
+	// PlatformOnly reports that everything known comes from the platform itself, which may list
+	// targets as staying that other routers know to have left.
 	PlatformOnly bool `json:"platform_only,omitempty"`
 }
 
-// Known returns what this router has, for Export at another.
+// Cursor returns what this router knows, as the argument for Export at another router.
 func (f *Follower) Known() Known {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,15 +75,15 @@
 	return Known{Version: own.Version, ConfigRevision: f.state.operatorRevision, Revision: f.state.revision, PlatformOnly: !f.state.peerSynced}
 }
 
-// NeedsPeer says that all that is known here comes from the platform itself, so that a peer
-// has to be asked once.
+// NeedsPeerSync reports whether everything known here comes from the platform itself, so that a
+// peer has to be asked once.
 func (f *Follower) NeedsPeer() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.listed && !f.state.peerSynced
 }
 
-// Export encodes what is known here and not to another router.
+// Export encodes what this router knows and the router with the given cursor does not.
 func (f *Follower) Export(known Known) ([]byte, error) {
 	f.mu.Lock()
 	content := f.state.export(known, time.Now())
@@ -93,22 +95,21 @@
 	return encoded, nil
 }
 
-// Import takes in what another router exported, as far as it is newer. from
-// names that router in logs.
+// Import merges the newer parts of another router's export. from names that router in logs.
 func (f *Follower) Import(from string, encoded []byte) error {
-	var content exported
+	var content peerExport
 	if err := json.Unmarshal(encoded, &content); err != nil {
 		return fmt.Errorf("directory: decode from %s: %w", from, err)
 	}
-	f.change("peer "+from, func(s *state) bool { return s.merge(content, time.Now(), f.grace()) })
+	f.update("peer "+from, func(s *state) bool { return s.merge(content, time.Now(), f.grace()) })
 	return nil
 }
 
-// export copies what another router does not know yet: all targets changed, removed or
-// doubted after its revision, and the configuration if its own is older. To a router of an
-// era before, that is all there is.
-func (s *state) export(known Known, now time.Time) exported {
-	content := exported{
+// export copies what another router does not know yet: all targets changed, removed or missing
+// after its revision, and the configuration if that router's is older. For a router in an
+// earlier era, that is everything.
+func (s *state) export(known Known, now time.Time) peerExport {
+	content := peerExport{
 		Targets:     make(map[string]exportedTarget),
 		Gone:        make(map[string]config.Revision),
 		Lapsed:      make(map[string]exportedLapse),
@@ -148,18 +149,18 @@
 	return content
 }
 
-// merge takes in what another router exported. It has judged for itself whether to believe
-// a removal. grace is how long targets that it lacks may take to be listed again, if it is of
-// a later era.
-func (s *state) merge(content exported, now time.Time, grace time.Duration) bool {
+// merge applies another router's export. The other router has already decided whether to apply
+// or defer each removal. grace is how long targets that are missing from the export may take to
+// be listed again if the export is of a later era.
+func (s *state) merge(content peerExport, now time.Time, grace time.Duration) bool {
 	configuration := Configuration{Version: content.Version, Revision: content.ConfigRevision, Declarations: content.Declarations}
-	changed := s.configure(configuration)
+	changed := s.applyConfiguration(configuration)
 	changed = s.mergeEvacuations(content, now, grace) || changed
 	s.operatorRevision = max(s.operatorRevision, content.OperatorRevision)
 	s.listed, s.peerSynced = true, true
 	restored := content.Revision.Era() > s.revision.Era() && s.revision > 0
 	if content.EraListed > 0 {
-		s.enter(content.EraListed)
+		s.enterEra(content.EraListed)
 	}
 	changed = s.mergeTargets(content, now, grace) || changed
 	if !restored {
@@ -185,9 +186,9 @@
 	return all
 }
 
-// mergeEvacuations takes in the evacuations that another router exported. One that is missing
-// there expires after grace if the other router is in a later era.
-func (s *state) mergeEvacuations(content exported, now time.Time, grace time.Duration) bool {
+// mergeEvacuations applies the evacuations that another router exported. An evacuation that is
+// missing there expires after grace if the other router is in a later era.
+func (s *state) mergeEvacuations(content peerExport, now time.Time, grace time.Duration) bool {
 	changed := false
 	for dataCentre, own := range s.evacuations {
 		_, known := content.Evacuations[dataCentre]
@@ -206,8 +207,8 @@
 	return changed
 }
 
-// mergeTargets takes in the targets that another router exported.
-func (s *state) mergeTargets(content exported, now time.Time, grace time.Duration) bool {
+// mergeTargets applies the targets that another router exported.
+func (s *state) mergeTargets(content peerExport, now time.Time, grace time.Duration) bool {
 	entries := make([]Entry[config.Target], 0, len(content.Targets)+len(content.Gone))
 	for name, target := range content.Targets {
 		entries = append(entries, Entry[config.Target]{Key: name, Revision: target.Revision, Value: target.Target})
@@ -215,9 +216,9 @@
 	for name, revision := range content.Gone {
 		entries = append(entries, Entry[config.Target]{Key: name, Revision: revision, Gone: true})
 	}
-	changed := s.apply(s.withoutContradicted(entries, now.Add(grace)), time.Time{})
+	changed := s.apply(s.withoutSuperseded(entries, now.Add(grace)), time.Time{})
 	for name, target := range content.Targets {
-		changed = target.Corrected && s.correct(name, target.Revision) || changed
+		changed = target.Corrected && s.markLeaving(name, target.Revision) || changed
 	}
 	for name, u := range content.Unconfirmed {
 		changed = s.suspend(name, unconfirmed{target: u.Target, revision: u.Revision, until: now.Add(u.Left)}) || changed
--- a/directory/feed.go
+++ b/directory/feed.go
@@ -1,9 +1,8 @@
-// Package directory follows what a managed platform publishes: the newest
-// configuration, which its operators write, and the targets, which register
-// themselves. It composes both into the snapshots that the rest of the product
-// serves by, and passes them between routers, so that one that the platform
-// turns away keeps up by its peers. A snapshot is swapped whole and never
-// replaced by an older one.
+// Package directory follows what a managed platform publishes: the newest configuration,
+// written by operators, and the targets, which register themselves. It combines both into the
+// snapshots that the rest of the router serves from, and exchanges them with peers, so that a
+// router that the platform refuses stays up to date through its peers. A snapshot is replaced
+// as a whole and never by an older one.
 package directory
 
 import (
@@ -14,41 +13,42 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// ErrHistoryLost says that the platform no longer keeps the changes after the
-// revision that was asked for: everything has to be loaded again.
-var ErrHistoryLost = errors.New("directory: the platform has dropped these changes")
+// ErrHistoryLost reports that the platform no longer keeps the changes after the requested
+// revision, so everything has to be loaded again.
+var ErrHistoryLost = errors.New("directory: the platform no longer keeps the requested changes")
 
-// ErrRestored says that the platform came back from an older copy, in a new era: changes after
-// a revision of the era before cannot be told, and everything has to be loaded again.
-var ErrRestored = errors.New("directory: the platform came back from an older copy")
+// ErrRestored reports that the platform's store was restored from an older copy and is in a new
+// era. The platform cannot list the changes after a revision of an earlier era, so everything
+// has to be loaded again.
+var ErrRestored = errors.New("directory: the platform's store was restored from an older copy")
 
 // Feed publishes entries of one type. Its methods are safe for concurrent use.
 type Feed[T any] interface {
-	// Load returns all entries as of one moment.
+	// Load returns all entries as of one revision.
 	Load(ctx context.Context) (Listing[T], error)
-	// Follow returns the changes after a revision as soon as there is one, or an
-	// empty listing once hold has passed. Its errors may be ErrHistoryLost and ErrRestored.
+	// Follow returns the changes after a revision as soon as there are any, or an empty listing
+	// after hold. Its errors may be ErrHistoryLost and ErrRestored.
 	Follow(ctx context.Context, after config.Revision, hold time.Duration) (Listing[T], error)
 }
 
-// Listing is all entries, or the changed ones, as of a revision.
+// Listing holds all entries, or only the changed ones, as of a revision.
 type Listing[T any] struct {
 	Entries []Entry[T]
-	// Revision is where Follow goes on.
+	// Revision is the revision from which Follow continues.
 	Revision config.Revision
 }
 
-// Entry is one published value. Revisions grow with every change on the platform.
+// Entry is one published value. The revision increases with every change on the platform.
 type Entry[T any] struct {
 	Key      string
 	Revision config.Revision
-	// Gone says that the entry was removed at this revision; Value then holds only what is
-	// encoded in Key.
+	// Gone reports that the entry was removed at this revision; Value then holds only what Key
+	// encodes.
 	Gone  bool
 	Value T
 }
 
-// Directive is an entry that operators write: either a configuration version or the evacuation
+// Directive is an entry written by operators: either a configuration version or the evacuation
 // of a data centre. An evacuation lasts until its entry is removed.
 type Directive struct {
 	Configuration
@@ -59,7 +59,7 @@
 // Configuration is a published configuration version without its targets.
 type Configuration struct {
 	Version config.Version
-	// Revision is that of the entry.
+	// Revision is the revision of the entry.
 	Revision config.Revision
 	// Declarations holds everything but the targets.
 	Declarations config.Declarations
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// lapseShown is how long after the platform's return removals that it shows
-	// may be lapses of while it was away. What is removed later is meant.
-	lapseShown = time.Second
-	// returnMargin is added to ReturnGrace for the platform's and our own delay.
-	returnMargin = 500 * time.Millisecond
-	// gatherEach is how long changes are gathered behind an answer that held some,
-	// for each router of the fleet, and mostGather the longest: where many targets
-	// start together, each change would cost a call of every router. A first change
-	// is told at once; peers tell of the others in between.
-	gatherEach = 10 * time.Millisecond
-	mostGather = 800 * time.Millisecond
+	// lapseWindow is how long after the platform's recovery a removal may be a lapse: the
+	// platform dropped the entry because the target could not renew it during the outage. Later
+	// removals are intentional.
+	lapseWindow = time.Second
+	// graceMargin is added to ReturnGrace for the delays of the platform and of this router.
+	graceMargin = 500 * time.Millisecond
+	// batchDelayPerRouter is how long changes are batched after an answer that held some, for
+	// each router of the fleet, and maxBatchDelay the upper limit. Without it, many targets
+	// that start together would cost one call of every router per change. The first change is
+	// applied at once; peers report the others in between.
+	batchDelayPerRouter = 10 * time.Millisecond
+	maxBatchDelay       = 800 * time.Millisecond
 )
 
 var (
@@ -36,10 +37,11 @@
 		ErrHistoryLost: metrics.GetOrCreateCounter(`walnut_directory_reloads_total{reason="history_lost"}`),
 		ErrRestored:    metrics.GetOrCreateCounter(`walnut_directory_reloads_total{reason="restored"}`),
 	}
-	removalsHeld = metrics.GetOrCreateCounter(`walnut_directory_removals_doubted_total`)
+	removalsDeferred = metrics.GetOrCreateCounter(`walnut_directory_removals_doubted_total`)
 )
 
-// sourcePlatform is the log value of source for changes from the platform rather than a peer.
+// sourcePlatform is the value of the log attribute source for changes that come from the
+// platform rather than from a peer.
 const sourcePlatform = "platform"
 
 // Options configure a Follower.
@@ -47,51 +49,49 @@
 	// Directives and Targets are the feeds. Required.
 	Directives Feed[Directive]
 	Targets    Feed[config.Target]
-	// OnChange gets each new snapshot, in order, on one goroutine at a time.
-	// Required.
+	// OnChange receives each new snapshot, in order, on one goroutine at a time. Required.
 	OnChange func(*config.Snapshot)
-	// ReturnGrace is how long entries of targets that lapsed while the platform
-	// was away may take to return once it is back; see settings.Platform.
+	// ReturnGrace is how long targets whose entries lapsed during an outage of the platform may
+	// take to register again after it; see settings.Platform.
 	ReturnGrace time.Duration
-	// ShortestLapse is how long the platform has to be away for entries to lapse; see
+	// MinLapseTime is the shortest outage of the platform in which entries can lapse; see
 	// settings.Platform.
 	ShortestLapse time.Duration
-	// LongestLapse is how long the platform may list a target that renews its entry no more;
-	// see settings.Platform.
+	// MaxLapseTime is the longest time that the platform lists a target that no longer renews
+	// its entry; see settings.Platform.
 	LongestLapse time.Duration
-	// OnRestored is told when the platform came back from an older copy, which lacks what
-	// routers wrote there since; nil: nobody is. It must not block.
+	// OnRestored is called when the platform's store was restored from an older copy, which
+	// lacks what routers have written since; may be nil. It must not block.
 	OnRestored func()
 	// ProbeEra returns the platform's current era; nil disables era probes.
 	ProbeEra func(context.Context) (era uint64, err error)
-	// Shared says that routers take turns: this one follows the feeds while SetTurn
-	// says so, and learns from peers by Import otherwise.
+	// Shared reports whether routers take turns: this router follows the feeds while SetTurn
+	// says so, and otherwise learns from its peers through Import.
 	Shared bool
-	// OnFollowing is told whether this router follows both feeds and they answer, at
-	// each change; nil: nobody is.
+	// OnLiveChange is called at each change with whether this router follows both feeds and
+	// they answer; may be nil.
 	OnFollowing func(live bool)
-	// Routers returns how many routers the fleet has; nil: one.
+	// Routers returns the number of routers in the fleet; nil means one.
 	Routers func() int
-	// Log gets a line for each change, and one when a feed is lost or regained.
-	// Required.
+	// Log receives a line for each change and whenever a feed is lost or recovered. Required.
 	Log *slog.Logger
 }
 
-// Follower keeps the newest snapshot. Create it with New.
+// Follower maintains the newest snapshot. Create it with New.
 type Follower struct {
 	options Options
 
 	mu    sync.Mutex
 	state state
-	// returnedAt is when the feed of targets last came back after it was lost;
-	// zero: it never did.
+	// returnedAt is when the targets feed last recovered after it was lost; zero if it never
+	// did.
 	returnedAt time.Time
-	// turn is whether this router follows.
+	// turn tracks whether this router follows the feeds.
 	turn *turn
-	// answers holds when each feed was asked for and answered. The map is not changed.
-	answers  map[string]*answers
-	reprobes *reprobes
-	// wake ends the pause of expireLapsed.
+	// callTimes holds the call and answer times of each feed. The map itself is not modified.
+	callTimes map[string]*callTimes
+	reprobes  *reprobes
+	// wake interrupts the wait of runExpiry.
 	wake chan struct{}
 	// ready is closed with the first snapshot.
 	ready     chan struct{}
@@ -101,62 +101,62 @@
 // New returns a follower that does nothing before Run.
 func New(options Options) *Follower {
 	return &Follower{
-		options:  options,
-		state:    newState(),
-		turn:     newTurn(options),
-		answers:  map[string]*answers{feedConfigurations: {}, feedTargets: {}},
-		reprobes: newReprobes(),
-		wake:     make(chan struct{}, 1),
-		ready:    make(chan struct{}),
+		options:   options,
+		state:     newState(),
+		turn:      newTurn(options),
+		callTimes: map[string]*callTimes{feedConfigurations: {}, feedTargets: {}},
+		reprobes:  newReprobes(),
+		wake:      make(chan struct{}, 1),
+		ready:     make(chan struct{}),
 	}
 }
 
-// Ready is closed once there is a snapshot.
+// Ready returns a channel that is closed once there is a snapshot.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
 // Run follows both feeds until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var running sync.WaitGroup
-	running.Go(func() { newPoller(f, feedConfigurations, f.options.Directives, f.directivesChanged).run(ctx) })
-	running.Go(func() { newPoller(f, feedTargets, f.options.Targets, f.targetsChanged).run(ctx) })
-	running.Go(func() { f.expireLapsed(ctx) })
+	running.Go(func() { newPoller(f, feedConfigurations, f.options.Directives, f.applyDirectives).run(ctx) })
+	running.Go(func() { newPoller(f, feedTargets, f.options.Targets, f.applyTargets).run(ctx) })
+	running.Go(func() { f.runExpiry(ctx) })
 	running.Go(func() { f.runEraProbes(ctx) })
 	running.Wait()
 }
 
-// arrival says how a listing came.
-type arrival struct {
-	// whole says that it holds all entries, not just changed ones.
-	whole bool
-	// afterLoss says that the platform was away before it, for so long that entries may
-	// have lapsed.
-	afterLoss bool
+// listingInfo describes how a listing was obtained.
+type listingInfo struct {
+	// complete reports that the listing holds all entries, not just the changed ones.
+	complete bool
+	// afterOutage reports that the platform was unavailable before the listing for so long that
+	// entries may have lapsed.
+	afterOutage bool
 }
 
-// gather is how long to wait after a change before the next call.
-func (f *Follower) gather() time.Duration {
+// batchDelay returns how long to wait after a change before the next call.
+func (f *Follower) batchDelay() time.Duration {
 	if f.options.Routers == nil {
 		return 0
 	}
-	return min(mostGather, time.Duration(f.options.Routers())*gatherEach)
+	return min(maxBatchDelay, time.Duration(f.options.Routers())*batchDelayPerRouter)
 }
 
-// believeAt returns when a removal that the platform shows now is believed: zero
-// for at once. f.mu must be held.
-func (f *Follower) believeAt() time.Time {
-	if f.returnedAt.IsZero() || time.Since(f.returnedAt) > lapseShown {
+// removalAcceptTime returns when a removal that the platform reports now takes effect; zero for
+// immediately. f.mu must be held.
+func (f *Follower) removalAcceptTime() time.Time {
+	if f.returnedAt.IsZero() || time.Since(f.returnedAt) > lapseWindow {
 		return time.Time{}
 	}
-	removalsHeld.Inc()
+	removalsDeferred.Inc()
 	return f.returnedAt.Add(f.grace())
 }
 
-// grace is how long entries may take to return once the platform is back.
-func (f *Follower) grace() time.Duration { return f.options.ReturnGrace + returnMargin }
+// grace returns how long entries may take to reappear once the platform has recovered.
+func (f *Follower) grace() time.Duration { return f.options.ReturnGrace + graceMargin }
 
-func (f *Follower) directivesChanged(listing Listing[Directive], how arrival) {
-	f.change(sourcePlatform, func(s *state) bool {
-		changed := how.whole && s.endMissingEvacuations(listing, time.Now().Add(f.grace()))
+func (f *Follower) applyDirectives(listing Listing[Directive], info listingInfo) {
+	f.update(sourcePlatform, func(s *state) bool {
+		changed := info.complete && s.endMissingEvacuations(listing, time.Now().Add(f.grace()))
 		for _, entry := range listing.Entries {
 			if entry.Value.Evacuates != "" {
 				changed = s.applyEvacuation(entry.Value.Evacuates, evacuation{revision: entry.Revision, ended: entry.Gone}) || changed
@@ -166,41 +166,41 @@
 				continue
 			}
 			if entry.Value.Version < s.configuration.Version {
-				f.options.Log.Info("directory: Older version passed over.", "version", uint64(entry.Value.Version),
+				f.options.Log.Info("directory: Older configuration version ignored.", "version", uint64(entry.Value.Version),
 					"in_force", uint64(s.configuration.Version), "revision", entry.Revision)
 			}
 			entry.Value.Revision = entry.Revision
-			changed = s.configure(entry.Value.Configuration) || changed
+			changed = s.applyConfiguration(entry.Value.Configuration) || changed
 		}
 		return changed
 	})
 }
 
-func (f *Follower) targetsChanged(listing Listing[config.Target], how arrival) {
-	f.change(sourcePlatform, func(s *state) bool {
+func (f *Follower) applyTargets(listing Listing[config.Target], info listingInfo) {
+	f.update(sourcePlatform, func(s *state) bool {
 		first := !s.listed
 		s.listed = true
 		entries := listing.Entries
 		restored := s.revision > 0 && s.revision.Era() < listing.Revision.Era()
-		if how.whole {
-			s.enter(listing.Revision)
-			listing.Entries = s.withoutContradicted(entries, time.Now().Add(f.options.LongestLapse))
-			entries = s.withMissing(listing)
+		if info.complete {
+			s.enterEra(listing.Revision)
+			listing.Entries = s.withoutSuperseded(entries, time.Now().Add(f.options.LongestLapse))
+			entries = s.withRemovals(listing)
 		}
-		if how.afterLoss || restored {
+		if info.afterOutage || restored {
 			f.returnedAt = time.Now()
 		}
-		believeAt := f.believeAt()
-		if believeAt.IsZero() && s.emptiesPool(entries) {
-			believeAt = time.Now().Add(f.grace())
+		acceptAt := f.removalAcceptTime()
+		if acceptAt.IsZero() && s.emptiesPool(entries) {
+			acceptAt = time.Now().Add(f.grace())
 		}
-		return s.apply(entries, believeAt) || first || restored
+		return s.apply(entries, acceptAt) || first || restored
 	})
 }
 
-// change applies news to the state and tells what came of it. Snapshots are told
-// in order, as the lock is held.
-func (f *Follower) change(source string, apply func(*state) bool) {
+// update applies changes to the state, then logs and delivers the result. Snapshots are
+// delivered in order because the lock is held.
+func (f *Follower) update(source string, apply func(*state) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before, revisionBefore := f.state.configuration.Version, f.state.revision
@@ -209,27 +209,28 @@
 	f.noteEra(source, revisionBefore)
 	f.noteEvacuations(source, evacuatedBefore)
 	if !changed {
-		f.wakeLapsed()
+		f.wakeExpiry()
 		return
 	}
-	f.wakeLapsed()
+	f.wakeExpiry()
 	snapshot := f.state.snapshot()
 	if snapshot == nil {
 		return
 	}
-	f.options.Log.Info("directory: Changed.", "source", source, "version", uint64(snapshot.Version), "version_before", uint64(before),
+	f.options.Log.Info("directory: Snapshot updated.", "source", source, "version", uint64(snapshot.Version), "version_before", uint64(before),
 		"targets", len(snapshot.Declarations.Targets), "targets_revision", snapshot.TargetsRevision.String())
 	f.options.OnChange(snapshot)
 	f.readyOnce.Do(func() { close(f.ready) })
 }
 
-// noteEra tells that the platform came back from an older copy. f.mu must be held.
+// noteEra logs and reports that the platform's store was restored from an older copy. f.mu must
+// be held.
 func (f *Follower) noteEra(source string, before config.Revision) {
 	now := f.state.revision
 	if before == 0 || before.Era() == now.Era() {
 		return
 	}
-	f.options.Log.Warn("directory: Platform came back from an older copy.", "source", source, "era", now.Era(), "era_before", before.Era(),
+	f.options.Log.Warn("directory: Platform store was restored from an older copy.", "source", source, "era", now.Era(), "era_before", before.Era(),
 		"revision", f.state.eraListed.Counter(), "revision_before", before.Counter())
 	restorations.Inc()
 	if source != sourcePlatform {
@@ -240,23 +241,25 @@
 	}
 }
 
-// Era counts how often the platform came back from an older copy, as far as is known here.
+// Era returns how often the platform's store was restored from an older copy, as far as is
+// known here.
 func (f *Follower) Era() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.revision.Era()
 }
 
-// wakeLapsed lets expireLapsed look again.
-func (f *Follower) wakeLapsed() {
+// wakeExpiry makes runExpiry recompute the next expiry.
+func (f *Follower) wakeExpiry() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// expireLapsed believes removals once their time has come, until ctx ends.
-func (f *Follower) expireLapsed(ctx context.Context) {
+// runExpiry applies deferred removals, ended evacuations and unconfirmed entries when they are
+// due, until ctx ends.
+func (f *Follower) runExpiry(ctx context.Context) {
 	for ctx.Err() == nil {
 		var due time.Time
 		f.mu.Lock()
@@ -270,7 +273,7 @@
 			continue
 		}
 		wait.For(ctx, time.Until(due))
-		f.change("lapse", func(s *state) bool {
+		f.update("lapse", func(s *state) bool {
 			changed, _ := s.expire(time.Now())
 			return changed
 		})
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -13,18 +13,19 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// fakeFeed gives what the test puts into it.
+// fakeFeed is a feed with the entries that the test sets.
 type fakeFeed[T any] struct {
 	mu       sync.Mutex
 	entries  map[string]Entry[T]
 	revision config.Revision
 	down     bool
-	// silent makes calls to Load that come before it ends hang until they give up.
-	silent time.Time
-	// forgetful makes every call to Follow find its history gone; loads counts loads.
-	forgetful bool
-	loads     int
-	changed   chan struct{}
+	// silentUntil makes calls to Load before this time hang until they are cancelled.
+	silentUntil time.Time
+	// historyLost makes every call to Follow return ErrHistoryLost; loads counts the calls to
+	// Load.
+	historyLost bool
+	loads       int
+	changed     chan struct{}
 }
 
 func newFeed[T any]() *fakeFeed[T] {
@@ -33,7 +34,7 @@
 
 var errDown = errors.New("down")
 
-// set changes entries together and returns their revision.
+// set changes entries in one revision, which it returns.
 func (f *fakeFeed[T]) set(entries ...Entry[T]) config.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,7 +43,7 @@
 		entry.Revision = f.revision
 		f.entries[entry.Key] = entry
 	}
-	f.wake()
+	f.notify()
 	return f.revision
 }
 
@@ -50,17 +51,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.down = down
-	f.wake()
+	f.notify()
 }
 
-func (f *fakeFeed[T]) wake() {
+func (f *fakeFeed[T]) notify() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
 // Load implements Feed.
 func (f *fakeFeed[T]) Load(ctx context.Context) (Listing[T], error) {
-	if time.Now().Before(f.silent) {
+	if time.Now().Before(f.silentUntil) {
 		<-ctx.Done()
 		return Listing[T]{}, ctx.Err()
 	}
@@ -91,7 +92,7 @@
 				listing.Entries = append(listing.Entries, entry)
 			}
 		}
-		down, forgetful, changed := f.down, f.forgetful, f.changed
+		down, forgetful, changed := f.down, f.historyLost, f.changed
 		f.mu.Unlock()
 		switch {
 		case !down && listing.Revision.Era() != after.Era():
@@ -118,41 +119,41 @@
 	}
 }
 
-// scene is a follower with feeds of its own.
-type scene struct {
+// harness is a follower with its own feeds.
+type harness struct {
 	configurations *fakeFeed[Directive]
 	targets        *fakeFeed[config.Target]
 	follower       *Follower
-	// shared is Options.Shared, and live what OnFollowing was told last.
+	// shared is Options.Shared, and live the last value passed to OnLiveChange.
 	shared    bool
 	live      bool
 	mu        sync.Mutex
 	snapshots []*config.Snapshot
 }
 
-func startScene(t *testing.T) *scene {
+func startHarness(t *testing.T) *harness {
 	t.Helper()
-	s := &scene{configurations: newFeed[Directive](), targets: newFeed[config.Target]()}
+	s := &harness{configurations: newFeed[Directive](), targets: newFeed[config.Target]()}
 	s.run(t)
 	return s
 }
 
-// startPopulated starts a scene whose directory is known.
-func startPopulated(t *testing.T) *scene {
+// startPopulated starts a harness whose directory is populated and loaded.
+func startPopulated(t *testing.T) *harness {
 	t.Helper()
-	s := startScene(t)
+	s := startHarness(t)
 	s.populate()
 	synctest.Wait()
 	return s
 }
 
-// run starts the follower until the test ends.
-func (s *scene) run(t *testing.T) {
+// run starts the follower, which runs until the test ends.
+func (s *harness) run(t *testing.T) {
 	s.runWith(t, Options{Directives: s.configurations, Targets: s.targets})
 }
 
-// runWith does the same with options of the test's own; the scene's are added.
-func (s *scene) runWith(t *testing.T, options Options) {
+// runWith does the same with the given options, to which it adds those of the harness.
+func (s *harness) runWith(t *testing.T, options Options) {
 	options.OnChange = func(snapshot *config.Snapshot) {
 		s.mu.Lock()
 		s.snapshots = append(s.snapshots, snapshot)
@@ -162,7 +163,7 @@
 	options.OnFollowing = func(live bool) { s.live = live }
 	options.ReturnGrace = 2 * time.Second
 	options.ShortestLapse = 2 * time.Second
-	options.LongestLapse = longestLapse
+	options.LongestLapse = maxLapse
 	options.Log = slog.New(slog.DiscardHandler)
 	s.follower = New(options)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -177,8 +178,8 @@
 	})
 }
 
-// longestLapse is how long the platform lists a target that is gone.
-const longestLapse = 4 * time.Second
+// maxLapse is how long the platform lists a target that no longer renews its entry.
+const maxLapse = 4 * time.Second
 
 func version(number config.Version) Entry[Directive] {
 	return Entry[Directive]{Key: "config", Value: Directive{Configuration: Configuration{
@@ -191,10 +192,10 @@
 	return Entry[config.Target]{Key: name, Value: config.Target{Pool: "ops", Address: "127.0.0.1:1"}}
 }
 
-func gone(name string) Entry[config.Target] { return Entry[config.Target]{Key: name, Gone: true} }
+func removalOf(name string) Entry[config.Target] { return Entry[config.Target]{Key: name, Gone: true} }
 
-// serves says whether the newest snapshot has a target.
-func (s *scene) serves(name string) bool {
+// serves reports whether the newest snapshot contains a target.
+func (s *harness) serves(name string) bool {
 	synctest.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,38 +206,38 @@
 	return ok
 }
 
-func (s *scene) populate() {
+func (s *harness) populate() {
 	s.configurations.set(version(4))
 	s.targets.set(targetEntry("a"), targetEntry("b"), targetEntry("c"), targetEntry("d"))
 }
 
-func TestRemovalIsBelievedAtOnce(t *testing.T) {
+func TestRemovalIsAppliedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := startScene(t)
+		s := startHarness(t)
 		s.populate()
 		if !s.serves("a") {
 			t.Fatal("the target is not served")
 		}
-		s.targets.set(gone("a"))
+		s.targets.set(removalOf("a"))
 		if s.serves("a") {
 			t.Error("a removed target is still served")
 		}
 	})
 }
 
-// TestLapsesHaveTimeToReturn: entries that are missing when the platform returns
-// are kept for the grace, and go then if they have not come back.
-func TestLapsesHaveTimeToReturn(t *testing.T) {
+// TestLapsedTargetsMayReturn checks that entries that are missing when the platform recovers
+// are kept for the grace period and then removed if they have not reappeared.
+func TestLapsedTargetsMayReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startPopulated(t)
 		s.targets.setDown(true)
 		time.Sleep(4 * time.Second)
-		s.targets.set(gone("a"))
-		s.targets.set(gone("b"))
+		s.targets.set(removalOf("a"))
+		s.targets.set(removalOf("b"))
 		s.targets.setDown(false)
 		time.Sleep(1500 * time.Millisecond)
 		if !s.serves("a") || !s.serves("b") {
-			t.Error("a lapsed target went before it had time to return")
+			t.Error("a lapsed target was removed before it had time to return")
 		}
 		s.targets.set(targetEntry("a"))
 		time.Sleep(3 * time.Second)
@@ -249,39 +250,39 @@
 	})
 }
 
-// startPair returns two scenes that know the same.
-func startPair(t *testing.T) (one, other *scene) {
-	one, other = startScene(t), startScene(t)
+// startPair returns two harnesses with the same content.
+func startPair(t *testing.T) (one, other *harness) {
+	one, other = startHarness(t), startHarness(t)
 	one.populate()
 	other.populate()
 	synctest.Wait()
 	return one, other
 }
 
-// TestRemovalSoonAfterReturnIsMeant: a target that leaves a while after the
-// platform's return is not doubted, as it did not lapse.
-func TestRemovalSoonAfterReturnIsMeant(t *testing.T) {
+// TestRemovalAfterLapseWindowIsApplied checks that a target that leaves some time after the
+// platform's recovery is removed at once, because its entry did not lapse.
+func TestRemovalAfterLapseWindowIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startPopulated(t)
 		s.targets.setDown(true)
 		time.Sleep(4 * time.Second)
 		s.targets.setDown(false)
 		time.Sleep(2400 * time.Millisecond)
-		s.targets.set(gone("a"))
+		s.targets.set(removalOf("a"))
 		if s.serves("a") {
 			t.Error("a target that left is still served")
 		}
 	})
 }
 
-// TestPeersRemovalIsBelieved: a router that the platform turns away believes a
-// removal that another one tells of.
-func TestPeersRemovalIsBelieved(t *testing.T) {
+// TestRemovalFromPeerIsApplied checks that a router that the platform refuses applies a removal
+// that another router reports.
+func TestRemovalFromPeerIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, other := startPair(t)
 		s.targets.setDown(true)
 		time.Sleep(time.Second)
-		other.targets.set(gone("a"))
+		other.targets.set(removalOf("a"))
 		synctest.Wait()
 		encoded, err := other.follower.Export(Known{})
 		if err != nil {
@@ -291,19 +292,19 @@
 			t.Fatal(err)
 		}
 		if s.serves("a") {
-			t.Error("a target that another router knows to be gone is served")
+			t.Error("a target that another router reported as removed is served")
 		}
 	})
 }
 
-// TestWholePoolMissingIsDoubted: where most of a pool goes at once without
-// notice, the platform stood still.
-func TestWholePoolMissingIsDoubted(t *testing.T) {
+// TestRemovalOfMostOfAPoolIsDeferred checks that the removal of most of a pool at once and
+// without notice is taken for a stall of the platform.
+func TestRemovalOfMostOfAPoolIsDeferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startPopulated(t)
-		s.targets.set(gone("a"), gone("b"), gone("c"))
+		s.targets.set(removalOf("a"), removalOf("b"), removalOf("c"))
 		if !s.serves("a") {
-			t.Error("most of the pool was given up at once")
+			t.Error("most of the pool was removed at once")
 		}
 		time.Sleep(3 * time.Second)
 		if s.serves("a") {
@@ -312,9 +313,9 @@
 	})
 }
 
-// TestVersionsOnlyRise: an older version, or an older listing, from a peer
+// TestOlderPeerExportIsIgnored checks that an older version, or an older listing, from a peer
 // changes nothing.
-func TestVersionsOnlyRise(t *testing.T) {
+func TestOlderPeerExportIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, other := startPair(t)
 		old, err := other.follower.Export(Known{})
@@ -322,13 +323,13 @@
 			t.Fatal(err)
 		}
 		s.configurations.set(version(9))
-		s.targets.set(gone("a"))
+		s.targets.set(removalOf("a"))
 		synctest.Wait()
 		if err := s.follower.Import("other", old); err != nil {
 			t.Fatal(err)
 		}
 		if s.serves("a") {
-			t.Error("an older listing brought a target back")
+			t.Error("an older listing restored a target")
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -338,14 +339,13 @@
 	})
 }
 
-// TestStartSoonAfterSilence: a router that starts while the platform is silent has
-// its snapshot soon after the platform's return, though its first call stays
-// unanswered.
-func TestStartSoonAfterSilence(t *testing.T) {
+// TestReadySoonAfterSilence checks that a router that starts while the platform is silent has
+// its snapshot soon after the platform's recovery, although its first call is never answered.
+func TestReadySoonAfterSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{configurations: newFeed[Directive](), targets: newFeed[config.Target]()}
+		s := &harness{configurations: newFeed[Directive](), targets: newFeed[config.Target]()}
 		returns := time.Now().Add(200 * time.Millisecond)
-		s.configurations.silent, s.targets.silent = returns, returns
+		s.configurations.silentUntil, s.targets.silentUntil = returns, returns
 		s.populate()
 		s.run(t)
 		select {
@@ -354,26 +354,26 @@
 			t.Fatal("no snapshot")
 		}
 		if late := time.Since(returns); late > 300*time.Millisecond {
-			t.Errorf("ready %s after the platform's return", late)
+			t.Errorf("ready %s after the platform's recovery", late)
 		}
 	})
 }
 
-// TestExportHoldsWhatIsNew: a router that knows most is told the rest alone, and
-// has the same snapshot afterwards.
-func TestExportHoldsWhatIsNew(t *testing.T) {
+// TestExportHoldsOnlyNewEntries checks that a router that knows most of the directory receives
+// only the rest, and has the same snapshot afterwards.
+func TestExportHoldsOnlyNewEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, other := startPair(t)
 		known := s.follower.Known()
 		other.targets.set(targetEntry("e"))
-		other.targets.set(gone("a"))
+		other.targets.set(removalOf("a"))
 		synctest.Wait()
 		encoded, err := other.follower.Export(known)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if strings.Contains(string(encoded), `"b"`) || strings.Contains(string(encoded), "ops\":{") {
-			t.Errorf("what is known is told again: %s", encoded)
+			t.Errorf("known entries are exported again: %s", encoded)
 		}
 		if err := s.follower.Import("other", encoded); err != nil {
 			t.Fatal(err)
@@ -384,14 +384,14 @@
 	})
 }
 
-// TestForgottenHistoryIsNoStorm: a platform that drops its history again and again is
-// not asked in a loop without a pause.
-func TestForgottenHistoryIsNoStorm(t *testing.T) {
+// TestReloadsArePacedAfterLostHistory guards against reloading in a tight loop from a platform
+// that drops its history again and again.
+func TestReloadsArePacedAfterLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startPopulated(t)
 		s.targets.mu.Lock()
-		s.targets.forgetful, s.targets.loads = true, 0
-		s.targets.wake()
+		s.targets.historyLost, s.targets.loads = true, 0
+		s.targets.notify()
 		s.targets.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		s.targets.mu.Lock()
@@ -403,24 +403,24 @@
 	})
 }
 
-// TestMissingFromAListingIsDoubtedToo: where a new listing lacks most of a pool, the
-// platform may have stood still.
-func TestMissingFromAListingIsDoubtedToo(t *testing.T) {
+// TestListingWithoutMostOfAPoolIsDeferred checks that a new listing that lacks most of a pool
+// is taken for a stall of the platform, too.
+func TestListingWithoutMostOfAPoolIsDeferred(t *testing.T) {
 	s := newState()
 	for _, name := range []string{"a", "b", "c"} {
 		entry := targetEntry(name)
 		entry.Revision = 1
 		s.apply([]Entry[config.Target]{entry}, time.Time{})
 	}
-	entries := s.withMissing(Listing[config.Target]{Revision: 9})
+	entries := s.withRemovals(Listing[config.Target]{Revision: 9})
 	if len(entries) != 3 || !s.emptiesPool(entries) {
 		t.Errorf("%+v", entries)
 	}
 }
 
-// TestAgesTellWhenTheFeedsAnswered: a call that waits for changes shows how long it
-// has waited, and when the answer before it came: that of the call that proved it.
-func TestAgesTellWhenTheFeedsAnswered(t *testing.T) {
+// TestFeedAges checks that a call that waits for changes reports how long it has waited, and
+// when the answer before it arrived: that of the verifying call.
+func TestFeedAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startPopulated(t)
 		s.targets.set(targetEntry("e"))
@@ -428,10 +428,10 @@
 		s.configurations.set(version(5))
 		time.Sleep(2 * time.Second)
 		ages := s.follower.Ages()
-		if got := ages[feedConfigurations]; got.Answer != 2*time.Second-provingHold || got.Call != got.Answer || got.Stale != 0 {
+		if got := ages[feedConfigurations]; got.Answer != 2*time.Second-verifyHold || got.Call != got.Answer || got.Stale != 0 {
 			t.Errorf("configurations: %+v", got)
 		}
-		if got := ages[feedTargets]; got.Answer != 9*time.Second-provingHold {
+		if got := ages[feedTargets]; got.Answer != 9*time.Second-verifyHold {
 			t.Errorf("targets: %+v", got)
 		}
 	})
--- a/directory/lapse_test.go
+++ b/directory/lapse_test.go
@@ -8,27 +8,27 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// What was seen, on a fleet of 81 routers: eleven targets that had been taken off the list
-// went on getting requests for seconds, from 74 of the routers.
+// On a fleet of 81 routers, eleven targets that had been removed from the list kept receiving
+// requests for seconds, from 74 of the routers.
 //
-// How it came about: their entries vanished right after the platform's return, so the
-// routers that follow it doubted the removals for 2.5 s. Meanwhile later changes came in and
-// were passed on. When the removals were believed, they still bore their own, older
-// revisions. Peers ask for what is newer than the newest they have, so they never heard of
-// them; and the routers' own control, which takes in only what is newer, passed the
-// smaller listing over.
+// Their entries vanished right after the platform's recovery, so the routers that follow it
+// deferred the removals for 2.5 s. Meanwhile later changes arrived and were passed on. When the
+// removals took effect, they still had their own, older revisions. Peers only ask for what is
+// newer than the newest revision they have, so they never learned of the removals; and the
+// routers' own control, which only accepts newer listings, ignored the smaller one.
 //
-// What proved it: the followers' lines told of 136 targets at revision 263, the others' of
-// 147 at the same revision, and grants to one of the eleven bore that revision.
+// The log lines of the followers showed 136 targets at revision 263, those of the other routers
+// 147 at the same revision, and grants to one of the eleven targets carried that revision.
 
-// TestDoubtedRemovalReachesPeers: a router that has its news from a peer doubts with it,
-// and believes a removal when the peer does, also if later changes came in between.
-func TestDoubtedRemovalReachesPeers(t *testing.T) {
+// TestPendingRemovalReachesPeers guards against a peer that never applies a deferred removal. A
+// router that receives it from a peer defers the removal as well, and applies it when the peer
+// does, also if later changes arrived in between.
+func TestPendingRemovalReachesPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one, other := startPair(t)
 		one.targets.setDown(true)
 		time.Sleep(4 * time.Second)
-		one.targets.set(gone("a"))
+		one.targets.set(removalOf("a"))
 		one.targets.set(targetEntry("e"))
 		one.targets.setDown(false)
 		time.Sleep(time.Second)
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 		if !other.serves("e") || !other.serves("a") {
-			t.Fatal("the peer has no doubt, or no news")
+			t.Fatal("the peer did not defer the removal, or lacks the new target")
 		}
 		time.Sleep(3 * time.Second)
 		if one.serves("a") {
@@ -52,19 +52,19 @@
 	})
 }
 
-// TestBelievedRemovalIsNewer: the listing without a target that did not return may replace
-// the one with it, though the platform's revision is the same.
-func TestBelievedRemovalIsNewer(t *testing.T) {
+// TestAcceptedRemovalAdvancesOrder guards against ignoring the snapshot without a target that
+// did not return, because the platform's revision is the same as that of the snapshot with it.
+func TestAcceptedRemovalAdvancesOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startPopulated(t)
 		s.targets.setDown(true)
 		time.Sleep(4 * time.Second)
-		s.targets.set(gone("a"))
+		s.targets.set(removalOf("a"))
 		s.targets.set(targetEntry("e"))
 		s.targets.setDown(false)
 		time.Sleep(5 * time.Second)
 		if s.serves("a") || !s.serves("e") {
-			t.Fatal("the removal was not believed")
+			t.Fatal("the removal was not applied")
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/directory/poller.go
+++ b/directory/poller.go
@@ -11,88 +11,90 @@
 )
 
 const (
-	// longHold is how long one call for changes waits: the longest that the
-	// platform allows, as each call has its price.
-	longHold = 30 * time.Second
-	// provingLongHold is the same for the router that proves, so that calls which were
-	// lost while they waited are found within it.
-	provingLongHold = longHold / 2
-	// provingHold is how long a call waits that has to show that the store answers. With
-	// answerMargin and the first pauses a call that met a silence of the store is found
-	// within a second, for one call more after each change.
-	provingHold = 250 * time.Millisecond
-	// answerMargin is how long after its time a call may be answered. The store answers in
-	// some milliseconds; 400 are for a slow store and a busy router.
+	// maxHold is how long one call waits for changes. It is the longest that the platform
+	// allows, because each call has a cost.
+	maxHold = 30 * time.Second
+	// proverMaxHold is the maxHold of the router that verifies calls for the fleet, so that
+	// calls that were lost while waiting are detected within this time.
+	proverMaxHold = maxHold / 2
+	// verifyHold is how long a call waits whose purpose is to show that the store answers.
+	// Together with answerMargin and the first retry pauses, a call that was made while the
+	// store was silent is detected within a second, at the cost of one more call after each
+	// change.
+	verifyHold = 250 * time.Millisecond
+	// answerMargin is how long after its hold a call may still be answered. The store answers
+	// within a few milliseconds; 400 ms allow for a slow store and a busy router.
 	answerMargin = 400 * time.Millisecond
-	// lostAfter is how long after that the platform counts as lost, if the calls made
-	// since are not answered either.
+	// lostAfter is how long after a call became overdue the platform counts as lost, if the
+	// calls made since are not answered either.
 	lostAfter = 300 * time.Millisecond
-	// firstPause and longestPause bound the mean pause between calls while none is
-	// answered. The pause doubles and is jittered by half, so that routers do not come back
-	// in step and the platform's return is known to each within 0.75 s.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 500 * time.Millisecond
-	// loadPauseEach is, for each router of the fleet, the least that longestPause is for
-	// calls that load everything. Where the platform falls silent, all routers come to
-	// follow its feeds in the end, and a load of 3,800 targets takes eight calls: 340
-	// routers then make some 100 loads a second of each feed, 900 calls of the 2,000 that
-	// the platform allows. Those that followed before do not load, and have its news soon.
-	loadPauseEach = 10 * time.Millisecond
-	// callLimit is how long a call that does not wait may take; longer calls are of no
-	// use, as others follow each other by longestPause.
-	callLimit = 2 * time.Second
-	// holdSpread is the part of a wait that is jittered, so that the waits of routers
-	// that started together do not end in step, and one of them meets a silence early.
-	holdSpread = 0.1
+	// minRetryPause and maxRetryPause bound the mean pause between calls while none is
+	// answered. The pause doubles and is jittered by half, so that routers do not retry in step
+	// and each detects the platform's recovery within 0.75 s.
+	minRetryPause = 50 * time.Millisecond
+	maxRetryPause = 500 * time.Millisecond
+	// loadPausePerRouter is, for each router of the fleet, the lower limit of the maximum retry
+	// pause for calls that load everything. If the platform goes silent, all routers eventually
+	// try to follow its feeds, and a load of 3,800 targets takes eight calls: 340 routers then
+	// make about 100 loads a second of each feed, or 900 calls of the 2,000 that the platform
+	// allows. Routers that followed the feeds before do not load everything and receive its
+	// changes soon.
+	loadPausePerRouter = 10 * time.Millisecond
+	// callTimeout is how long a call may take in addition to its hold. Longer calls are of no
+	// use, because the next one follows within maxRetryPause.
+	callTimeout = 2 * time.Second
+	// holdJitter is the jittered part of a hold. It keeps the calls of routers that started
+	// together from ending in step, so that one of them detects a silent platform early.
+	holdJitter = 0.1
 )
 
-// Reasons to give up the calls under way without an answer.
+// Reasons to abandon the pending calls without an answer.
 var (
-	// errReprobe says that the calls may be lost, and have to be made anew.
-	errReprobe = errors.New("directory: the calls under way may be lost")
-	// errNotWanted says that other routers follow the feed now.
-	errNotWanted = errors.New("directory: others follow")
-	// errUnanswered is the reason of a loss without an error.
-	errUnanswered = errors.New("directory: calls go unanswered")
+	// errReprobe reports that the calls may be lost and have to be reissued.
+	errReprobe = errors.New("directory: the pending calls may be lost")
+	// errOthersFollow reports that other routers follow the feed now.
+	errOthersFollow = errors.New("directory: other routers follow the feed")
+	// errUnanswered is the reason logged for a loss without an error.
+	errUnanswered = errors.New("directory: calls are not answered")
 )
 
-// poller loads one feed and follows it. A call that waits for changes shows nothing until
-// it is answered, so the platform may have lost it, or never have taken it, while the
-// poller takes its silence for "no change". A wait is long only if a shorter one before it
-// was answered, or if another router of the fleet proves its waits that way.
+// poller loads one feed and follows it. A call that waits for changes shows nothing until it is
+// answered, so the platform may have lost it, or never have received it, while the poller takes
+// the silence for "no change". A call therefore waits for long only if a shorter one before it
+// was answered, or if another router of the fleet verifies its calls that way.
 type poller[T any] struct {
 	follower *Follower
 	name     string
 	feed     Feed[T]
-	take     func(Listing[T], arrival)
-	seen     *answers
+	deliver  func(Listing[T], listingInfo)
+	times    *callTimes
 
 	loaded bool
 	after  config.Revision
-	// proven says that the next call for changes may wait for long, unless reprobe was
+	// verified reports that the next call for changes may wait for long, unless reprobe was
 	// closed since the answer before it.
-	proven  bool
-	reprobe <-chan struct{}
-	// lost says that the platform does not answer.
+	verified bool
+	reprobe  <-chan struct{}
+	// lost reports that the platform does not answer.
 	lost bool
 	// reloadPause is the mean pause before everything is loaded again.
 	reloadPause time.Duration
 }
 
-func newPoller[T any](f *Follower, name string, feed Feed[T], take func(Listing[T], arrival)) *poller[T] {
+func newPoller[T any](f *Follower, name string, feed Feed[T], deliver func(Listing[T], listingInfo)) *poller[T] {
 	return &poller[T]{
 		follower:    f,
 		name:        name,
 		feed:        feed,
-		take:        take,
-		seen:        f.answers[name],
+		deliver:     deliver,
+		times:       f.callTimes[name],
 		reprobe:     f.reprobes.next(),
-		reloadPause: firstPause,
+		reloadPause: minRetryPause,
 	}
 }
 
-// outcome is the end of one call.
-type outcome[T any] struct {
+// callResult is the result of one call.
+type callResult[T any] struct {
 	listing Listing[T]
 	err     error
 }
@@ -103,9 +105,9 @@
 	defer turn.setLive(p.name, false)
 	for ctx.Err() == nil {
 		if p.loaded && turn.standBy(ctx, p.name) {
-			// Peers told what changed meanwhile, as far as they knew.
+			// Peers reported what changed meanwhile, as far as they knew.
 			p.loaded, p.lost = false, false
-			p.seen.noteStandBy()
+			p.times.noteStandBy()
 			continue
 		}
 		if p.loaded && !p.lost {
@@ -113,7 +115,7 @@
 		}
 		listing, err := p.ask(ctx)
 		if err == nil {
-			p.arrived(ctx, listing)
+			p.handleAnswer(ctx, listing)
 		} else if reason := reloadReason(err); reason != nil {
 			p.reload(ctx, reason)
 		}
@@ -121,196 +123,197 @@
 }
 
 // ask makes calls until one is answered, and returns its answer. Further calls are made
-// beside those that are overdue: a store that was silent never answers the calls of that
-// time, and one that is slow may need longer than the pause.
+// alongside overdue ones: a store that was silent never answers the calls made during the
+// silence, and a slow one may need longer than the pause.
 func (p *poller[T]) ask(ctx context.Context) (Listing[T], error) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // Ends the calls that were overtaken.
-	outcomes := make(chan outcome[T])
-	p.heedReprobe()
+	defer cancel() // Cancels the calls that are still pending.
+	results := make(chan callResult[T])
+	p.checkReprobe()
 	hold := p.hold()
-	p.call(ctx, hold, outcomes)
+	p.call(ctx, hold, results)
 	retry := newRetry(hold + answerMargin)
 	defer retry.timer.Stop()
 	for {
-		var reprobe <-chan struct{} // Never closed while the calls prove themselves.
-		if hold > provingHold && !retry.begun() {
+		var reprobe <-chan struct{} // Nil, so never ready, while a call verifies that the store answers or is retried.
+		if hold > verifyHold && !retry.hasFailed() {
 			reprobe = p.reprobe
 		}
-		wanted, turned := p.follower.turn.isWanted()
+		wanted, turnChanged := p.follower.turn.mustFollow()
 		if p.loaded && !wanted {
-			return Listing[T]{}, errNotWanted
+			return Listing[T]{}, errOthersFollow
 		}
 		select {
-		case o := <-outcomes:
-			if o.err == nil || reloadReason(o.err) != nil {
-				return o.listing, o.err
+		case r := <-results:
+			if r.err == nil || reloadReason(r.err) != nil {
+				return r.listing, r.err
 			}
-			p.failed(o.err, retry)
+			p.handleFailure(r.err, retry)
 		case <-retry.timer.C:
-			p.overdue(retry)
-			p.call(ctx, 0, outcomes)
+			p.handleOverdue(retry)
+			p.call(ctx, 0, results)
 		case <-reprobe:
 			return Listing[T]{}, errReprobe
-		case <-turned:
+		case <-turnChanged:
 		case <-ctx.Done():
 			return Listing[T]{}, ctx.Err()
 		}
 	}
 }
 
-// failed takes in that a call failed. The next one follows after a pause.
-func (p *poller[T]) failed(err error, r *retry) {
+// handleFailure records that a call failed. The next one follows after a pause.
+func (p *poller[T]) handleFailure(err error, r *retry) {
 	feedFailures.Inc()
-	p.lose(err)
-	if !r.begun() {
-		r.begin()
-		r.schedule(p.longestPause())
+	p.markLost(err)
+	if !r.hasFailed() {
+		r.markFailed()
+		r.schedule(p.maxPause())
 	}
 }
 
-// overdue takes in that the calls under way should have been answered.
-func (p *poller[T]) overdue(r *retry) {
-	if !r.begun() {
-		r.begin()
+// handleOverdue records that the pending calls should have been answered.
+func (p *poller[T]) handleOverdue(r *retry) {
+	if !r.hasFailed() {
+		r.markFailed()
 		overdueCalls.Inc()
-		p.seen.noteOverdue()
+		p.times.noteOverdue()
 	}
-	if time.Since(r.since) >= lostAfter {
-		p.lose(errUnanswered)
+	if time.Since(r.failingSince) >= lostAfter {
+		p.markLost(errUnanswered)
 	}
-	r.schedule(p.longestPause())
+	r.schedule(p.maxPause())
 	if !p.lost {
-		r.notAfter(lostAfter)
+		r.capDelay(lostAfter)
 	}
 }
 
-// retry is when the next call is due, while none is answered.
+// retry schedules the next call while none is answered.
 type retry struct {
 	timer *time.Timer
-	// since is when the first call failed or became overdue; zero: none did.
-	since time.Time
-	// pause is the mean pause before the call after the next, and due when the next is due.
+	// failingSince is when the first call failed or became overdue; zero if none did.
+	failingSince time.Time
+	// pause is the mean pause before the call after the next, and due is when the next is due.
 	pause time.Duration
 	due   time.Time
 }
 
-// newRetry returns a retry that is due after a while, if nothing fails before.
+// newRetry returns a retry that is due after the given time if no call fails before.
 func newRetry(after time.Duration) *retry {
-	return &retry{timer: time.NewTimer(after), pause: firstPause}
+	return &retry{timer: time.NewTimer(after), pause: minRetryPause}
 }
 
-func (r *retry) begun() bool { return !r.since.IsZero() }
+func (r *retry) hasFailed() bool { return !r.failingSince.IsZero() }
 
-func (r *retry) begin() { r.since = time.Now() }
+func (r *retry) markFailed() { r.failingSince = time.Now() }
 
-// schedule sets when the next call is due. The pause doubles up to the longest.
-func (r *retry) schedule(longest time.Duration) {
+// schedule sets when the next call is due. The pause doubles up to maxPause.
+func (r *retry) schedule(maxPause time.Duration) {
 	r.due = time.Now().Add(jittered(r.pause))
 	r.timer.Reset(time.Until(r.due))
-	r.pause = min(2*r.pause, longest)
+	r.pause = min(2*r.pause, maxPause)
 }
 
-// notAfter brings the next call forward to so long after the first one failed.
-func (r *retry) notAfter(since time.Duration) {
-	if bound := r.since.Add(since); bound.Before(r.due) {
+// capDelay moves the next call forward to at most maxDelay after the first failure.
+func (r *retry) capDelay(maxDelay time.Duration) {
+	if bound := r.failingSince.Add(maxDelay); bound.Before(r.due) {
 		r.timer.Reset(time.Until(bound))
 	}
 }
 
-// longestPause is the mean pause between calls in the long run.
-func (p *poller[T]) longestPause() time.Duration {
+// maxPause returns the upper limit of the mean pause between calls.
+func (p *poller[T]) maxPause() time.Duration {
 	if p.loaded || p.follower.options.Routers == nil {
-		return longestPause
+		return maxRetryPause
 	}
-	return max(longestPause, time.Duration(p.follower.options.Routers())*loadPauseEach)
+	return max(maxRetryPause, time.Duration(p.follower.options.Routers())*loadPausePerRouter)
 }
 
-// heedReprobe lets the next call prove itself if calls may be lost since the last answer.
-func (p *poller[T]) heedReprobe() {
+// checkReprobe makes the next call a verifying one if calls may have been lost since the last
+// answer.
+func (p *poller[T]) checkReprobe() {
 	select {
 	case <-p.reprobe:
-		p.proven = false
+		p.verified = false
 		p.reprobe = p.follower.reprobes.next()
 	default:
 	}
 }
 
-// call loads the feed, or asks for its changes and waits for them for a while. It does
-// not block; the outcome is sent unless ctx ends before.
-func (p *poller[T]) call(ctx context.Context, hold time.Duration, outcomes chan<- outcome[T]) {
+// call loads the feed, or asks for its changes and waits up to hold for them. It does not
+// block; the result is sent unless ctx ends first.
+func (p *poller[T]) call(ctx context.Context, hold time.Duration, results chan<- callResult[T]) {
 	loaded, after := p.loaded, p.after
-	p.seen.noteCall()
+	p.times.noteCall()
 	go func() {
-		callCtx, cancel := context.WithTimeout(ctx, hold+callLimit)
+		callCtx, cancel := context.WithTimeout(ctx, hold+callTimeout)
 		defer cancel()
-		var o outcome[T]
+		var r callResult[T]
 		if loaded {
-			o.listing, o.err = p.feed.Follow(callCtx, after, hold)
+			r.listing, r.err = p.feed.Follow(callCtx, after, hold)
 		} else {
-			o.listing, o.err = p.feed.Load(callCtx)
+			r.listing, r.err = p.feed.Load(callCtx)
 		}
 		select {
-		case outcomes <- o:
+		case results <- r:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// hold is how long the next call waits for changes.
+// hold returns how long the next call waits for changes.
 func (p *poller[T]) hold() time.Duration {
 	switch {
 	case !p.loaded || p.lost:
-		return 0 // To learn at once that the platform answers.
-	case !p.proven:
-		return provingHold
+		return 0 // Learn at once whether the platform answers.
+	case !p.verified:
+		return verifyHold
 	case p.follower.turn.isProver():
-		return spread(provingLongHold)
+		return jitteredHold(proverMaxHold)
 	default:
-		return spread(longHold)
+		return jitteredHold(maxHold)
 	}
 }
 
-// lose notes that the platform does not answer. The other feed's call, and those of
-// other routers, may be lost as well.
-func (p *poller[T]) lose(err error) {
+// markLost records that the platform does not answer. The calls of the other feed and those of
+// other routers may be lost as well.
+func (p *poller[T]) markLost(err error) {
 	if p.lost {
 		return
 	}
 	p.lost = true
 	feedLosses.Inc()
-	answered, waited := p.seen.age()
+	answered, waited := p.times.ages()
 	p.follower.options.Log.Warn("directory: Feed lost.", "feed", p.name, "revision", p.after.String(), "waited", waited,
 		"answered_before", answered, "error", err)
-	p.seen.noteOverdue()
+	p.times.noteOverdue()
 	p.follower.turn.setLive(p.name, false)
 	p.follower.Reprobe()
 }
 
-// arrived takes in an answer.
-func (p *poller[T]) arrived(ctx context.Context, listing Listing[T]) {
-	silence, _ := p.seen.age()
-	p.seen.noteAnswer()
+// handleAnswer processes an answer.
+func (p *poller[T]) handleAnswer(ctx context.Context, listing Listing[T]) {
+	silence, _ := p.times.ages()
+	p.times.noteAnswer()
 	p.reprobe = p.follower.reprobes.next()
 	if p.lost {
-		p.follower.options.Log.Info("directory: Feed regained.", "feed", p.name, "revision", listing.Revision.String(),
+		p.follower.options.Log.Info("directory: Feed recovered.", "feed", p.name, "revision", listing.Revision.String(),
 			"answered_before", silence)
 	}
-	p.take(listing, arrival{whole: !p.loaded, afterLoss: p.lost && silence >= p.follower.options.ShortestLapse})
+	p.deliver(listing, listingInfo{complete: !p.loaded, afterOutage: p.lost && silence >= p.follower.options.ShortestLapse})
 	if p.loaded {
-		p.reloadPause = firstPause // The feed works; a load alone may be followed by another.
+		p.reloadPause = minRetryPause // The feed works. A load alone does not show that: another reload may follow it.
 	}
-	// Another router proves its waits for this one, but not after a loss.
+	// Another router verifies calls on behalf of this one, but not after a loss.
 	changed := len(listing.Entries) > 0
-	p.proven = !p.lost && (!changed || !p.follower.turn.isProver())
+	p.verified = !p.lost && (!changed || !p.follower.turn.isProver())
 	p.loaded, p.lost = true, false
 	p.after = max(p.after, listing.Revision)
 	if changed {
-		wait.For(ctx, p.follower.gather())
+		wait.For(ctx, p.follower.batchDelay())
 	}
 }
 
-// reloadReason returns the reason in an error why everything has to be loaded again, or nil.
+// reloadReason returns the reason in an error that requires loading everything again, or nil.
 func reloadReason(err error) error {
 	for reason := range reloads {
 		if errors.Is(err, reason) {
@@ -320,22 +323,22 @@
 	return nil
 }
 
-// reload lets everything be loaded again, after a pause.
+// reload makes the next call load everything, after a pause.
 func (p *poller[T]) reload(ctx context.Context, reason error) {
-	p.follower.options.Log.Warn("directory: Loading everything.", "feed", p.name, "revision", p.after.String(), "reason", reason)
+	p.follower.options.Log.Warn("directory: Reloading feed.", "feed", p.name, "revision", p.after.String(), "reason", reason)
 	reloads[reason].Inc()
 	if reason == ErrRestored && p.loaded {
-		p.follower.Reprobe() // The other feed's calls wait for changes of the era before.
+		p.follower.Reprobe() // The other feed's calls wait for changes of the previous era.
 	}
-	p.loaded, p.proven = false, false
+	p.loaded, p.verified = false, false
 	wait.For(ctx, jittered(p.reloadPause))
-	p.reloadPause = min(2*p.reloadPause, longestPause)
+	p.reloadPause = min(2*p.reloadPause, maxRetryPause)
 }
 
 // jittered varies a pause by half.
 func jittered(pause time.Duration) time.Duration { return pause/2 + rand.N(pause) }
 
-// spread shortens a wait by up to holdSpread of it.
-func spread(hold time.Duration) time.Duration {
-	return hold - rand.N(time.Duration(holdSpread*float64(hold)))
+// jitteredHold shortens a hold by up to holdJitter of it.
+func jitteredHold(hold time.Duration) time.Duration {
+	return hold - rand.N(time.Duration(holdJitter*float64(hold)))
 }
--- a/directory/probe.go
+++ b/directory/probe.go
@@ -12,7 +12,7 @@
 const (
 	// eraProbeInterval is the pause between era probes. A platform restored from an older copy
 	// may reissue the revision that a waiting call follows before it checks that call, which
-	// then stays blocked for up to longHold.
+	// then stays blocked for up to maxHold.
 	eraProbeInterval = time.Second
 	// eraProbeTimeout is well above the platform's usual response time of a few milliseconds.
 	eraProbeTimeout = 500 * time.Millisecond
--- a/directory/reprobes.go
+++ b/directory/reprobes.go
@@ -5,59 +5,61 @@
 	"time"
 )
 
-// reprobeEvery is the least time between two reprobes, as each costs the calls for changes of
-// both feeds. One that comes earlier takes effect then.
-const reprobeEvery = time.Second
+// minReprobeInterval is the minimum time between two reprobes, because each reissues the calls
+// for changes of both feeds. A request that comes earlier takes effect once the interval has
+// passed.
+const minReprobeInterval = time.Second
 
-// reprobes tells the pollers that calls which wait may be lost. It is safe for concurrent
+// reprobes notifies the pollers that their waiting calls may be lost. It is safe for concurrent
 // use.
 type reprobes struct {
 	mu sync.Mutex
-	// raised is closed and replaced with each reprobe.
-	raised chan struct{}
-	// last is when the last one took effect; pending says that one is to follow.
+	// signal is closed and replaced with each reprobe.
+	signal chan struct{}
+	// last is when the last reprobe took effect; pending reports whether another one is
+	// scheduled.
 	last    time.Time
 	pending bool
 }
 
-func newReprobes() *reprobes { return &reprobes{raised: make(chan struct{})} }
+func newReprobes() *reprobes { return &reprobes{signal: make(chan struct{})} }
 
 // next returns a channel that the next reprobe closes.
-func (d *reprobes) next() <-chan struct{} {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.raised
+func (r *reprobes) next() <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.signal
 }
 
-func (d *reprobes) raise() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	early := reprobeEvery - time.Since(d.last)
-	if early <= 0 {
-		d.takeEffect()
+func (r *reprobes) request() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delay := minReprobeInterval - time.Since(r.last)
+	if delay <= 0 {
+		r.fire()
 		return
 	}
-	if d.pending {
+	if r.pending {
 		return
 	}
-	d.pending = true
-	time.AfterFunc(early, func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.pending = false
-		d.takeEffect()
+	r.pending = true
+	time.AfterFunc(delay, func() {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.pending = false
+		r.fire()
 	})
 }
 
-// takeEffect needs d.mu.
-func (d *reprobes) takeEffect() {
+// fire notifies the pollers. r.mu must be held.
+func (r *reprobes) fire() {
 	reprobesMade.Inc()
-	d.last = time.Now()
-	close(d.raised)
-	d.raised = make(chan struct{})
+	r.last = time.Now()
+	close(r.signal)
+	r.signal = make(chan struct{})
 }
 
-// Reprobe says that the platform may have lost the calls that wait for changes, as it was
-// seen silent by another feed or router. They are given up and made anew. It is cheap to
-// call often.
-func (f *Follower) Reprobe() { f.reprobes.raise() }
+// Reprobe reports that the platform may have lost the calls that wait for changes, because
+// another feed or router found it silent. The calls are abandoned and reissued. Reprobe is
+// cheap to call often.
+func (f *Follower) Reprobe() { f.reprobes.request() }
--- a/directory/restore.go
+++ b/directory/restore.go
@@ -6,21 +6,22 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// A platform that comes back from an older copy lists what its targets were then, and in time
-// what they and the operators write again. What is known of the era before is used on: a
-// target that the copy lacks may write itself again, and one that the copy lists may have left
-// since.
+// When the platform's store is restored from an older copy, it lists its targets as of that
+// copy and, over time, what targets and operators write again. What is known from the previous
+// era stays in use: a target that the copy lacks may register again, and one that the copy
+// lists may have left since.
 
-// unconfirmed is an entry that may stand in an older copy only.
+// unconfirmed is an entry that may exist only because the store was restored from an older
+// copy.
 type unconfirmed struct {
 	target   config.Target
 	revision config.Revision
-	// until is when the platform would have removed it, if nobody renewed it.
+	// until is when the platform would have removed the entry if nobody renewed it.
 	until time.Time
 }
 
-// enter notes the first listing of an era.
-func (s *state) enter(listed config.Revision) {
+// enterEra records the first listing of an era.
+func (s *state) enterEra(listed config.Revision) {
 	switch {
 	case listed.Era() > s.eraListed.Era():
 		s.eraListed = listed
@@ -30,47 +31,47 @@
 	s.revision = max(s.revision, config.NewRevision(listed.Era(), 0))
 }
 
-// mayBeCopied says whether an entry of a revision may be older than what is known by a
-// revision of an era before.
-func (s *state) mayBeCopied(revision, knownBy config.Revision) bool {
-	return knownBy.Era() < revision.Era() && revision.Era() == s.eraListed.Era() && revision <= s.eraListed
+// mayPredate reports whether an entry may be older than what is known, although its revision is
+// of a later era than knownRevision.
+func (s *state) mayPredate(revision, knownRevision config.Revision) bool {
+	return knownRevision.Era() < revision.Era() && revision.Era() == s.eraListed.Era() && revision <= s.eraListed
 }
 
-// isContradicted says whether an entry names a start of a target that is known to be over, or
-// that another one followed.
-func (s *state) isContradicted(entry Entry[config.Target]) (removed, followed bool) {
+// isSuperseded reports whether an entry describes a start of a target that is known to have
+// ended (removed) or to have been followed by a later start (restarted).
+func (s *state) isSuperseded(entry Entry[config.Target]) (removed, restarted bool) {
 	if entry.Gone {
 		return false, false
 	}
-	if r, isGone := s.gone[entry.Key]; isGone && s.mayBeCopied(entry.Revision, r.revision) {
+	if r, isGone := s.gone[entry.Key]; isGone && s.mayPredate(entry.Revision, r.revision) {
 		removed = entry.Value.Start <= r.start
 	}
-	if old, exists := s.targets[entry.Key]; exists && s.mayBeCopied(entry.Revision, old.revision) {
-		followed = entry.Value.Start < old.target.Start
+	if old, exists := s.targets[entry.Key]; exists && s.mayPredate(entry.Revision, old.revision) {
+		restarted = entry.Value.Start < old.target.Start
 	}
-	return removed, followed
+	return removed, restarted
 }
 
-// withoutContradicted takes out the entries that contradict what is known. Those of removed
-// targets are kept until their time, as a target whose entry had lapsed may live.
-func (s *state) withoutContradicted(entries []Entry[config.Target], until time.Time) []Entry[config.Target] {
+// withoutSuperseded drops the entries that are superseded. Those of removed targets are
+// suspended until the given time, because a target whose entry had lapsed may be alive.
+func (s *state) withoutSuperseded(entries []Entry[config.Target], until time.Time) []Entry[config.Target] {
 	kept := make([]Entry[config.Target], 0, len(entries))
 	for _, entry := range entries {
-		removed, followed := s.isContradicted(entry)
+		removed, restarted := s.isSuperseded(entry)
 		switch {
 		case removed:
 			s.suspend(entry.Key, unconfirmed{target: entry.Value, revision: entry.Revision, until: until})
-		case !followed:
+		case !restarted:
 			kept = append(kept, entry)
 		}
 	}
 	return kept
 }
 
-// suspend keeps an entry until it is confirmed or removed. It reports whether the target was
-// in use.
+// suspend holds back an entry until it is confirmed or removed. It reports whether the target
+// was in use.
 func (s *state) suspend(key string, u unconfirmed) bool {
-	if before, waits := s.unconfirmed[key]; waits {
+	if before, pending := s.unconfirmed[key]; pending {
 		u.until = before.until
 	}
 	old, exists := s.targets[key]
@@ -82,19 +83,20 @@
 	return exists
 }
 
-// confirm takes over an entry that is still listed after its time: somebody renews it.
+// confirm applies an entry that is still listed when its time has passed, which shows that
+// somebody renews it.
 func (s *state) confirm(key string, u unconfirmed) bool {
 	delete(s.unconfirmed, key)
 	if _, exists := s.targets[key]; exists || u.revision <= s.gone[key].revision {
 		return false
 	}
 	delete(s.gone, key)
-	s.targets[key] = known{target: u.target, revision: u.revision}
+	s.targets[key] = knownTarget{target: u.target, revision: u.revision}
 	return true
 }
 
-// correct takes over that a target leaves, though the platform lists it as staying.
-func (s *state) correct(key string, revision config.Revision) bool {
+// markLeaving records that a target is leaving although the platform lists it as staying.
+func (s *state) markLeaving(key string, revision config.Revision) bool {
 	k, exists := s.targets[key]
 	if !exists || k.revision != revision {
 		return false
@@ -103,7 +105,7 @@
 	k.target.Leaving, k.corrected = true, true
 	s.targets[key] = k
 	if changed {
-		s.believed++
+		s.unversionedChanges++
 	}
 	return changed
 }
--- a/directory/restore_test.go
+++ b/directory/restore_test.go
@@ -10,20 +10,20 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// copied is the content of a feed at some moment.
-type copied[T any] struct {
+// feedCopy is a copy of the content of a feed.
+type feedCopy[T any] struct {
 	entries  map[string]Entry[T]
 	revision config.Revision
 }
 
-func (f *fakeFeed[T]) copy() copied[T] {
+func (f *fakeFeed[T]) copy() feedCopy[T] {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return copied[T]{entries: maps.Clone(f.entries), revision: f.revision}
+	return feedCopy[T]{entries: maps.Clone(f.entries), revision: f.revision}
 }
 
-// restore makes the feed come back from a copy, in the next era.
-func (f *fakeFeed[T]) restore(from copied[T]) {
+// restore replaces the feed's content by a copy, in the next era.
+func (f *fakeFeed[T]) restore(from feedCopy[T]) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	era := f.revision.Era() + 1
@@ -33,121 +33,123 @@
 		entry.Revision = config.NewRevision(era, entry.Revision.Counter())
 		f.entries[key] = entry
 	}
-	f.wake()
+	f.notify()
 }
 
-// drill is a scene whose platform loses what was written since a copy.
-type drill struct {
-	*scene
-	configurations copied[Directive]
-	targets        copied[config.Target]
+// restoreHarness is a harness whose platform loses what was written since a copy.
+type restoreHarness struct {
+	*harness
+	configurations feedCopy[Directive]
+	targets        feedCopy[config.Target]
 }
 
-// startDrill returns a scene, and the copy that its platform will come back from.
-func startDrill(t *testing.T) *drill {
+// startRestoreHarness returns a harness together with the copy that its platform is restored
+// from.
+func startRestoreHarness(t *testing.T) *restoreHarness {
 	t.Helper()
 	s := startPopulated(t)
-	return &drill{scene: s, configurations: s.configurations.copy(), targets: s.targets.copy()}
+	return &restoreHarness{harness: s, configurations: s.configurations.copy(), targets: s.targets.copy()}
 }
 
-// comesBack restores both feeds and lets the follower notice.
-func (d *drill) comesBack() {
-	d.scene.configurations.restore(d.configurations)
-	d.scene.targets.restore(d.targets)
+// restoreStore restores both feeds from the copies and lets the follower notice.
+func (d *restoreHarness) restoreStore() {
+	d.harness.configurations.restore(d.configurations)
+	d.harness.targets.restore(d.targets)
 	time.Sleep(100 * time.Millisecond)
 	synctest.Wait()
 }
 
-// write writes entries of targets, and lets them arrive.
-func (s *scene) write(entries ...Entry[config.Target]) {
+// write writes entries of targets and waits until they are processed.
+func (s *harness) write(entries ...Entry[config.Target]) {
 	s.targets.set(entries...)
 	synctest.Wait()
 }
 
 // last returns the newest snapshot.
-func (s *scene) last() *config.Snapshot {
+func (s *harness) last() *config.Snapshot {
 	synctest.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.snapshots[len(s.snapshots)-1]
 }
 
-// leavingEntry is targetEntry of a target that leaves.
+// leavingEntry returns the entry of a target that is leaving.
 func leavingEntry(name string) Entry[config.Target] {
 	entry := targetEntry(name)
 	entry.Value.Leaving = true
 	return entry
 }
 
-// startedEntry is targetEntry of one start of a target.
+// startedEntry returns the entry of one start of a target.
 func startedEntry(name string, start int64) Entry[config.Target] {
 	entry := targetEntry(name)
 	entry.Value.Start = start
 	return entry
 }
 
-// TestTargetAtReusedRevision guards against passing over a target that registers at a revision
-// that the era before had used.
+// TestTargetAtReusedRevision guards against ignoring a target that registers at a revision that
+// was already used in the previous era.
 func TestTargetAtReusedRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := startDrill(t)
+		d := startRestoreHarness(t)
 		for range 20 {
 			d.write(targetEntry("a"))
 		}
-		d.comesBack()
+		d.restoreStore()
 		d.write(targetEntry("new"))
 		if !d.serves("new") {
-			t.Error("a target that registered after the return is not used")
+			t.Error("a target that registered after the restore is not used")
 		}
 	})
 }
 
-// TestRemovalAtReusedRevision guards against passing over a removal at a revision that the era
-// before had used.
+// TestRemovalAtReusedRevision guards against ignoring a removal at a revision that was already
+// used in the previous era.
 func TestRemovalAtReusedRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := startDrill(t)
+		d := startRestoreHarness(t)
 		for range 20 {
 			d.write(targetEntry("a"))
 		}
-		d.comesBack()
-		time.Sleep(lapseShown)
-		d.write(gone("a"))
+		d.restoreStore()
+		time.Sleep(lapseWindow)
+		d.write(removalOf("a"))
 		if d.serves("a") {
-			t.Error("a target that was removed after the return is still used")
+			t.Error("a target that was removed after the restore is still used")
 		}
 	})
 }
 
-// TestListingAfterLostHistory guards against an order that only a reload for a new era keeps:
-// the platform forgets its history after its return, too.
+// TestListingAfterLostHistory guards against an order that only a reload for a new era
+// maintains: here the platform also loses its history after the restore.
 func TestListingAfterLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := startDrill(t)
+		d := startRestoreHarness(t)
 		for range 20 {
 			d.write(targetEntry("a"))
 		}
-		d.comesBack()
-		d.scene.targets.mu.Lock()
-		d.scene.targets.forgetful = true
-		d.scene.targets.mu.Unlock()
+		d.restoreStore()
+		d.harness.targets.mu.Lock()
+		d.harness.targets.historyLost = true
+		d.harness.targets.mu.Unlock()
 		d.write(targetEntry("new"), leavingEntry("b"))
 		time.Sleep(time.Second)
 		if !d.serves("new") || !d.last().Declarations.Targets["b"].Leaving {
-			t.Error("what was listed after the return is not believed")
+			t.Error("what was listed after the restore is not applied")
 		}
 	})
 }
 
-// TestLostEntriesMayReturn guards against dropping targets that the copy lacks: they are used
-// on for as long as an entry may take to return, and go then if it has not.
-func TestLostEntriesMayReturn(t *testing.T) {
+// TestTargetsMissingAfterRestoreMayReturn guards against dropping targets that the copy lacks:
+// they stay in use for as long as an entry may take to reappear, and are removed if it has not
+// by then.
+func TestTargetsMissingAfterRestoreMayReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := startDrill(t)
+		d := startRestoreHarness(t)
 		d.write(targetEntry("returns"), targetEntry("stays away"))
-		d.comesBack()
+		d.restoreStore()
 		if !d.serves("returns") || !d.serves("stays away") {
-			t.Fatal("a target that registered in the lost time is not used")
+			t.Fatal("a target that registered after the copy was made is not used")
 		}
 		time.Sleep(time.Second)
 		d.write(targetEntry("returns"))
@@ -161,95 +163,97 @@
 	})
 }
 
-// TestCopyUndoesNoRemoval guards against using a target that left in the lost time and that
-// the copy lists as if it lived; one that somebody renews is used in the end.
-func TestCopyUndoesNoRemoval(t *testing.T) {
+// TestRestoreDoesNotUndoRemoval guards against using a target that left after the copy was made
+// and that the copy lists as if it were alive; one whose entry is renewed is used in the end.
+func TestRestoreDoesNotUndoRemoval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := startDrill(t)
-		d.write(gone("a"))
-		d.write(gone("b"))
-		d.comesBack()
-		time.Sleep(longestLapse / 2)
+		d := startRestoreHarness(t)
+		d.write(removalOf("a"))
+		d.write(removalOf("b"))
+		d.restoreStore()
+		time.Sleep(maxLapse / 2)
 		if d.serves("a") || d.serves("b") {
 			t.Error("a target that was removed is used again")
 		}
-		d.write(gone("a")) // it lapses
-		time.Sleep(longestLapse)
+		d.write(removalOf("a")) // it lapses
+		time.Sleep(maxLapse)
 		if d.serves("a") {
-			t.Error("a target that lapsed after the return is used")
+			t.Error("a target that lapsed after the restore is used")
 		}
 		if !d.serves("b") {
-			t.Error("a target that is listed on is not used")
+			t.Error("a target that is still listed is not used")
 		}
 	})
 }
 
-// TestCopyUndoesNoLeaving guards against using a target that began to leave in the lost time.
-func TestCopyUndoesNoLeaving(t *testing.T) {
+// TestRestoreDoesNotUndoLeaving guards against using a target that began to leave after the
+// copy was made.
+func TestRestoreDoesNotUndoLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := startDrill(t)
+		d := startRestoreHarness(t)
 		d.write(leavingEntry("a"))
-		d.comesBack()
+		d.restoreStore()
 		if !d.last().Declarations.Targets["a"].Leaving {
 			t.Error("a target that leaves is taken for one that stays")
 		}
 		d.write(startedEntry("a", 7)) // another start under the same key
 		if d.last().Declarations.Targets["a"].Leaving {
-			t.Error("a later start is taken for one that leaves")
+			t.Error("a later start is taken for one that is leaving")
 		}
 	})
 }
 
-// TestCopyNamesAnEarlierStart guards against using a target by the start before its last.
-func TestCopyNamesAnEarlierStart(t *testing.T) {
+// TestRestoreKeepsLatestStart guards against using a target with the start before its latest
+// one.
+func TestRestoreKeepsLatestStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startPopulated(t)
 		s.write(startedEntry("a", 1))
-		d := &drill{scene: s, configurations: s.configurations.copy(), targets: s.targets.copy()}
+		d := &restoreHarness{harness: s, configurations: s.configurations.copy(), targets: s.targets.copy()}
 		d.write(startedEntry("a", 2))
-		d.comesBack()
+		d.restoreStore()
 		if got := d.last().Declarations.Targets["a"].Start; got != 2 {
 			t.Errorf("start %d is used", got)
 		}
 		d.write(startedEntry("a", 2))
 		time.Sleep(5 * time.Second)
 		if !d.serves("a") {
-			t.Error("a target that wrote itself again is not used")
+			t.Error("a target that registered again is not used")
 		}
 	})
 }
 
-// versionFor is version with content of its own.
+// versionFor returns a version with an additional pool.
 func versionFor(number config.Version, pool string) Entry[Directive] {
 	entry := version(number)
 	entry.Value.Declarations.Pools[pool] = config.Pool{}
 	return entry
 }
 
-// TestVersionIsWrittenAgain guards against going back to the copy's version, and against
-// keeping the lost content of one that is written again with other content.
-func TestVersionIsWrittenAgain(t *testing.T) {
+// TestVersionRewrittenAfterRestore guards against going back to the copy's version, and against
+// keeping the lost content of a version that is written again with other content.
+func TestVersionRewrittenAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := startDrill(t)
+		d := startRestoreHarness(t)
 		for range 20 {
 			d.write(targetEntry("a"))
 		}
-		d.scene.configurations.set(versionFor(9, "lost"))
+		d.harness.configurations.set(versionFor(9, "lost"))
 		synctest.Wait()
-		d.comesBack()
+		d.restoreStore()
 		if got := d.last().Version; got != 9 {
 			t.Errorf("version %d is in force", got)
 		}
-		d.scene.configurations.set(versionFor(9, "written"))
+		d.harness.configurations.set(versionFor(9, "written"))
 		synctest.Wait()
 		if _, known := d.last().Declarations.Pools["written"]; !known {
-			t.Error("the content that was written again is not in force")
+			t.Error("the rewritten content is not in force")
 		}
 	})
 }
 
-// tell passes on what one router knows and another does not.
-func tell(t *testing.T, from, to *scene) {
+// sendUpdates passes on what one router knows and another does not.
+func sendUpdates(t *testing.T, from, to *harness) {
 	t.Helper()
 	encoded, err := from.follower.Export(to.follower.Known())
 	if err != nil {
@@ -261,63 +265,63 @@
 	synctest.Wait()
 }
 
-// startCutOff starts a scene whose platform does not answer.
-func startCutOff(t *testing.T) *scene {
+// startDisconnected starts a harness whose platform does not answer.
+func startDisconnected(t *testing.T) *harness {
 	t.Helper()
-	s := &scene{configurations: newFeed[Directive](), targets: newFeed[config.Target]()}
+	s := &harness{configurations: newFeed[Directive](), targets: newFeed[config.Target]()}
 	s.configurations.setDown(true)
 	s.targets.setDown(true)
 	s.run(t)
 	return s
 }
 
-// TestPeerOfTheEraBefore guards against ordering news of peers by the store's counter: a
-// router that was paused through the return neither overrides the others nor keeps what they
-// know to be over, although its counter is higher.
-func TestPeerOfTheEraBefore(t *testing.T) {
+// TestPeerOfEarlierEra guards against ordering peers' exports by the store's counter: a router
+// that was paused during the restore neither overrides the others nor keeps what they know to
+// be gone, although its counter is higher.
+func TestPeerOfEarlierEra(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := startDrill(t)
-		paused := startCutOff(t)
+		d := startRestoreHarness(t)
+		paused := startDisconnected(t)
 		d.write(targetEntry("lost"))
 		for range 20 {
 			d.write(targetEntry("a"))
 		}
-		tell(t, d.scene, paused)
-		d.comesBack()
-		time.Sleep(lapseShown)
+		sendUpdates(t, d.harness, paused)
+		d.restoreStore()
+		time.Sleep(lapseWindow)
 		d.write(targetEntry("new"))
 		d.write(leavingEntry("b"))
-		d.write(gone("c"))
+		d.write(removalOf("c"))
 
-		tell(t, paused, d.scene)
+		sendUpdates(t, paused, d.harness)
 		if !d.last().Declarations.Targets["b"].Leaving || d.serves("c") {
-			t.Error("a peer of the era before overrides what is known")
+			t.Error("a peer of an earlier era overrides what is known")
 		}
-		tell(t, d.scene, paused)
+		sendUpdates(t, d.harness, paused)
 		if !paused.serves("new") || !paused.last().Declarations.Targets["b"].Leaving {
-			t.Error("a router of the era before does not believe its peer")
+			t.Error("a router of an earlier era does not apply its peer's export")
 		}
 		time.Sleep(5 * time.Second)
 		if paused.serves("lost") || paused.serves("c") {
-			t.Error("a router of the era before keeps targets that are gone")
+			t.Error("a router of an earlier era keeps targets that are gone")
 		}
 	})
 }
 
-// TestRouterStartedInBetween guards against a router that starts after the return and knows
-// the copy alone: peers tell it of the version in force and of what has left.
-func TestRouterStartedInBetween(t *testing.T) {
+// TestRouterStartedAfterRestore guards against a router that starts after the restore and knows
+// only the copy: its peers report the version in force and which targets have left.
+func TestRouterStartedAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := startDrill(t)
-		d.write(gone("a"))
+		d := startRestoreHarness(t)
+		d.write(removalOf("a"))
 		d.write(leavingEntry("b"))
-		d.scene.configurations.set(version(9))
+		d.harness.configurations.set(version(9))
 		synctest.Wait()
-		d.comesBack()
-		late := &scene{configurations: d.scene.configurations, targets: d.scene.targets}
+		d.restoreStore()
+		late := &harness{configurations: d.harness.configurations, targets: d.harness.targets}
 		late.run(t)
 		time.Sleep(100 * time.Millisecond)
-		tell(t, d.scene, late)
+		sendUpdates(t, d.harness, late)
 		switch got := late.last(); {
 		case got.Version != 9:
 			t.Errorf("version %d is in force", got.Version)
@@ -329,13 +333,13 @@
 	})
 }
 
-// TestExportIsReadByEarlierBuilds guards against a fleet whose routers cannot tell each other
-// of removals while they are updated one by one: earlier builds read revisions as numbers.
+// TestExportIsReadByEarlierBuilds guards against a fleet whose routers cannot report removals
+// to each other while they are updated one by one: earlier builds read revisions as numbers.
 func TestExportIsReadByEarlierBuilds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startPopulated(t)
 		s.write(startedEntry("a", 7))
-		s.write(gone("a"))
+		s.write(removalOf("a"))
 		encoded, err := s.follower.Export(Known{})
 		if err != nil {
 			t.Fatal(err)
--- a/directory/state.go
+++ b/directory/state.go
@@ -9,50 +9,50 @@
 // state is what is known of the directory. It is not safe for concurrent use.
 type state struct {
 	configuration Configuration
-	// listed says that the targets were listed at least once.
+	// listed reports that the targets were listed at least once.
 	listed  bool
-	targets map[string]known
-	// gone holds the removals of targets, so that an older listing does not bring them
-	// back.
+	targets map[string]knownTarget
+	// gone holds the removals of targets, so that an older listing does not add them again.
 	gone map[string]removal
-	// lapsed holds the targets whose entries are missing, with the time at which
-	// they are taken as gone: see Options.ReturnGrace.
+	// lapsed holds the targets whose entries are missing, with the time at which their removal
+	// takes effect: see Options.ReturnGrace.
 	lapsed map[string]lapse
-	// unconfirmed holds the entries that may stand in an older copy of the platform's
-	// store only; see state.isContradicted.
+	// unconfirmed holds the entries that may exist only because the platform's store was
+	// restored from an older copy; see state.isSuperseded.
 	unconfirmed map[string]unconfirmed
 	// evacuations holds the latest evacuation of each data centre, active or ended.
 	evacuations map[string]evacuation
 	// operatorRevision is the highest revision of the entries that operators wrote.
 	operatorRevision config.Revision
-	// eraListed is the first listing of the present era. What is not above it may be older
-	// than the era.
+	// eraListed is the revision of the first listing of the current era. Entries up to this
+	// revision may have been written before the era.
 	eraListed config.Revision
 	// revision is the highest revision applied.
 	revision config.Revision
-	// peerSynced says that a peer has given what it knows.
+	// peerSynced reports that a peer's export was merged.
 	peerSynced bool
-	// believed counts what came to be believed with time, or by a peer's word, alone. Such a
-	// change is older than what was applied since, so revision does not show it.
-	believed uint64
+	// unversionedChanges counts the changes that took effect only through the passage of time
+	// or a peer's report. Such a change has an older revision than changes applied before it,
+	// so revision does not reflect it.
+	unversionedChanges uint64
 }
 
-// known is a target as it was published.
-type known struct {
+// knownTarget is a target as it was published.
+type knownTarget struct {
 	target   config.Target
 	revision config.Revision
-	// corrected says that the target leaves, as was known in the era before, though the
-	// platform does not list it so yet.
+	// corrected reports that the target is leaving, as was known in the previous era, although
+	// the platform does not list it as leaving yet.
 	corrected bool
 }
 
-// removal is that of a target, by the start that it had.
+// removal is the removal of a target, identified by its start.
 type removal struct {
 	revision config.Revision
 	start    int64
 }
 
-// lapse is a removal that is not yet believed.
+// lapse is a removal that has not taken effect yet.
 type lapse struct {
 	revision config.Revision
 	until    time.Time
@@ -60,7 +60,7 @@
 
 func newState() state {
 	return state{
-		targets:     make(map[string]known),
+		targets:     make(map[string]knownTarget),
 		gone:        make(map[string]removal),
 		lapsed:      make(map[string]lapse),
 		unconfirmed: make(map[string]unconfirmed),
@@ -68,8 +68,9 @@
 	}
 }
 
-// configure takes a version over if it is newer, or was written again later.
-func (s *state) configure(c Configuration) bool {
+// applyConfiguration stores a configuration if its version is newer, or if the same version was
+// written again later.
+func (s *state) applyConfiguration(c Configuration) bool {
 	own := s.configuration
 	if c.Version < own.Version || c.Version == own.Version && c.Revision <= own.Revision {
 		return false
@@ -79,13 +80,13 @@
 	return true
 }
 
-// apply takes in changed targets. A removal is believed at once, or at believeAt
-// if that is not zero. It reports whether anything changed.
-func (s *state) apply(entries []Entry[config.Target], believeAt time.Time) bool {
+// apply applies changed targets. A removal takes effect immediately, or at acceptAt if that is
+// not zero. It reports whether anything changed.
+func (s *state) apply(entries []Entry[config.Target], acceptAt time.Time) bool {
 	changed := false
 	for _, entry := range entries {
 		if entry.Gone {
-			changed = s.remove(entry.Key, entry.Revision, believeAt) || changed
+			changed = s.remove(entry.Key, entry.Revision, acceptAt) || changed
 			continue
 		}
 		changed = s.put(entry) || changed
@@ -99,10 +100,10 @@
 		return false
 	}
 	if !exists && entry.Revision.Era() < s.revision.Era() {
-		return false // Nothing would tell of its removal any more.
+		return false // Its removal would never be reported.
 	}
-	next := known{target: entry.Value, revision: entry.Revision}
-	if exists && s.mayBeCopied(entry.Revision, old.revision) && entry.Value.Start == old.target.Start && old.target.Leaving {
+	next := knownTarget{target: entry.Value, revision: entry.Revision}
+	if exists && s.mayPredate(entry.Revision, old.revision) && entry.Value.Start == old.target.Start && old.target.Leaving {
 		next.corrected = !next.target.Leaving
 		next.target.Leaving = true
 	}
@@ -117,8 +118,8 @@
 	return true
 }
 
-func (s *state) remove(key string, revision config.Revision, believeAt time.Time) bool {
-	if u, waits := s.unconfirmed[key]; waits && u.revision < revision {
+func (s *state) remove(key string, revision config.Revision, acceptAt time.Time) bool {
+	if u, pending := s.unconfirmed[key]; pending && u.revision < revision {
 		delete(s.unconfirmed, key)
 		s.gone[key] = removal{revision: revision, start: u.target.Start}
 		s.revision = max(s.revision, revision)
@@ -128,9 +129,9 @@
 	if !exists || revision < old.revision {
 		return false
 	}
-	if !believeAt.IsZero() {
-		if _, waits := s.lapsed[key]; !waits {
-			s.lapsed[key] = lapse{revision: revision, until: believeAt}
+	if !acceptAt.IsZero() {
+		if _, pending := s.lapsed[key]; !pending {
+			s.lapsed[key] = lapse{revision: revision, until: acceptAt}
 		}
 		return false
 	}
@@ -141,9 +142,9 @@
 	return true
 }
 
-// emptiesPool says whether changed entries take away, without notice, most of the
-// targets that a pool has. Then it is likelier that the platform itself stood
-// still, and the entries lapsed meanwhile, than that so many targets left at once.
+// emptiesPool reports whether changed entries remove, without notice, most of the targets of a
+// pool. It is then more likely that the platform itself stalled and the entries lapsed
+// meanwhile than that so many targets left at once.
 func (s *state) emptiesPool(entries []Entry[config.Target]) bool {
 	removed := make(map[string]int)
 	for _, entry := range entries {
@@ -169,9 +170,9 @@
 	return false
 }
 
-// withMissing returns the entries of a whole listing, and a removal for each known
-// target that it lacks: that one was removed by the listing's revision.
-func (s *state) withMissing(listing Listing[config.Target]) []Entry[config.Target] {
+// withRemovals returns the entries of a complete listing, and a removal for each known target
+// that is missing from it: that target was removed no later than the listing's revision.
+func (s *state) withRemovals(listing Listing[config.Target]) []Entry[config.Target] {
 	entries := listing.Entries
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
@@ -185,8 +186,8 @@
 	return entries
 }
 
-// expire believes the removals and entries whose time has come and returns when the next
-// one is due; zero if none is.
+// expire applies the removals and entries that are due and returns when the next one is due;
+// zero if there is none.
 func (s *state) expire(now time.Time) (changed bool, next time.Time) {
 	due := func(until time.Time) bool {
 		if !now.Before(until) {
@@ -199,7 +200,7 @@
 	}
 	for key, l := range s.lapsed {
 		if due(l.until) && s.remove(key, l.revision, time.Time{}) {
-			s.believed++
+			s.unversionedChanges++
 			changed = true
 		}
 	}
@@ -210,15 +211,15 @@
 	}
 	for key, u := range s.unconfirmed {
 		if due(u.until) && s.confirm(key, u) {
-			s.believed++
+			s.unversionedChanges++
 			changed = true
 		}
 	}
 	return changed, next
 }
 
-// snapshot composes what is known; nil before there are a configuration and a
-// listing of the targets.
+// snapshot combines what is known; nil before there are a configuration and a listing of the
+// targets.
 func (s *state) snapshot() *config.Snapshot {
 	if s.configuration.Version == 0 || !s.listed {
 		return nil
@@ -237,6 +238,6 @@
 		Declarations:    declarations,
 		ConfigRevision:  s.operatorRevision,
 		TargetsRevision: s.revision,
-		TargetsLapsed:   s.believed,
+		TargetsLapsed:   s.unversionedChanges,
 	}
 }
--- a/directory/turn.go
+++ b/directory/turn.go
@@ -7,119 +7,122 @@
 )
 
 const (
-	// firstStandBy is how long a router that has just loaded the directory waits for
-	// its peers to say who follows the feeds. Heartbeats come each quarter of a second,
-	// and routers that start together need some time to find each other.
-	firstStandBy = time.Second
-	// standByEach is how long a router waits for each that follows before it, so that
-	// one takes over from one that is lost, and not all.
-	standByEach = 100 * time.Millisecond
-	// mostStandBy bounds that wait: news may be late by it if all before are gone.
-	mostStandBy = time.Second
+	// initialStandBy is how long a router that has just loaded the directory waits for its
+	// peers to report who follows the feeds. Heartbeats are sent every quarter of a second, and
+	// routers that start together need some time to find each other.
+	initialStandBy = time.Second
+	// standByPerRouter is how long a router waits for each router that comes before it in the
+	// order of followers, so that a lost follower is replaced by one router and not by all.
+	standByPerRouter = 100 * time.Millisecond
+	// maxStandBy bounds that wait: changes may be late by it if all routers before are gone.
+	maxStandBy = time.Second
 )
 
-// Turn says whether a router follows the feeds.
+// Turn describes whether a router follows the feeds.
 type Turn struct {
 	Wanted bool
-	// Proves says that this router proves for the others that calls which wait for
-	// changes wait at a platform that answers.
+	// Proves reports that this router is the prover: it verifies for the others that calls
+	// waiting for changes wait at a platform that answers.
 	Proves bool
-	// Ahead counts the routers that would follow before this one and do not yet.
+	// Ahead counts the routers that would follow before this one but do not follow yet.
 	Ahead int
 }
 
-// The feeds, as logs name them.
+// Names of the feeds in logs.
 const (
 	feedConfigurations = "configurations"
 	feedTargets        = "targets"
 )
 
-// turn keeps whether this router follows the feeds. It is safe for concurrent use.
+// turn tracks whether this router follows the feeds. It is safe for concurrent use.
 type turn struct {
-	shared      bool
-	onFollowing func(bool)
-	// telling is held while onFollowing runs, so that it is told in order. mu is not:
-	// onFollowing may wait for the one who sets turns.
-	telling sync.Mutex
+	shared       bool
+	onLiveChange func(bool)
+	// callbackMu is held while onLiveChange runs, so that its calls are in order. mu is not
+	// held then, because onLiveChange may wait for the caller of SetTurn.
+	callbackMu sync.Mutex
 
 	mu     sync.Mutex
 	wanted bool
 	proves bool
-	// begins is when this router may begin to follow; zero until the first load.
-	begins time.Time
-	// changed is closed and replaced when wanted or begins changes.
+	// followFrom is when this router may start to follow; zero until the first load.
+	followFrom time.Time
+	// changed is closed and replaced when wanted or followFrom changes.
 	changed chan struct{}
-	// live holds the feeds that are followed and answer, and told what was told last.
-	live map[string]bool
-	told bool
+	// live holds the feeds that are followed and answer, and reportedLive the state last passed
+	// to onLiveChange.
+	live         map[string]bool
+	reportedLive bool
 }
 
 func newTurn(options Options) *turn {
 	return &turn{
-		shared:      options.Shared,
-		onFollowing: options.OnFollowing,
-		wanted:      true,
-		proves:      true,
-		changed:     make(chan struct{}),
-		live:        make(map[string]bool),
+		shared:       options.Shared,
+		onLiveChange: options.OnFollowing,
+		wanted:       true,
+		proves:       true,
+		changed:      make(chan struct{}),
+		live:         make(map[string]bool),
 	}
 }
 
-// SetTurn says whether this router follows the feeds from now on. One that is to prove its
-// calls makes them anew: who did so before was lost, maybe with a silence of the platform.
+// SetTurn sets whether this router follows the feeds from now on. A router that becomes the
+// prover reissues its calls, because the previous prover was lost, possibly together with calls
+// that the platform did not answer.
 func (f *Follower) SetTurn(to Turn) {
 	if f.turn.set(to) {
 		f.Reprobe()
 	}
 }
 
-// set reports whether this router has to prove its calls from now on.
-func (t *turn) set(to Turn) (mustProve bool) {
+// set reports whether this router has to verify its calls from now on.
+func (t *turn) set(to Turn) (mustVerify bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	mustProve = to.Proves && !t.proves
+	mustVerify = to.Proves && !t.proves
 	t.proves = to.Proves
 	t.setWanted(to)
-	return mustProve
+	return mustVerify
 }
 
-// setWanted needs t.mu.
+// setWanted updates wanted and followFrom. t.mu must be held.
 func (t *turn) setWanted(to Turn) {
 	if t.wanted == to.Wanted {
 		return
 	}
 	t.wanted = to.Wanted
-	t.begins = time.Now().Add(min(mostStandBy, time.Duration(to.Ahead)*standByEach))
+	t.followFrom = time.Now().Add(min(maxStandBy, time.Duration(to.Ahead)*standByPerRouter))
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// standBy waits until it is this router's turn to follow a feed. It reports whether it
-// was not before, so that the feed has to be loaded anew.
-func (t *turn) standBy(ctx context.Context, feed string) (wasOthers bool) {
+// standBy waits until it is this router's turn to follow a feed. It reports whether other
+// routers followed it meanwhile, so that the feed has to be loaded again.
+func (t *turn) standBy(ctx context.Context, feed string) (stoodBy bool) {
 	for t.shared && ctx.Err() == nil {
-		wanted, pause, changed := t.state()
+		wanted, pause, changed := t.followState()
 		if wanted && pause <= 0 {
 			break
 		}
 		if !wanted {
-			wasOthers = true
+			stoodBy = true
 			t.setLive(feed, false)
 			pause = foreverPause
 		}
 		awaitChange(ctx, changed, pause)
 	}
-	return wasOthers
+	return stoodBy
 }
 
-// isWanted says whether this router is to follow, until changed is closed.
-func (t *turn) isWanted() (wanted bool, changed <-chan struct{}) {
+// mustFollow reports whether this router has to follow; the result is valid until changed is
+// closed.
+func (t *turn) mustFollow() (wanted bool, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.wanted || !t.shared, t.changed
 }
 
-// isProver says whether this router proves its calls for others.
+// isProver reports whether this router verifies its calls for the others.
 func (t *turn) isProver() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -130,7 +133,7 @@
 func (t *turn) isLiveProver() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.proves && t.told
+	return t.proves && t.reportedLive
 }
 
 // foreverPause is a pause that only a change ends.
@@ -147,32 +150,32 @@
 	}
 }
 
-// state returns whether this router is to follow, and how long it waits before.
-func (t *turn) state() (wanted bool, pause time.Duration, changed <-chan struct{}) {
+// followState returns whether this router has to follow, and how long it waits before it does.
+func (t *turn) followState() (wanted bool, pause time.Duration, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.begins.IsZero() {
-		t.begins = time.Now().Add(firstStandBy)
+	if t.followFrom.IsZero() {
+		t.followFrom = time.Now().Add(initialStandBy)
 	}
-	return t.wanted, time.Until(t.begins), t.changed
+	return t.wanted, time.Until(t.followFrom), t.changed
 }
 
-// setLive notes whether a feed is followed and answers.
+// setLive records whether a feed is followed and answers.
 func (t *turn) setLive(feed string, live bool) {
-	t.telling.Lock()
-	defer t.telling.Unlock()
-	if both, changed := t.noteLive(feed, live); changed && t.onFollowing != nil {
-		t.onFollowing(both)
+	t.callbackMu.Lock()
+	defer t.callbackMu.Unlock()
+	if both, changed := t.updateLive(feed, live); changed && t.onLiveChange != nil {
+		t.onLiveChange(both)
 	}
 }
 
-// noteLive returns whether both feeds are live, and whether that is news.
-func (t *turn) noteLive(feed string, live bool) (both, changed bool) {
+// updateLive returns whether both feeds are live, and whether that has changed.
+func (t *turn) updateLive(feed string, live bool) (both, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.live[feed] = live
 	both = t.live[feedConfigurations] && t.live[feedTargets]
-	changed = both != t.told
-	t.told = both
+	changed = both != t.reportedLive
+	t.reportedLive = both
 	return both, changed
 }
--- a/directory/turn_test.go
+++ b/directory/turn_test.go
@@ -8,11 +8,10 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// startShared starts a follower that shares the feeds with others, with the directory
-// loaded.
-func startShared(t *testing.T) *scene {
+// startShared starts a follower that shares the feeds with others and has loaded the directory.
+func startShared(t *testing.T) *harness {
 	t.Helper()
-	s := &scene{configurations: newFeed[Directive](), targets: newFeed[config.Target](), shared: true}
+	s := &harness{configurations: newFeed[Directive](), targets: newFeed[config.Target](), shared: true}
 	s.populate()
 	s.run(t)
 	synctest.Wait()
@@ -22,72 +21,73 @@
 	return s
 }
 
-// TestStandsByWhileOthersFollow: a router makes no call while others follow the feeds,
-// and knows what changed meanwhile once its turn comes.
+// TestStandsByWhileOthersFollow checks that a router makes no call while others follow the
+// feeds, and knows what changed meanwhile once its turn comes.
 func TestStandsByWhileOthersFollow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startShared(t)
 		s.follower.SetTurn(Turn{})
 		time.Sleep(time.Minute)
-		s.targets.set(gone("a"))
+		s.targets.set(removalOf("a"))
 		if !s.serves("a") || s.live {
 			t.Errorf("follows although others do, live %v", s.live)
 		}
 		loads := s.targets.loads
 		s.follower.SetTurn(Turn{Wanted: true, Ahead: 2})
-		time.Sleep(3 * standByEach)
+		time.Sleep(3 * standByPerRouter)
 		if s.serves("a") || !s.live || s.targets.loads != loads+1 {
 			t.Errorf("does not follow, live %v, %d loads", s.live, s.targets.loads-loads)
 		}
-		s.targets.set(gone("b"))
+		s.targets.set(removalOf("b"))
 		if s.serves("b") {
 			t.Error("a change was not followed")
 		}
 	})
 }
 
-// TestFollowsByItselfIfNobodyTellsOtherwise: soon after its start a router follows the
-// feeds, with what changed since its load.
-func TestFollowsByItselfIfNobodyTellsOtherwise(t *testing.T) {
+// TestFollowsWithoutTurn checks that soon after its start a router follows the feeds on its
+// own, including what changed since its load.
+func TestFollowsWithoutTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startShared(t)
-		s.targets.set(gone("a"))
-		time.Sleep(firstStandBy + time.Millisecond)
+		s.targets.set(removalOf("a"))
+		time.Sleep(initialStandBy + time.Millisecond)
 		if s.serves("a") || !s.live {
 			t.Errorf("does not follow, live %v", s.live)
 		}
 	})
 }
 
-// TestTellsThatItsFeedIsLost: others take over then, and no longer than it is lost.
-func TestTellsThatItsFeedIsLost(t *testing.T) {
+// TestReportsLostFeed checks that a router reports its lost feed, so that others take over, and
+// for no longer than the feed is lost.
+func TestReportsLostFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startShared(t)
-		time.Sleep(2 * firstStandBy)
+		time.Sleep(2 * initialStandBy)
 		s.targets.setDown(true)
 		synctest.Wait()
 		if s.live {
 			t.Error("follows a feed that is down")
 		}
 		s.targets.setDown(false)
-		time.Sleep(2 * longestPause)
+		time.Sleep(2 * maxRetryPause)
 		if !s.live {
-			t.Error("does not tell that its feeds answer again")
+			t.Error("does not report that its feeds answer again")
 		}
 	})
 }
 
-// TestTurnChangesWhileItIsTold: a turn can be set while OnFollowing runs, as it waits
-// for the one who sets turns.
-func TestTurnChangesWhileItIsTold(t *testing.T) {
+// TestSetTurnDuringCallback guards against a deadlock: a turn can be set while OnLiveChange
+// runs, because OnLiveChange may wait for the caller of SetTurn.
+func TestSetTurnDuringCallback(t *testing.T) {
 	turns := newTurn(Options{Shared: true})
-	told, turnSet := make(chan struct{}), make(chan struct{})
-	turns.onFollowing = func(bool) { close(told); <-turnSet }
+	inCallback, turnSet := make(chan struct{}), make(chan struct{})
+	turns.onLiveChange = func(bool) { close(inCallback); <-turnSet }
 	go func() {
 		turns.setLive(feedConfigurations, true)
 		turns.setLive(feedTargets, true)
 	}()
-	<-told
+	<-inCallback
 	go func() {
 		turns.set(Turn{})
 		close(turnSet)
@@ -95,6 +95,6 @@
 	select {
 	case <-turnSet:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the turn cannot be set while OnFollowing runs")
+		t.Fatal("the turn cannot be set while OnLiveChange runs")
 	}
 }
