--- a/targets/bench_test.go
+++ b/targets/bench_test.go
@@ -23,8 +23,8 @@
 	benchBody   = []byte(`{"model":"m","prompt":"` + strings.Repeat("p", 1000) + `"}`)
 )
 
-// replayServer answers every request that ends with benchBody by the same
-// bytes. It allocates nothing per request.
+// replayServer answers every request that ends with benchBody with the same bytes. It allocates
+// nothing per request.
 func replayServer(b *testing.B, answer []byte) string {
 	return scriptServer(b, func(c net.Conn) {
 		buffer := make([]byte, 16<<10)
@@ -46,8 +46,8 @@
 	})
 }
 
-// drainParts reads as a relay does and returns the number of bytes.
-func drainParts(b *testing.B, r io.Reader, buffer []byte) int {
+// readAll reads as a relay does and returns the number of bytes.
+func readAll(b *testing.B, r io.Reader, buffer []byte) int {
 	total := 0
 	for {
 		n, err := r.Read(buffer)
@@ -77,16 +77,16 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if n := drainParts(b, resp.Body, buffer); n != want {
+		if n := readAll(b, resp.Body, buffer); n != want {
 			b.Fatalf("%d bytes", n)
 		}
 		resp.Body.Close()
 	}
 }
 
-// benchFloor is the same exchange over a bare socket: what a call costs
-// without the client.
-func benchFloor(b *testing.B, answer []byte) {
+// benchBareSocket runs the same exchange over a bare socket: the cost of a call without the
+// client.
+func benchBareSocket(b *testing.B, answer []byte) {
 	c, err := net.Dial("tcp", replayServer(b, answer))
 	if err != nil {
 		b.Fatal(err)
@@ -109,21 +109,20 @@
 	}
 }
 
-// BenchmarkWhole is one request with a 500-byte answer on loopback.
+// BenchmarkWhole measures one request with a 500-byte answer over loopback.
 func BenchmarkWhole(b *testing.B) {
 	b.Run("client", func(b *testing.B) { benchClient(b, benchWhole, 500) })
-	b.Run("floor", func(b *testing.B) { benchFloor(b, benchWhole) })
+	b.Run("floor", func(b *testing.B) { benchBareSocket(b, benchWhole) })
 }
 
-// BenchmarkStream is one request with an answer of 256 chunks on loopback;
-// divide by 256 for the cost of a token that arrives with others.
+// BenchmarkStream measures one request with an answer of 256 chunks over loopback; divide by
+// 256 for the cost of a token that arrives together with others.
 func BenchmarkStream(b *testing.B) {
 	b.Run("client", func(b *testing.B) { benchClient(b, benchStream, benchTokens*len(benchEvent)) })
-	b.Run("floor", func(b *testing.B) { benchFloor(b, benchStream) })
+	b.Run("floor", func(b *testing.B) { benchBareSocket(b, benchStream) })
 }
 
-// tokenServer begins a stream on each connection and sends one token for each
-// value on next.
+// tokenServer starts a stream on each connection and sends one token for each value on next.
 func tokenServer(b *testing.B) (address string, next chan struct{}) {
 	next = make(chan struct{})
 	b.Cleanup(func() { close(next) })
@@ -151,7 +150,7 @@
 	}
 }
 
-// BenchmarkToken is one token that arrives alone and is read alone.
+// BenchmarkToken measures one token that arrives and is read on its own.
 func BenchmarkToken(b *testing.B) {
 	b.Run("client", func(b *testing.B) {
 		address, next := tokenServer(b)
--- a/targets/body.go
+++ b/targets/body.go
@@ -14,27 +14,27 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// Content lengths as fasthttp reports them when there is no number.
+// Content lengths that fasthttp reports when the header does not give a number.
 const (
 	lengthChunked  = -1
 	lengthUntilEOF = -2
 )
 
-// errUnframed says that the answer has neither a length nor chunks: its end
-// cannot be told from a broken connection.
+// errUnframed reports that the answer has neither a length nor chunks: its end cannot be told
+// from a broken connection.
 var errUnframed = errors.New("target: answer without framing")
 
-// body streams an answer. Read and Close may be called from different
-// goroutines; Read itself from one at a time.
+// body streams an answer. Read and Close may be called from different goroutines; Read itself
+// from one at a time.
 type body struct {
 	ex        *exchange
 	reader    io.Reader
 	chunked   bool
 	unframed  bool
 	keepAlive bool
-	// left counts the bytes still to come, if not chunked.
-	left int64
-	// err is the sticky end: io.EOF after a whole answer.
+	// remaining is the number of bytes still to come, if not chunked.
+	remaining int64
+	// err is the sticky error: io.EOF after a complete answer.
 	err error
 
 	mu       sync.Mutex
@@ -43,22 +43,22 @@
 
 func newBody(ex *exchange, method string, header *fasthttp.ResponseHeader) *body {
 	b := &body{ex: ex, reader: ex.conn.reader, keepAlive: !header.ConnectionClose()}
-	ex.conn.readTimeout = cmp.Or(ex.stall, ex.client.options.StallTimeout)
+	ex.conn.readTimeout = cmp.Or(ex.stallTimeout, ex.client.options.StallTimeout)
 	ex.conn.readDeadline = noDeadline
 	length := header.ContentLength()
 	switch {
 	case method == fasthttp.MethodHead || hasNoBody(header.StatusCode()):
-		b.left = 0
+		b.remaining = 0
 	case length == lengthChunked:
 		b.chunked = true
 		b.reader = httputil.NewChunkedReader(ex.conn.reader)
 	case length == lengthUntilEOF:
 		b.unframed = true
 	default:
-		b.left = int64(length)
+		b.remaining = int64(length)
 	}
-	if !b.chunked && !b.unframed && b.left == 0 {
-		b.end(io.EOF, b.keepAlive)
+	if !b.chunked && !b.unframed && b.remaining == 0 {
+		b.finish(io.EOF, b.keepAlive)
 	}
 	return b
 }
@@ -86,17 +86,17 @@
 }
 
 func (b *body) readCounted(p []byte) (int, error) {
-	if int64(len(p)) > b.left {
-		p = p[:b.left]
+	if int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.reader.Read(p)
-	b.left -= int64(n)
-	if b.left == 0 {
-		b.end(io.EOF, b.keepAlive)
+	b.remaining -= int64(n)
+	if b.remaining == 0 {
+		b.finish(io.EOF, b.keepAlive)
 		return n, io.EOF
 	}
 	if err != nil {
-		return n, b.broken(err)
+		return n, b.fail(err)
 	}
 	return n, nil
 }
@@ -107,12 +107,12 @@
 		return n, nil
 	}
 	if err != io.EOF {
-		return n, b.broken(err)
+		return n, b.fail(err)
 	}
 	if err := skipTrailer(b.ex.conn.reader); err != nil {
-		return n, b.broken(err)
+		return n, b.fail(err)
 	}
-	b.end(io.EOF, b.keepAlive)
+	b.finish(io.EOF, b.keepAlive)
 	return n, io.EOF
 }
 
@@ -122,14 +122,14 @@
 		return n, nil
 	}
 	if err != io.EOF {
-		return n, b.broken(err)
+		return n, b.fail(err)
 	}
 	if b.ex.client.options.Dialect.UnframedEnds {
-		b.end(io.EOF, false)
+		b.finish(io.EOF, false)
 		return n, io.EOF
 	}
-	e := b.ex.counters.fail(reasonUnframed, result.StreamBroken, result.RanUnknown, errUnframed)
-	b.end(e, false)
+	e := b.ex.counters.newError(reasonUnframed, result.StreamBroken, result.RanUnknown, errUnframed)
+	b.finish(e, false)
 	return n, e
 }
 
@@ -146,29 +146,29 @@
 	}
 }
 
-// broken ends the body with a typed error that is not io.EOF.
-func (b *body) broken(err error) error {
+// fail ends the body with a typed error that is not io.EOF.
+func (b *body) fail(err error) error {
 	if b.closed() {
-		b.err = errClosedBody
+		b.err = errBodyClosed
 		return b.err
 	}
 	typed := b.ex.bodyError(err)
-	b.end(typed, false)
+	b.finish(typed, false)
 	return typed
 }
 
-// discardBuffered ends a body whose every byte is already in the buffer.
+// discardBuffered ends a body whose remaining bytes are all in the buffer.
 func (b *body) discardBuffered() {
 	if b.err != nil {
 		return
 	}
-	_, _ = b.ex.conn.reader.Discard(int(b.left))
-	b.left = 0
-	b.end(io.EOF, b.keepAlive)
+	_, _ = b.ex.conn.reader.Discard(int(b.remaining))
+	b.remaining = 0
+	b.finish(io.EOF, b.keepAlive)
 }
 
-// errClosedBody says that Read was called after Close.
-var errClosedBody = errors.New("target: answer was closed")
+// errBodyClosed reports that Read was called after Close.
+var errBodyClosed = errors.New("target: answer was closed")
 
 func (b *body) closed() bool {
 	b.mu.Lock()
@@ -176,8 +176,8 @@
 	return b.finished
 }
 
-// end makes err the sticky end and gives the connection back or closes it.
-func (b *body) end(err error, reusable bool) {
+// finish makes err the sticky error and returns the connection to the pool or closes it.
+func (b *body) finish(err error, reusable bool) {
 	b.err = err
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -192,8 +192,8 @@
 	b.ex.discard()
 }
 
-// Close ends the answer. Before the end it closes the connection, which
-// cancels the run. It may be called more than once.
+// Close ends the answer. Before the end of the body it closes the connection, which cancels the
+// run. It may be called more than once.
 func (b *body) Close() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -201,13 +201,13 @@
 		return nil
 	}
 	b.finished = true
-	b.ex.counters.failed(reasonClosedUnread)
+	b.ex.counters.countFailure(reasonClosedUnread)
 	b.ex.discard()
 	return nil
 }
 
-// isClosed says whether the far end closed or reset the connection.
-func isClosed(err error) bool {
+// isClosedByPeer reports whether the remote end closed or reset the connection.
+func isClosedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/targets/callergone_test.go
+++ b/targets/callergone_test.go
@@ -16,7 +16,7 @@
 	"github.com/walnutcove/walnutcove/dialect"
 )
 
-// closeCounter counts how often a connection was closed.
+// closeCounter counts how often a connection is closed.
 type closeCounter struct {
 	net.Conn
 	closed *atomic.Int64
@@ -28,19 +28,19 @@
 	return c.Conn.Close()
 }
 
-// callerHook is what a caller's watcher holds of a call.
-type callerHook struct {
+// callerGoneHook holds the function that a call registers with Request.OnCallerGone.
+type callerGoneHook struct {
 	mu sync.Mutex
 	f  func()
-	// set is closed with the first function.
-	set chan struct{}
+	// registered is closed when the first function is registered.
+	registered chan struct{}
 }
 
-func (h *callerHook) add(f func()) (stop func() bool) {
+func (h *callerGoneHook) add(f func()) (stop func() bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.f = f
-	close(h.set)
+	close(h.registered)
 	return func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -50,8 +50,8 @@
 	}
 }
 
-// run runs the function that is held, if any.
-func (h *callerHook) run() {
+// run runs the registered function, if any.
+func (h *callerGoneHook) run() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.f != nil {
@@ -60,11 +60,11 @@
 	}
 }
 
-// TestWhoFindsTheCallerGoneEndsTheRun: the connection to the target is closed by the
-// time that the caller's watcher has told, with no goroutine in between that would have
-// to wait for a processor that is busy; once the answer was read whole, telling closes
-// nothing, and the connection serves the next call.
-func TestWhoFindsTheCallerGoneEndsTheRun(t *testing.T) {
+// TestCallerGoneHookClosesConnection guards against a run that goes on after its caller has
+// gone: the hook itself closes the connection to the target, with no goroutine in between that
+// would have to wait for a busy CPU. Once the answer was read completely, the hook closes
+// nothing, and the connection is reused for the next call.
+func TestCallerGoneHookClosesConnection(t *testing.T) {
 	hang := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/hang" {
@@ -87,35 +87,35 @@
 			t.Error(err)
 		}
 	}()
-	call := func(path string, hook *callerHook) (*Response, error) {
+	call := func(path string, hook *callerGoneHook) (*Response, error) {
 		return client.Do(context.Background(), Request{
 			ID: "1", Address: server.Listener.Addr().String(), Method: http.MethodPost, Path: path, OnCallerGone: hook.add,
 		})
 	}
 
-	hung := &callerHook{set: make(chan struct{})}
+	hung := &callerGoneHook{registered: make(chan struct{})}
 	ended := make(chan error, 1)
 	go func() {
 		_, err := call("/hang", hung)
 		ended <- err
 	}()
-	<-hung.set
+	<-hung.registered
 	hung.run()
 	if closed.Load() != 1 {
-		t.Error("the connection is open after the watcher has told that the caller is gone")
+		t.Error("the connection is still open after the hook for a caller that is gone")
 	}
 	select {
 	case err := <-ended:
 		if err == nil {
-			t.Error("a call that was cut has an answer")
+			t.Error("a call whose connection was closed has an answer")
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the call goes on")
+		t.Fatal("the call did not end")
 	}
 
 	before := closed.Load()
 	for range 2 {
-		hook := &callerHook{set: make(chan struct{})}
+		hook := &callerGoneHook{registered: make(chan struct{})}
 		answer, err := call("/", hook)
 		if err != nil {
 			t.Fatal(err)
@@ -127,6 +127,6 @@
 		hook.run()
 	}
 	if closed.Load() != before || dialled.Load() != 2 {
-		t.Errorf("%d connections closed and %d opened by two calls whose answers were whole", closed.Load()-before, dialled.Load()-1)
+		t.Errorf("%d connections closed and %d opened by two calls with complete answers", closed.Load()-before, dialled.Load()-1)
 	}
 }
--- a/targets/callerleft_test.go
+++ b/targets/callerleft_test.go
@@ -16,9 +16,9 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// TestNothingIsSentForACallerThatLeftMeanwhile: a caller that leaves while a connection
-// is long in coming gets no run.
-func TestNothingIsSentForACallerThatLeftMeanwhile(t *testing.T) {
+// TestNoRequestForCallerThatLeft checks that no request is sent for a caller that leaves while
+// the connection takes long to open.
+func TestNoRequestForCallerThatLeft(t *testing.T) {
 	var runs atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	defer server.Close()
@@ -28,8 +28,8 @@
 		left  bool
 		sent  bool
 	}{
-		{"slow connection, caller left", 2 * longWait, true, false},
-		{"slow connection, caller there", 2 * longWait, false, true},
+		{"slow connection, caller left", 2 * callerCheckDelay, true, false},
+		{"slow connection, caller there", 2 * callerCheckDelay, false, true},
 		{"quick connection", 0, true, true},
 	} {
 		client := NewHTTPClient(Options{Dialect: dialect.Own, Metrics: metrics.NewSet(), Dial: func(ctx context.Context, address string) (net.Conn, error) {
--- a/targets/conn.go
+++ b/targets/conn.go
@@ -13,47 +13,46 @@
 	"github.com/walnutcove/walnutcove/targets/connstate"
 )
 
-// Buffer sizes of one call, in bytes. An answer's head must fit into the read
-// buffer.
+// Buffer sizes of one call, in bytes. The head of an answer must fit into the read buffer.
 const (
 	readBufferBytes  = 16 << 10
 	writeBufferBytes = 4 << 10
 )
 
-// codec is the memory that one call needs. Unused connections have none, so
-// that keeping many of them open is cheap.
-type codec struct {
+// callBuffers is the memory that one call needs. Idle connections have none, so that keeping
+// many of them open is cheap.
+type callBuffers struct {
 	reader  *bufio.Reader
 	writer  *bufio.Writer
 	request fasthttp.RequestHeader
 	answer  fasthttp.ResponseHeader
 }
 
-var codecs = sync.Pool{New: func() any {
-	return &codec{
+var callBufferPool = sync.Pool{New: func() any {
+	return &callBuffers{
 		reader: bufio.NewReaderSize(nil, readBufferBytes),
 		writer: bufio.NewWriterSize(nil, writeBufferBytes),
 	}
 }}
 
-// conn is one connection to a target. It counts the bytes handed to the
-// system, sets the deadline of each read, and belongs to one call at a time.
+// conn is one connection to a target. It counts the bytes handed to the operating system, sets
+// the deadline of each read, and belongs to one call at a time.
 type conn struct {
 	net.Conn
-	// codec is nil while the connection is unused.
-	*codec
+	// callBuffers is nil while the connection is idle.
+	*callBuffers
 	address string
 	checker *connstate.Checker
-	// written counts the bytes of the current request that the system took.
+	// written counts the bytes of the current request that the operating system accepted.
 	written int64
-	// readDeadline bounds all reads of an answer's head; noDeadline after it.
+	// readDeadline bounds all reads of the head of an answer; noDeadline after it.
 	readDeadline time.Time
-	// readTimeout bounds each read of an answer's body.
+	// readTimeout bounds each read of the body of an answer.
 	readTimeout time.Duration
-	// idleSince is when the connection became unused.
+	// idleSince is when the connection became idle.
 	idleSince time.Time
-	// idleLimit is how long the target keeps it unused, as it said last; zero:
-	// it did not say.
+	// idleLimit is how long the target keeps the connection idle, as of its last answer; zero
+	// if it did not say.
 	idleLimit time.Duration
 }
 
@@ -61,28 +60,29 @@
 	return &conn{Conn: c, address: address, checker: connstate.NewChecker(c)}
 }
 
-// attach gives the connection the memory for a call.
+// attach gives the connection the buffers for a call.
 func (c *conn) attach() {
-	c.codec = codecs.Get().(*codec)
+	c.callBuffers = callBufferPool.Get().(*callBuffers)
 	c.reader.Reset(c)
 	c.writer.Reset(c)
 }
 
-// detach takes it back. No read or write may be in progress.
+// detach takes the buffers back. No read or write may be in progress.
 func (c *conn) detach() {
 	c.reader.Reset(nil)
 	c.writer.Reset(nil)
-	codecs.Put(c.codec)
-	c.codec = nil
+	callBufferPool.Put(c.callBuffers)
+	c.callBuffers = nil
 }
 
-// keepMargin is how much sooner than the target a connection is given up: a
-// request that crosses the target's close may be lost, and then nobody knows
-// whether it ran. It is over the usual delay of a network and a timer.
-const keepMargin = 300 * time.Millisecond
+// idleMargin is how much earlier than the target the client stops using an idle connection: a
+// request that crosses the target's close may be lost, and then nobody knows whether it ran.
+// The margin exceeds the usual delay of a network and a timer.
+const idleMargin = 300 * time.Millisecond
 
-// keepFor notes how long the target says that it keeps the connection unused.
-func (c *conn) keepFor(header *fasthttp.ResponseHeader) {
+// readKeepAlive records how long the target keeps the connection idle, as it says in its
+// answer.
+func (c *conn) readKeepAlive(header *fasthttp.ResponseHeader) {
 	for parameter := range strings.SplitSeq(string(header.Peek(fasthttp.HeaderKeepAlive)), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 		seconds, err := strconv.Atoi(value)
@@ -92,12 +92,12 @@
 	}
 }
 
-// isStale says whether the target may be about to close the unused connection.
+// isStale reports whether the target may be about to close the idle connection.
 func (c *conn) isStale(now time.Time) bool {
-	return c.idleLimit > 0 && now.Sub(c.idleSince) > c.idleLimit-keepMargin
+	return c.idleLimit > 0 && now.Sub(c.idleSince) > c.idleLimit-idleMargin
 }
 
-// noDeadline stands for "no fixed time".
+// noDeadline means that there is no fixed time.
 var noDeadline time.Time
 
 // Read reads from the network until readDeadline or within readTimeout.
@@ -113,18 +113,18 @@
 	if n > 0 || !isTimeout(err) {
 		return n, err
 	}
-	// This process may have been late itself: what arrived in time is still there.
-	if err := c.Conn.SetReadDeadline(time.Now().Add(lateLook)); err != nil {
+	// This process may have been late itself: data that arrived in time can still be read.
+	if err := c.Conn.SetReadDeadline(time.Now().Add(finalReadTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
 }
 
-// lateLook is how long a read whose time is up looks once more. On a busy router a
-// target was taken for silent whose answer lay unread for a second.
-const lateLook = 10 * time.Millisecond
+// finalReadTimeout bounds one more read after the deadline has passed. On a busy router, a
+// target was taken for silent although its answer had been waiting unread for a second.
+const finalReadTimeout = 10 * time.Millisecond
 
-// Write writes to the network and counts.
+// Write writes to the network and counts the bytes.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.written += int64(n)
--- a/targets/connectdeadline_test.go
+++ b/targets/connectdeadline_test.go
@@ -10,10 +10,10 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// TestConnectionIsWaitedForUntilTheDeadline guards against a request that waits for its
-// connection, and is then sent, when its caller's time is up: the run of a non-idempotent
-// request has no deadline of its own.
-func TestConnectionIsWaitedForUntilTheDeadline(t *testing.T) {
+// TestConnectWaitsUntilDeadline guards against a request that waits for its connection past its
+// caller's deadline and is then sent: the run of a non-idempotent request has no deadline of
+// its own.
+func TestConnectWaitsUntilDeadline(t *testing.T) {
 	const deadline = 50 * time.Millisecond
 	client := NewHTTPClient(Options{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 		<-ctx.Done()
--- a/targets/counters.go
+++ b/targets/counters.go
@@ -9,7 +9,7 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// reason is why a call failed, as it stands in the counter's label.
+// reason is why a call failed, as written in the counter's label.
 type reason string
 
 // The reasons of walnut_target_failures_total, walnut_load_poll_failures_total
@@ -31,9 +31,9 @@
 	reasonUnframed         reason = "unframed"
 	reasonStalled          reason = "stalled"
 	reasonClosedUnread     reason = "closed_unread"
-	// reasonStray counts answers of other requests that were passed over.
+	// reasonStray counts answers to other requests that were skipped.
 	reasonStray reason = "stray_answer"
-	// reasonUnsealed counts successes without the targets' seal.
+	// reasonUnsealed counts successes without the targets' seal header.
 	reasonUnsealed reason = "unsealed"
 )
 
@@ -44,8 +44,8 @@
 	reasonUnframed, reasonStalled, reasonClosedUnread, reasonStray, reasonUnsealed,
 }
 
-// counters count calls and their failures: those of requests, of load polls and
-// of orders are kept apart.
+// counters count calls and their failures. Requests, load polls and orders have separate
+// counters.
 type counters struct {
 	calls    *metrics.Counter
 	failures map[reason]*metrics.Counter
@@ -63,18 +63,18 @@
 	return c
 }
 
-// failed counts a failure.
-func (c *counters) failed(r reason) { c.failures[r].Inc() }
+// countFailure counts a failure.
+func (c *counters) countFailure(r reason) { c.failures[r].Inc() }
 
-// fail counts a failure and returns its typed error.
-func (c *counters) fail(r reason, code result.Code, ran result.Ran, cause error) *result.Error {
-	c.failed(r)
+// newError counts a failure and returns its typed error.
+func (c *counters) newError(r reason, code result.Code, ran result.Ran, cause error) *result.Error {
+	c.countFailure(r)
 	e := result.Wrap(code, hideEOF(cause), "%s", code.Info().Meaning)
 	e.Ran = ran
 	return e
 }
 
-// noticeCounters count the answers that say something of their target.
+// noticeCounters count the answers in which a target announces something about itself.
 type noticeCounters struct {
 	leaving, holdOff *metrics.Counter
 }
@@ -86,11 +86,11 @@
 	}
 }
 
-func (c *noticeCounters) count(said notice.Notice) {
-	if said.Leaving {
+func (c *noticeCounters) count(n notice.Notice) {
+	if n.Leaving {
 		c.leaving.Inc()
 	}
-	if said.HoldOff > 0 {
+	if n.HoldOff > 0 {
 		c.holdOff.Inc()
 	}
 }
--- a/targets/exchange.go
+++ b/targets/exchange.go
@@ -13,8 +13,8 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// earlyAnswerTimeout bounds the look for an answer to a request that could not
-// be sent whole.
+// earlyAnswerTimeout bounds the wait for an answer to a request that could not be sent
+// completely.
 const earlyAnswerTimeout = 50 * time.Millisecond
 
 // exchange is one request and its answer on one connection.
@@ -23,22 +23,22 @@
 	counters *counters
 	ctx      context.Context
 	conn     *conn
-	// unwatch ends the closing of the connection by ctx; nil if ctx never ends.
-	unwatch func() bool
-	// unhook does the same for the closing by who found that the caller is gone; nil
-	// if nobody tells.
-	unhook func() bool
-	// listing is that of when the request was sent.
+	// stopContextClose stops ctx from closing the connection; nil if ctx never ends.
+	stopContextClose func() bool
+	// stopCallerHook does the same for the hook that closes the connection when the caller is
+	// found to be gone; nil if there is none.
+	stopCallerHook func() bool
+	// listing is the listing of targets when the request was sent.
 	listing Listing
-	// spoiled says that the request was not sent whole.
-	spoiled bool
-	// stall is the request's Stall.
-	stall time.Duration
-	// settle lets the connection be given back or closed only once.
-	settle sync.Once
+	// partlySent reports that the request was not sent completely.
+	partlySent bool
+	// stallTimeout is the request's StallTimeout.
+	stallTimeout time.Duration
+	// releaseOnce ensures that the connection is returned or closed only once.
+	releaseOnce sync.Once
 }
 
-// run sends the request and reads the answer's head.
+// run sends the request and reads the head of the answer.
 func (ex *exchange) run(req *Request) (*Response, error) {
 	deadline := time.Now().Add(cmp.Or(req.FirstByte, ex.client.options.FirstByteTimeout))
 	ex.conn.written = 0
@@ -58,10 +58,10 @@
 	return ex.answer(req)
 }
 
-// answeredEarly says whether the target answered without taking the whole
-// request, as it may to refuse it. The connection is not used again.
+// answeredEarly reports whether the target answered before it accepted the whole request, as it
+// may do to refuse it. The connection is not reused.
 func (ex *exchange) answeredEarly() bool {
-	ex.spoiled = true
+	ex.partlySent = true
 	if ex.conn.written == 0 || ex.ctx.Err() != nil {
 		return false
 	}
@@ -69,7 +69,7 @@
 	return readHead(ex.conn) == nil
 }
 
-// readHead reads the answer's head and passes over interim answers (1xx).
+// readHead reads the head of the answer and skips interim answers (1xx).
 func readHead(cn *conn) error {
 	for {
 		if err := cn.answer.Read(cn.reader); err != nil {
@@ -81,28 +81,28 @@
 	}
 }
 
-// maxStrays bounds the answers to earlier requests that are passed over, and
-// maxStrayBytes the body of each.
+// maxStrays bounds the answers to earlier requests that are skipped, and maxStrayBytes the body
+// of each.
 const (
 	maxStrays     = 3
 	maxStrayBytes = 1 << 20
 )
 
-// errStray says that the connection holds an answer that belongs to another
-// request and whose end is not known.
+// errStray reports that the connection holds an answer that belongs to another request and
+// whose end is not known.
 var errStray = errors.New("target: answer of another request")
 
-// readOwnHead reads the head of the answer to this request. Where targets repeat
-// the id, late answers to earlier requests on the connection are passed over.
+// readOwnHead reads the head of the answer to this request. If targets echo the request id,
+// late answers to earlier requests on the connection are skipped.
 func (ex *exchange) readOwnHead(req *Request) error {
 	for range maxStrays {
 		if err := readHead(ex.conn); err != nil {
 			return err
 		}
-		if ex.isOwn(req) {
+		if ex.isOwnAnswer(req) {
 			return nil
 		}
-		ex.counters.failed(reasonStray)
+		ex.counters.countFailure(reasonStray)
 		if err := ex.skipStray(); err != nil {
 			return err
 		}
@@ -110,8 +110,8 @@
 	return errStray
 }
 
-// isOwn says whether the head that was read belongs to the request.
-func (ex *exchange) isOwn(req *Request) bool {
+// isOwnAnswer reports whether the head that was read belongs to the request.
+func (ex *exchange) isOwnAnswer(req *Request) bool {
 	d := ex.client.options.Dialect
 	if !d.EchoesID || req.ID == "" {
 		return true
@@ -133,47 +133,47 @@
 	return err
 }
 
-// answer turns the head into a Response, or into an error if the target
-// refused the request before running it.
+// answer turns the head into a Response, or into an error if the target refused the request
+// before running it.
 func (ex *exchange) answer(req *Request) (*Response, error) {
 	header := &ex.conn.answer
 	resp := &Response{Status: header.StatusCode(), Header: copyHeader(header)}
-	ex.conn.keepFor(header)
-	ex.notice(req, resp)
+	ex.conn.readKeepAlive(header)
+	ex.reportNotice(req, resp)
 	if ex.client.options.Dialect.RefusedNotRun(resp.Status, resp.header) {
-		ex.counters.failed(reasonNotRun)
+		ex.counters.countFailure(reasonNotRun)
 		refused := result.New(result.TargetRefused, "%s", result.TargetRefused.Info().Meaning)
 		ex.drainRefusal(req, header)
 		return nil, refused.After(dialect.RetryAfter(resp.header))
 	}
 	if req.ID != "" && !ex.isSealed(resp) {
-		return nil, ex.counters.fail(reasonUnsealed, result.TargetLostRequest, result.RanUnknown, errUnsealed)
+		return nil, ex.counters.newError(reasonUnsealed, result.TargetLostRequest, result.RanUnknown, errUnsealed)
 	}
 	resp.Body = newBody(ex, req.Method, header)
 	return resp, nil
 }
 
-// notice hands on what the answer says of its target.
-func (ex *exchange) notice(req *Request, resp *Response) {
-	read := ex.client.options.Dialect.Notice
-	if read == nil {
+// reportNotice passes on what the answer announces about its target.
+func (ex *exchange) reportNotice(req *Request, resp *Response) {
+	readNotice := ex.client.options.Dialect.Notice
+	if readNotice == nil {
 		return
 	}
-	said := read(resp.Status, resp.header)
-	if said.IsZero() {
+	n := readNotice(resp.Status, resp.header)
+	if n.IsZero() {
 		return
 	}
-	ex.client.notices.count(said)
+	ex.client.notices.count(n)
 	if name, start, listed := ex.listing.TargetOf(req); listed {
-		ex.client.options.OnNotice(name, start, said)
+		ex.client.options.OnNotice(name, start, n)
 	}
 }
 
-// errUnsealed says that a success lacks the mark of the targets' own answers.
+// errUnsealed reports that a success lacks the header that marks the targets' own answers.
 var errUnsealed = errors.New("target: success without a seal")
 
-// isSealed says whether the answer is the target's own: a success must bear the
-// seal, where targets set one, and a body without any encoding.
+// isSealed reports whether the answer is the target's own: a success must have the seal header,
+// if targets set one, and a body without any content encoding.
 func (ex *exchange) isSealed(resp *Response) bool {
 	seal := ex.client.options.Dialect.Seal
 	if seal == "" || resp.Status >= fasthttp.StatusMultipleChoices {
@@ -182,12 +182,12 @@
 	return resp.Header[seal] != "" && resp.Header[fasthttp.HeaderContentEncoding] == ""
 }
 
-// drainRefusal reads the short body of a refusal, so that the connection can
-// be used again. It reads only what has arrived.
+// drainRefusal reads the short body of a refusal, so that the connection can be reused. It
+// reads only what has arrived.
 func (ex *exchange) drainRefusal(req *Request, header *fasthttp.ResponseHeader) {
 	length := header.ContentLength()
 	b := newBody(ex, req.Method, header)
-	if b.err != nil { // without a body: the connection is given back already
+	if b.err != nil { // no body: the connection has already been returned
 		return
 	}
 	if length < 0 || length > ex.conn.reader.Buffered() {
@@ -199,30 +199,31 @@
 
 // writeError classifies a failure while sending.
 func (ex *exchange) writeError(err error) error {
-	nothing := ex.conn.written == 0
+	nothingWritten := ex.conn.written == 0
 	switch {
-	case isCancelled(ex.ctx) && nothing:
-		return ex.counters.fail(reasonCancelledEarly, result.CallerGone, result.RanNo, ex.ctx.Err())
+	case isCancelled(ex.ctx) && nothingWritten:
+		return ex.counters.newError(reasonCancelledEarly, result.CallerGone, result.RanNo, ex.ctx.Err())
 	case isCancelled(ex.ctx):
-		return ex.counters.fail(reasonCancelled, result.CallerGone, result.RanUnknown, ex.ctx.Err())
-	case nothing:
-		return ex.counters.fail(reasonWriteNothing, result.ConnectFailed, result.RanNo, err)
+		return ex.counters.newError(reasonCancelled, result.CallerGone, result.RanUnknown, ex.ctx.Err())
+	case nothingWritten:
+		return ex.counters.newError(reasonWriteNothing, result.ConnectFailed, result.RanNo, err)
 	default:
-		return ex.counters.fail(reasonWritePartial, result.TargetLostRequest, result.RanUnknown, err)
+		return ex.counters.newError(reasonWritePartial, result.TargetLostRequest, result.RanUnknown, err)
 	}
 }
 
-// headError classifies a failure after the request was sent.
+// headError classifies a failure after the request was sent and before the head of the answer
+// was read.
 func (ex *exchange) headError(err error) error {
 	switch {
 	case isCancelled(ex.ctx):
-		return ex.counters.fail(reasonCancelled, result.CallerGone, result.RanUnknown, ex.ctx.Err())
+		return ex.counters.newError(reasonCancelled, result.CallerGone, result.RanUnknown, ex.ctx.Err())
 	case ex.timedOut(err):
-		return ex.counters.fail(reasonFirstByteTimeout, result.FirstByteTimeout, result.RanUnknown, err)
-	case isClosed(err) || errors.Is(err, errStray):
-		return ex.counters.fail(reasonClosedBeforeHead, result.TargetLostRequest, result.RanUnknown, err)
+		return ex.counters.newError(reasonFirstByteTimeout, result.FirstByteTimeout, result.RanUnknown, err)
+	case isClosedByPeer(err) || errors.Is(err, errStray):
+		return ex.counters.newError(reasonClosedBeforeHead, result.TargetLostRequest, result.RanUnknown, err)
 	default:
-		return ex.counters.fail(reasonBadHead, result.TargetError, result.RanUnknown, err)
+		return ex.counters.newError(reasonBadHead, result.TargetError, result.RanUnknown, err)
 	}
 }
 
@@ -230,48 +231,48 @@
 func (ex *exchange) bodyError(err error) error {
 	switch {
 	case isCancelled(ex.ctx):
-		return ex.counters.fail(reasonCancelled, result.CallerGone, result.RanUnknown, ex.ctx.Err())
+		return ex.counters.newError(reasonCancelled, result.CallerGone, result.RanUnknown, ex.ctx.Err())
 	case ex.timedOut(err):
-		return ex.counters.fail(reasonStalled, result.AnswerTooSlow, result.RanUnknown, err)
+		return ex.counters.newError(reasonStalled, result.AnswerTooSlow, result.RanUnknown, err)
 	default:
-		return ex.counters.fail(reasonTruncated, result.StreamBroken, result.RanUnknown, err)
+		return ex.counters.newError(reasonTruncated, result.StreamBroken, result.RanUnknown, err)
 	}
 }
 
-// timedOut says whether a read ran into its own limit or into ctx's deadline.
+// timedOut reports whether a read exceeded its own limit or ctx's deadline.
 func (ex *exchange) timedOut(err error) bool {
 	return isTimeout(err) || errors.Is(ex.ctx.Err(), context.DeadlineExceeded)
 }
 
-// release gives the connection back after an answer read whole.
+// release returns the connection to the pool after an answer that was read completely.
 func (ex *exchange) release(reusable bool) {
-	ex.settle.Do(func() { ex.giveBack(reusable) })
+	ex.releaseOnce.Do(func() { ex.returnToPool(reusable) })
 }
 
-func (ex *exchange) giveBack(reusable bool) {
-	if !ex.keepsOpen() || !reusable || ex.spoiled || ex.conn.reader.Buffered() > 0 {
+func (ex *exchange) returnToPool(reusable bool) {
+	if !ex.stopClosers() || !reusable || ex.partlySent || ex.conn.reader.Buffered() > 0 {
 		ex.conn.Close()
 		return
 	}
 	ex.client.pool.put(ex.conn)
 }
 
-// keepsOpen ends the closing of the connection from elsewhere, and reports whether it
-// was not closed.
-func (ex *exchange) keepsOpen() bool {
-	open := true
-	for _, stop := range []func() bool{ex.unwatch, ex.unhook} {
+// stopClosers stops the functions that may close the connection, and reports whether none of
+// them has run.
+func (ex *exchange) stopClosers() bool {
+	stillOpen := true
+	for _, stop := range []func() bool{ex.stopContextClose, ex.stopCallerHook} {
 		if stop != nil {
-			open = stop() && open
+			stillOpen = stop() && stillOpen
 		}
 	}
-	return open
+	return stillOpen
 }
 
 // discard closes the connection, which ends the run.
 func (ex *exchange) discard() {
-	ex.settle.Do(func() {
-		ex.keepsOpen()
+	ex.releaseOnce.Do(func() {
+		ex.stopClosers()
 		ex.conn.Close()
 	})
 }
--- a/targets/framing_test.go
+++ b/targets/framing_test.go
@@ -22,9 +22,9 @@
 	countedHead = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
 )
 
-// TestOnlyAWholeBodyEndsWithEOF cuts answers at every kind of place. The
-// server closes after each, so a later request must not reuse the connection.
-func TestOnlyAWholeBodyEndsWithEOF(t *testing.T) {
+// TestOnlyCompleteBodyEndsWithEOF cuts answers at every kind of position. The server closes the
+// connection after each, so a later request must not reuse it.
+func TestOnlyCompleteBodyEndsWithEOF(t *testing.T) {
 	cases := []struct {
 		name, raw, body, reason string
 	}{
@@ -46,7 +46,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			set := metrics.NewSet()
 			client := newClient(t, targets.Options{Metrics: set})
-			address := scriptServer(t, answerOnce(tc.raw))
+			address := scriptServer(t, replyOnce(tc.raw))
 			resp, err := client.Do(context.Background(), targets.Request{Address: address, Method: "GET", Path: "/"})
 			if err != nil {
 				t.Fatal(err)
@@ -57,7 +57,7 @@
 			}
 			if tc.reason == "" {
 				if err != nil {
-					t.Errorf("whole body ended with %v", err)
+					t.Errorf("complete body ended with %v", err)
 				}
 				return
 			}
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestFailuresBeforeTheBody covers each failure up to the answer's head.
+// TestFailuresBeforeTheBody covers each kind of failure up to the head of the answer.
 func TestFailuresBeforeTheBody(t *testing.T) {
 	large := make([]byte, 32<<20)
 	const notRun = "HTTP/1.1 503 Service Unavailable\r\nWalnut-Not-Run: true\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"
@@ -97,11 +97,11 @@
 		reason string
 		limit  time.Duration // of the wait for the first byte
 	}{
-		{"closed before the head", answerOnce(""), nil, result.TargetLostRequest, result.RanUnknown, "closed_before_head", 0},
-		{"closed inside the head", answerOnce("HTTP/1.1 200 OK\r\nConte"), nil, result.TargetLostRequest, result.RanUnknown, "closed_before_head", 0},
-		{"not HTTP", answerOnce("hello there\r\n\r\n"), nil, result.TargetError, result.RanUnknown, "bad_head", 0},
+		{"closed before the head", replyOnce(""), nil, result.TargetLostRequest, result.RanUnknown, "closed_before_head", 0},
+		{"closed inside the head", replyOnce("HTTP/1.1 200 OK\r\nConte"), nil, result.TargetLostRequest, result.RanUnknown, "closed_before_head", 0},
+		{"not HTTP", replyOnce("hello there\r\n\r\n"), nil, result.TargetError, result.RanUnknown, "bad_head", 0},
 		{"silent", func(net.Conn) { <-hold }, nil, result.FirstByteTimeout, result.RanUnknown, "first_byte_timeout", time.Second},
-		{"refused", answerOnce(notRun), nil, result.TargetRefused, result.RanNo, "refused_not_run", 0},
+		{"refused", replyOnce(notRun), nil, result.TargetRefused, result.RanNo, "refused_not_run", 0},
 		{"refused before the body was read", refuseUnread, large, result.TargetRefused, result.RanNo, "refused_not_run", time.Second},
 		{"body not read", func(net.Conn) { <-hold }, large, result.TargetLostRequest, result.RanUnknown, "write_partial", time.Second},
 	}
@@ -121,7 +121,7 @@
 	t.Run("503 without the mark is an answer", func(t *testing.T) {
 		client := newClient(t, targets.Options{})
 		resp, err := client.Do(context.Background(), targets.Request{
-			Address: scriptServer(t, answerOnce(plain503)), Method: "POST", Path: "/",
+			Address: scriptServer(t, replyOnce(plain503)), Method: "POST", Path: "/",
 		})
 		if err != nil || resp.Status != 503 {
 			t.Fatalf("answer %+v, error %v", resp, err)
@@ -129,22 +129,22 @@
 	})
 }
 
-// deadConn fails every write and takes no byte.
-type deadConn struct{ net.Conn }
+// brokenConn fails every write without accepting a byte.
+type brokenConn struct{ net.Conn }
 
-func (deadConn) Write([]byte) (int, error) { return 0, errors.New("dead") }
+func (brokenConn) Write([]byte) (int, error) { return 0, errors.New("dead") }
 
 func TestNothingWrittenIsNotRun(t *testing.T) {
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	address := scriptServer(t, answerOnce(countedHead+"hello"))
+	address := scriptServer(t, replyOnce(countedHead+"hello"))
 	refused := scriptServer(t, nil)
 	dial := func(_ context.Context, address string) (net.Conn, error) {
 		if address == refused {
 			return nil, errors.New("refused")
 		}
 		c, err := net.Dial("tcp", address)
-		return deadConn{c}, err
+		return brokenConn{c}, err
 	}
 	client := newClient(t, targets.Options{Dial: dial})
 	get := func(ctx context.Context, address, path string) error {
@@ -154,11 +154,11 @@
 	wantError(t, get(context.Background(), refused, "/"), result.ConnectFailed, result.RanNo)
 	wantError(t, get(context.Background(), address, "/"), result.ConnectFailed, result.RanNo)
 	wantError(t, get(context.Background(), address, "/a b"), result.BadRequest, result.RanNo)
-	wantError(t, get(gone, address, "/"), result.CallerGone, result.RanNo)
+	wantError(t, get(cancelled, address, "/"), result.CallerGone, result.RanNo)
 }
 
-// TestHeadersCannotBreakTheFraming sends values that would split the request.
-func TestHeadersCannotBreakTheFraming(t *testing.T) {
+// TestHeadersCannotBreakFraming sends header values that would split the request.
+func TestHeadersCannotBreakFraming(t *testing.T) {
 	seen := make(chan string, 1)
 	address := scriptServer(t, func(c net.Conn) {
 		buffer := make([]byte, 4096)
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestUnusedConnectionsAreBoundedAndClosed(t *testing.T) {
+func TestIdleConnectionsAreBoundedAndClosed(t *testing.T) {
 	closed := make(chan struct{}, 8)
 	both := make(chan struct{})
 	var arrived atomic.Int32
--- a/targets/headers.go
+++ b/targets/headers.go
@@ -1,17 +1,18 @@
 package targets
 
-// Header names between routers and targets.
+// Names of the headers between routers and targets.
 const (
-	// HeaderResumeOffset asks to resume a stream after so many body bytes.
+	// HeaderResumeOffset asks the target to resume a stream after the given number of body
+	// bytes.
 	HeaderResumeOffset = "Walnut-Resume-Offset"
 	// HeaderFencingNumber carries the fencing number of an order.
 	HeaderFencingNumber = "Walnut-Fencing-Number"
-	// HeaderIdempotencyKey names one non-idempotent action.
+	// HeaderIdempotencyKey identifies one non-idempotent action.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// isHopByHop says whether an answer's header is about one connection or about
-// the framing that the client has already taken off.
+// isHopByHop reports whether a header of an answer concerns one connection, or the framing that
+// the client has already removed.
 func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Content-Length", "Keep-Alive", "Proxy-Authenticate",
@@ -21,8 +22,8 @@
 	return false
 }
 
-// isFramingHeader says whether the client itself sets the header, so that a
-// caller's value must not pass. Names are canonical.
+// isFramingHeader reports whether the client itself sets the header, so that a caller's value
+// must not be forwarded. Names are canonical.
 func isFramingHeader(name string) bool {
 	switch name {
 	case "Connection", "Content-Length", "Host", "Keep-Alive", "Proxy-Connection",
--- a/targets/httpclient.go
+++ b/targets/httpclient.go
@@ -17,13 +17,12 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// maxLoadBytes bounds a load report.
+// maxLoadBytes bounds the size of a load report.
 const maxLoadBytes = 1 << 20
 
-// HTTPClient implements Client over HTTP/1.1. It keeps its own small pool of
-// connections, because it must know for every request whether a byte of it was
-// written, and must be able to end a run by closing its connection. It is safe
-// for concurrent use.
+// HTTPClient implements Client over HTTP/1.1. It has its own small pool of connections, because
+// it must know for every request whether a byte of it was written, and must be able to end a
+// run by closing its connection. It is safe for concurrent use.
 type HTTPClient struct {
 	options  Options
 	requests *counters
@@ -35,7 +34,7 @@
 
 var _ Client = (*HTTPClient)(nil)
 
-// NewHTTPClient returns a client. Close releases its unused connections.
+// NewHTTPClient returns a client. Close releases its idle connections.
 func NewHTTPClient(options Options) *HTTPClient {
 	options = options.withDefaults()
 	set := options.Metrics
@@ -49,19 +48,18 @@
 	}
 }
 
-// Close closes the unused connections. Calls in progress go on.
+// Close closes the idle connections. Calls in progress continue.
 func (c *HTTPClient) Close() error {
 	c.pool.close()
 	return nil
 }
 
-// longWait is the wait for a connection after which it is worth a system call to look
-// whether the caller is still there. Targets take a connection in a few milliseconds;
-// on a router without processor time left it was half a second and more, and callers
-// had left by then.
-const longWait = 20 * time.Millisecond
+// callerCheckDelay is the wait for a connection after which it is worth a system call to check
+// whether the caller is still there. Targets accept a connection within a few milliseconds; on
+// a router without spare CPU time it took half a second and more, and callers had left by then.
+const callerCheckDelay = 20 * time.Millisecond
 
-var errCallerLeft = errors.New("target: the caller left before the connection was there")
+var errCallerLeft = errors.New("target: the caller left before the connection was established")
 
 // Do implements Client.
 func (c *HTTPClient) Do(ctx context.Context, req Request) (*Response, error) {
@@ -71,32 +69,32 @@
 func (c *HTTPClient) call(ctx context.Context, req Request, counters *counters) (*Response, error) {
 	counters.calls.Inc()
 	if !validPath(req.Path) || req.Method == "" {
-		return nil, counters.fail(reasonBadRequest, result.BadRequest, result.RanNo, nil)
+		return nil, counters.newError(reasonBadRequest, result.BadRequest, result.RanNo, nil)
 	}
 	if ctx.Err() != nil {
 		return nil, dialError(ctx, counters, ctx.Err())
 	}
-	asked := time.Now()
+	connectStart := time.Now()
 	cn, err := c.connect(ctx, &req)
 	if err != nil {
 		return nil, dialError(ctx, counters, err)
 	}
-	if req.CallerLeft != nil && time.Since(asked) >= longWait && req.CallerLeft() {
+	if req.CallerLeft != nil && time.Since(connectStart) >= callerCheckDelay && req.CallerLeft() {
 		c.pool.put(cn)
-		return nil, counters.fail(reasonCancelledEarly, result.CallerGone, result.RanNo, errCallerLeft)
+		return nil, counters.newError(reasonCancelledEarly, result.CallerGone, result.RanNo, errCallerLeft)
 	}
-	// Up to three seconds lay between grant and write on a busy router; a target may have
-	// told meanwhile that it leaves.
+	// On a busy router, up to three seconds passed between grant and write; the target may have
+	// announced meanwhile that it is leaving.
 	if req.TargetServes != nil && !req.TargetServes() {
 		c.pool.put(cn)
-		return nil, counters.fail(reasonTargetLeft, result.TargetLeft, result.RanNo, nil)
+		return nil, counters.newError(reasonTargetLeft, result.TargetLeft, result.RanNo, nil)
 	}
-	ex := &exchange{client: c, counters: counters, ctx: ctx, conn: cn, stall: req.Stall, listing: c.options.Listing()}
+	ex := &exchange{client: c, counters: counters, ctx: ctx, conn: cn, stallTimeout: req.Stall, listing: c.options.Listing()}
 	if ctx.Done() != nil {
-		ex.unwatch = context.AfterFunc(ctx, func() { cn.Conn.Close() })
+		ex.stopContextClose = context.AfterFunc(ctx, func() { cn.Conn.Close() })
 	}
 	if req.OnCallerGone != nil {
-		ex.unhook = req.OnCallerGone(func() { cn.Conn.Close() })
+		ex.stopCallerHook = req.OnCallerGone(func() { cn.Conn.Close() })
 	}
 	resp, err := ex.run(&req)
 	if err != nil {
@@ -106,7 +104,7 @@
 	return resp, nil
 }
 
-// connect gets a connection, by the request's deadline also where ctx goes on behind it.
+// connect gets a connection by the request's deadline, even if ctx has no deadline.
 func (c *HTTPClient) connect(ctx context.Context, req *Request) (*conn, error) {
 	if _, bounded := ctx.Deadline(); !bounded && !req.Deadline.IsZero() {
 		var cancel context.CancelFunc
@@ -116,10 +114,11 @@
 	return c.pool.get(ctx, req.Address)
 }
 
-// Ask makes a GET of the fleet's own to a target and returns its answer.
+// Get sends a GET request of the fleet itself, rather than of a caller, to a target and returns
+// the body of the answer.
 func (c *HTTPClient) Ask(ctx context.Context, address, path string, header map[string]string) ([]byte, error) {
 	req := Request{Address: address, Method: fasthttp.MethodGet, Path: path, Header: header}
-	resp, body, err := c.callWhole(ctx, req, c.polls, maxLoadBytes)
+	resp, body, err := c.callAndRead(ctx, req, c.polls, maxLoadBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -129,10 +128,10 @@
 	return body, nil
 }
 
-// loadFrom polls the load report at a path.
+// loadFrom requests the load report at a path.
 func (c *HTTPClient) loadFrom(ctx context.Context, address, path string) (Load, error) {
 	req := Request{Address: address, Method: fasthttp.MethodGet, Path: path}
-	resp, body, err := c.callWhole(ctx, req, c.polls, maxLoadBytes)
+	resp, body, err := c.callAndRead(ctx, req, c.polls, maxLoadBytes)
 	if err != nil {
 		return Load{}, err
 	}
@@ -150,19 +149,19 @@
 func dialError(ctx context.Context, counters *counters, err error) error {
 	switch {
 	case isCancelled(ctx):
-		return counters.fail(reasonCancelledEarly, result.CallerGone, result.RanNo, ctx.Err())
+		return counters.newError(reasonCancelledEarly, result.CallerGone, result.RanNo, ctx.Err())
 	case isTimeout(err):
-		return counters.fail(reasonConnectTimeout, result.ConnectFailed, result.RanNo, err)
+		return counters.newError(reasonConnectTimeout, result.ConnectFailed, result.RanNo, err)
 	default:
-		return counters.fail(reasonConnect, result.ConnectFailed, result.RanNo, err)
+		return counters.newError(reasonConnect, result.ConnectFailed, result.RanNo, err)
 	}
 }
 
-// isCancelled says whether the caller gave up, as against ctx's deadline passing.
+// isCancelled reports whether the caller gave up, as opposed to ctx's deadline passing.
 func isCancelled(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
-// hideEOF keeps a broken answer from being taken for a clean end by a reader
-// that tests with errors.Is(err, io.EOF).
+// hideEOF prevents a broken answer from being taken for a clean end by a reader that checks
+// errors.Is(err, io.EOF).
 func hideEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -171,11 +170,11 @@
 }
 
 func isTimeout(err error) bool {
-	var timeout net.Error
-	return errors.Is(err, fasthttp.ErrTimeout) || (errors.As(err, &timeout) && timeout.Timeout())
+	var netErr net.Error
+	return errors.Is(err, fasthttp.ErrTimeout) || (errors.As(err, &netErr) && netErr.Timeout())
 }
 
-// validPath refuses what would break the request line.
+// validPath reports whether a path is free of characters that would break the request line.
 func validPath(path string) bool {
 	if path == "" || path[0] != '/' {
 		return false
@@ -231,7 +230,7 @@
 	}
 }
 
-// setHeader sets a header that the dialect has to a value that the request has.
+// setHeader sets a header if the dialect has a name for it and the request a value.
 func setHeader(header *fasthttp.RequestHeader, name, value string) {
 	if name != "" && value != "" {
 		header.Set(name, value)
--- a/targets/judged_test.go
+++ b/targets/judged_test.go
@@ -30,13 +30,13 @@
 	return e, address
 }
 
-// streamCall asks for a streamed answer to a prompt that carries the id as its mark.
+// streamCall requests a streamed answer to a prompt that contains the id as its mark.
 func streamCall(id, address string, tokens int) targets.Request {
 	body := fmt.Sprintf(`{"model":"m","prompt":"mark:%s","max_tokens":%d,"stream":true}`, id, tokens)
 	return targets.Request{ID: id, Address: address, Method: "POST", Path: engine.PathCompletions, Body: []byte(body)}
 }
 
-// wholeStream is the whole body of the answer to streamCall.
+// wholeStream returns the complete body of the answer to streamCall.
 func wholeStream(t testing.TB, req targets.Request) string {
 	t.Helper()
 	call, err := engine.ParseCall(req.Path, req.Body)
@@ -46,8 +46,8 @@
 	return string(call.ExpectedStream(req.ID))
 }
 
-// ended waits for the end of a request in the journal and returns its outcome.
-func ended(t testing.TB, e *engine.Engine, id string) journal.Outcome {
+// waitForEnd waits for the end of a request in the journal and returns its outcome.
+func waitForEnd(t testing.TB, e *engine.Engine, id string) journal.Outcome {
 	t.Helper()
 	var outcome journal.Outcome
 	eventually(t, "the end of "+id, func() bool {
@@ -83,15 +83,15 @@
 	if dials.Get() != 1 {
 		t.Fatalf("%d dials, want 1", dials.Get())
 	}
-	gone, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	for range 50 { // an unused connection is at hand, but nobody wants the answer
-		_, err := client.Do(gone, streamCall("gone", address, 1))
+	for range 50 { // an idle connection is available, but the caller has gone
+		_, err := client.Do(cancelled, streamCall("gone", address, 1))
 		wantError(t, err, result.CallerGone, result.RanNo)
 	}
 	read("r2b")
 	if n := len(e.Journal().Find("gone", journal.Received)); n != 0 {
-		t.Fatalf("%d requests of a caller that was gone were sent", n)
+		t.Fatalf("%d requests of a caller that had gone were sent", n)
 	}
 	e.SetFaults(engine.Faults{DowntimeMillis: 1})
 	e.CrashNow()
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestFaultsAreToldTruly brings each fault about and compares what the client
-// says with what the journal says.
-func TestFaultsAreToldTruly(t *testing.T) {
+// TestFaultsAreReportedCorrectly causes each fault and compares what the client reports with
+// the journal.
+func TestFaultsAreReportedCorrectly(t *testing.T) {
 	cases := []struct {
 		name    string
 		faults  engine.Faults
@@ -136,7 +136,7 @@
 			if whole := wholeStream(t, req); !strings.HasPrefix(whole, body) || body == whole {
 				t.Errorf("body is %q", body)
 			}
-			if outcome := ended(t, e, "r"); outcome != tc.outcome {
+			if outcome := waitForEnd(t, e, "r"); outcome != tc.outcome {
 				t.Errorf("journal says %q", outcome)
 			}
 		})
@@ -153,7 +153,8 @@
 	return string(body), err
 }
 
-// TestCancelAndCloseEndTheRun frees the slot of a run that would take an hour.
+// TestCancelAndCloseEndTheRun checks that cancelling or closing frees the slot of a run that
+// would take an hour.
 func TestCancelAndCloseEndTheRun(t *testing.T) {
 	e, address := startEngine(t, engine.Options{Slots: 1})
 	client := newClient(t, targets.Options{})
@@ -172,13 +173,13 @@
 	eventually(t, "the second request", func() bool { return len(e.Journal().Find("queued", journal.Received)) == 1 })
 	cancelQueued()
 	wantError(t, <-waiting, result.CallerGone, result.RanUnknown)
-	if outcome := ended(t, e, "queued"); outcome != journal.NotRun {
+	if outcome := waitForEnd(t, e, "queued"); outcome != journal.NotRun {
 		t.Errorf("queued: journal says %q", outcome)
 	}
 	cancel()
 	_, err = io.ReadAll(resp.Body)
 	wantError(t, err, result.CallerGone, result.RanUnknown)
-	if outcome := ended(t, e, "cancelled"); outcome != journal.Cancelled {
+	if outcome := waitForEnd(t, e, "cancelled"); outcome != journal.Cancelled {
 		t.Errorf("cancelled: journal says %q", outcome)
 	}
 	resp, err = client.Do(context.Background(), streamCall("closed", address, 1<<20))
@@ -186,13 +187,14 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	if outcome := ended(t, e, "closed"); outcome != journal.Cancelled {
+	if outcome := waitForEnd(t, e, "closed"); outcome != journal.Cancelled {
 		t.Errorf("closed: journal says %q", outcome)
 	}
 }
 
-// TestPassedDeadlineIsATimeout tells a context's deadline from a cancelled caller.
-func TestPassedDeadlineIsATimeout(t *testing.T) {
+// TestExpiredDeadlineIsTimeout checks that a context's deadline is distinguished from a
+// cancelled caller.
+func TestExpiredDeadlineIsTimeout(t *testing.T) {
 	e, address := startEngine(t, engine.Options{})
 	e.SetFaults(engine.Faults{Hang: true})
 	set := metrics.NewSet()
@@ -209,7 +211,7 @@
 	}
 }
 
-func TestResumedStreamIsWholeAndRunsOnce(t *testing.T) {
+func TestResumedStreamIsCompleteAndRunsOnce(t *testing.T) {
 	e, address := startEngine(t, engine.Options{Resumes: true})
 	e.SetFaults(engine.Faults{BreakAfterTokens: 5, Times: 1})
 	client := newClient(t, targets.Options{})
@@ -222,14 +224,14 @@
 		t.Fatalf("first %q, rest %q, error %v", first, rest, err)
 	}
 	starts, resumes := e.Journal().Find("r", journal.Started), e.Journal().Find("r", journal.Resumed)
-	if len(starts) != 1 || len(resumes) != 1 || ended(t, e, "r") != journal.Answered {
+	if len(starts) != 1 || len(resumes) != 1 || waitForEnd(t, e, "r") != journal.Answered {
 		t.Fatalf("%d starts, %d resumes", len(starts), len(resumes))
 	}
 }
 
-// TestNotRunIsNeverFalse sends requests while engines crash, refuse, break and
-// hang, and judges every claim by the journals.
-func TestNotRunIsNeverFalse(t *testing.T) {
+// TestNotRunClaimsAreTrue sends requests while engines crash, refuse, break and hang, and
+// checks every claim of the client against the journals.
+func TestNotRunClaimsAreTrue(t *testing.T) {
 	const engines, callers, calls = 3, 8, 60
 	client := newClient(t, targets.Options{FirstByteTimeout: time.Second, StallTimeout: time.Second})
 	var all [engines]*engine.Engine
@@ -267,15 +269,15 @@
 		for _, e := range all {
 			starts += len(e.Journal().Find(id, journal.Started))
 		}
-		seen[judge(t, id, err, starts)]++
+		seen[checkClaim(t, id, err, starts)]++
 	}
 	t.Logf("claims: %v", seen)
 	if seen["answered"] == 0 || seen["not run"] == 0 || seen["unknown"] == 0 {
-		t.Errorf("a kind of claim is missing: %v", seen)
+		t.Errorf("one kind of claim did not occur: %v", seen)
 	}
 }
 
-func judge(t *testing.T, id string, err error, starts int) string {
+func checkClaim(t *testing.T, id string, err error, starts int) string {
 	t.Helper()
 	var typed *result.Error
 	switch {
@@ -284,7 +286,7 @@
 	case !errors.As(err, &typed):
 		t.Errorf("%s: error %v, %d starts", id, err, starts)
 	case typed.Ran == result.RanNo && starts != 0:
-		t.Errorf("%s: said not run, but started %d times: %v", id, starts, err)
+		t.Errorf("%s: reported as not run, but started %d times: %v", id, starts, err)
 	case starts > 1:
 		t.Errorf("%s: started %d times", id, starts)
 	case typed.Ran == result.RanNo:
--- a/targets/late_test.go
+++ b/targets/late_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// TestWhatArrivedInTimeIsRead: a reader that is late itself finds what arrived
-// before its time was up.
-func TestWhatArrivedInTimeIsRead(t *testing.T) {
-	near, far := net.Pipe()
-	defer near.Close()
-	defer far.Close()
-	go io.WriteString(far, "here")
-	c := newConn(near, "x")
-	c.readDeadline = time.Now().Add(-time.Second) // the time is up before the read
+// TestReadFindsDataAfterDeadline checks that a reader that is late itself finds what arrived
+// before its deadline.
+func TestReadFindsDataAfterDeadline(t *testing.T) {
+	local, remote := net.Pipe()
+	defer local.Close()
+	defer remote.Close()
+	go io.WriteString(remote, "here")
+	c := newConn(local, "x")
+	c.readDeadline = time.Now().Add(-time.Second) // the deadline has passed before the read
 	got := make([]byte, 4)
 	if n, err := c.Read(got); err != nil || string(got[:n]) != "here" {
 		t.Errorf("%q, %v", got[:n], err)
--- a/targets/main_test.go
+++ b/targets/main_test.go
@@ -6,9 +6,9 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails if the client or the stand-in engines leave goroutines
-// behind. Two of fasthttp's own are passed over: the clock of its Date header,
-// which never ends, and the cleaner of a stopped server, which ends within 10 s.
+// TestMain fails if the client or the stand-in engines leak goroutines. Two of fasthttp's own
+// are ignored: the clock of its Date header, which never ends, and the cleaner of a stopped
+// server, which ends within 10 s.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
--- a/targets/notice_test.go
+++ b/targets/notice_test.go
@@ -13,29 +13,29 @@
 	"github.com/walnutcove/walnutcove/dialect"
 )
 
-// startOf lists one target with a start.
-type startOf int64
+// singleTarget is a listing of one target with the given start.
+type singleTarget int64
 
 // TargetOf implements Listing.
-func (s startOf) TargetOf(*Request) (name string, start int64, listed bool) {
+func (s singleTarget) TargetOf(*Request) (name string, start int64, listed bool) {
 	return "a", int64(s), true
 }
 
-// TestNoticeIsOfTheStartThatWasAsked: what an answer says counts for the start that was listed
-// when its request was sent, though the next start is listed when the answer is read. That one
-// would otherwise get no requests.
-func TestNoticeIsOfTheStartThatWasAsked(t *testing.T) {
+// TestNoticeNamesStartThatReceivedRequest checks that a notice in an answer counts for the
+// start that was listed when the request was sent, although the next start is listed when the
+// answer is read. Otherwise the next start would get no requests.
+func TestNoticeNamesStartThatReceivedRequest(t *testing.T) {
 	var listed atomic.Int64
 	listed.Store(1)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { listed.Store(2) }))
 	defer server.Close()
-	spoken := *dialect.Own
-	spoken.Notice = func(int, dialect.Getter) notice.Notice { return notice.Notice{Leaving: true} }
+	d := *dialect.Own
+	d.Notice = func(int, dialect.Getter) notice.Notice { return notice.Notice{Leaving: true} }
 	var starts []int64
 	client := NewHTTPClient(Options{
-		Dialect:  &spoken,
+		Dialect:  &d,
 		Metrics:  metrics.NewSet(),
-		Listing:  func() Listing { return startOf(listed.Load()) },
+		Listing:  func() Listing { return singleTarget(listed.Load()) },
 		OnNotice: func(_ string, start int64, _ notice.Notice) { starts = append(starts, start) },
 	})
 	defer func() { _ = client.Close() }()
@@ -45,6 +45,6 @@
 	}
 	answer.Body.Close()
 	if len(starts) != 1 || starts[0] != 1 {
-		t.Errorf("told of the starts %v", starts)
+		t.Errorf("notices for the starts %v", starts)
 	}
 }
--- a/targets/options.go
+++ b/targets/options.go
@@ -24,23 +24,23 @@
 type Options struct {
 	// ConnectTimeout bounds the opening of a connection. Default 2 s.
 	ConnectTimeout time.Duration
-	// FirstByteTimeout bounds the sending of a request and the wait for the
-	// answer's head. Default 60 s.
+	// FirstByteTimeout bounds the sending of a request and the wait for the head of the answer.
+	// Default 60 s.
 	FirstByteTimeout time.Duration
-	// StallTimeout bounds the gap between parts of an answer's body. Default 30 s.
+	// StallTimeout bounds the gap between parts of the body of an answer. Default 30 s.
 	StallTimeout time.Duration
-	// IdleTimeout is how long an unused connection is kept. Default 30 s.
+	// IdleTimeout is how long an idle connection is kept. Default 30 s.
 	IdleTimeout time.Duration
-	// MaxIdle bounds the unused connections kept for one address. Default 24.
+	// MaxIdle bounds the idle connections kept for one address. Default 24.
 	MaxIdle int
-	// Dialect is how the targets speak. Default dialect.Own.
+	// Dialect is the protocol dialect of the targets. Default dialect.Own.
 	Dialect *dialect.Dialect
-	// Listing returns the targets as they are listed now. It is asked before each request is
-	// sent: when the answer is read, another start may have taken the target's place. Default:
-	// no target is listed.
+	// Listing returns the targets that are listed now. It is called before each request is
+	// sent, because another start may have taken the target's place by the time the answer is
+	// read. Default: no target is listed.
 	Listing func() Listing
-	// OnNotice receives what answers say of the targets that they came from, before they are
-	// returned. It must not block. Default: dropped.
+	// OnNotice receives what answers announce about the targets that sent them, before the
+	// answers are returned. It must not block. Default: dropped.
 	OnNotice func(target string, start int64, said notice.Notice)
 	// Metrics receives the counters. Default: a set of the client's own.
 	Metrics *metrics.Set
@@ -48,18 +48,18 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Listing knows targets.
+// Listing maps requests to the listed targets.
 type Listing interface {
 	// TargetOf returns the name and the start of the target that a request goes to; false if it
 	// is not listed.
 	TargetOf(req *Request) (name string, start int64, listed bool)
 }
 
-// unlisted is a listing without targets.
-type unlisted struct{}
+// emptyListing is a listing without targets.
+type emptyListing struct{}
 
 // TargetOf implements Listing.
-func (unlisted) TargetOf(*Request) (name string, start int64, listed bool) { return "", 0, false }
+func (emptyListing) TargetOf(*Request) (name string, start int64, listed bool) { return "", 0, false }
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.ConnectTimeout, DefaultConnectTimeout)
@@ -71,7 +71,7 @@
 		o.Dialect = dialect.Own
 	}
 	if o.Listing == nil {
-		o.Listing = func() Listing { return unlisted{} }
+		o.Listing = func() Listing { return emptyListing{} }
 	}
 	if o.OnNotice == nil {
 		o.OnNotice = func(string, int64, notice.Notice) {}
--- a/targets/order.go
+++ b/targets/order.go
@@ -10,57 +10,57 @@
 	"github.com/valyala/fasthttp"
 )
 
-// PathOrder is where a target takes orders (POST) and tells the state that
-// they led to (GET).
+// PathOrder is the path at which a target accepts orders (POST) and reports the resulting state
+// (GET).
 const PathOrder = "/_order"
 
 const (
-	// maxOrderStateBytes bounds an order state.
+	// maxOrderStateBytes bounds the size of an order state.
 	maxOrderStateBytes = 1 << 20
-	// maxOrderAnswerBytes bounds the answer to an order, which is not used.
+	// maxOrderAnswerBytes bounds the size of the answer to an order, which is not used.
 	maxOrderAnswerBytes = 4 << 10
 )
 
-// Order tells a target to load and unload models or to change its role. Empty
-// fields leave things as they are. Orders set state and do not count: the same
-// order given twice is as good as once.
+// Order tells a target to load and unload models or to change its role. Empty fields leave the
+// respective state unchanged. Orders are idempotent: they set a state, so sending one twice has
+// the same effect as sending it once.
 type Order struct {
-	// LoadModel is loaded, unless it is loaded or being loaded.
+	// LoadModel is the model to load, unless it is loaded or being loaded.
 	LoadModel string `json:"load_model,omitempty"`
-	// KeepModels, if not empty, are the only models that may stay: all others
-	// are unloaded. It does not load any.
+	// KeepModels, if not empty, lists the only models that may stay: all others are unloaded.
+	// It does not load any.
 	KeepModels []string `json:"keep_models,omitempty"`
-	// Role is taken.
+	// Role is the role to take.
 	Role string `json:"role,omitempty"`
 }
 
-// OrderState is what a target's orders led to.
+// OrderState is the state of a target that results from its orders.
 type OrderState struct {
-	// Models are loaded and serve.
+	// Models are the models that are loaded and serving.
 	Models []string `json:"models"`
-	// Loading are models being loaded.
+	// Loading are the models being loaded.
 	Loading []string `json:"loading,omitempty"`
-	// Role is the role taken; empty if none was ordered.
+	// Role is the current role; empty if none was ordered.
 	Role string `json:"role,omitempty"`
-	// Fence is the highest fencing number seen; zero if the target keeps none.
+	// Fence is the highest fencing number seen; zero if the target does not track any.
 	Fence uint64 `json:"fence,omitempty"`
 }
 
-// FencedError says that a target refused an order with an old fencing number.
+// FencedError reports that a target refused an order with an old fencing number.
 type FencedError struct {
-	// Highest is the highest fencing number that the target has seen; zero if
-	// it does not say.
+	// Highest is the highest fencing number that the target has seen; zero if it does not
+	// report it.
 	Highest uint64
 }
 
 // Error implements error.
 func (e *FencedError) Error() string {
-	return fmt.Sprintf("target: the order's fencing number is old, the target has seen %d", e.Highest)
+	return fmt.Sprintf("target: stale fencing number in order, the target has seen %d", e.Highest)
 }
 
-// StatusError is an answer with a status that says nothing more.
+// StatusError is an answer with an unexpected status and no further details.
 type StatusError struct {
-	// What was answered, for example "order".
+	// Subject is what was requested, for example "order".
 	What   string
 	Status int
 }
@@ -70,10 +70,10 @@
 	return fmt.Sprintf("target: %s has status %d", e.What, e.Status)
 }
 
-// OrderState asks a target what its orders led to.
+// OrderState requests the state that results from a target's orders.
 func (c *HTTPClient) OrderState(ctx context.Context, address string) (OrderState, error) {
 	req := Request{Address: address, Method: fasthttp.MethodGet, Path: PathOrder}
-	resp, body, err := c.callWhole(ctx, req, c.orders, maxOrderStateBytes)
+	resp, body, err := c.callAndRead(ctx, req, c.orders, maxOrderStateBytes)
 	if err != nil {
 		return OrderState{}, err
 	}
@@ -87,9 +87,9 @@
 	return state, nil
 }
 
-// GiveOrder sends an order with a fencing number. Nil says that the target has
-// taken it; loading goes on after that. A *FencedError says that it refused the
-// number. After any other error the order may have been taken.
+// GiveOrder sends an order with a fencing number. Nil means that the target has accepted it;
+// loading continues after that. A *FencedError means that it refused the number. After any
+// other error the order may have been accepted.
 func (c *HTTPClient) GiveOrder(ctx context.Context, address string, order Order, fence uint64) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -103,7 +103,7 @@
 		Body:    body,
 		Fence:   fence,
 	}
-	resp, _, err := c.callWhole(ctx, req, c.orders, maxOrderAnswerBytes)
+	resp, _, err := c.callAndRead(ctx, req, c.orders, maxOrderAnswerBytes)
 	switch {
 	case err != nil:
 		return err
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// callWhole makes a call and reads its short answer whole.
-func (c *HTTPClient) callWhole(ctx context.Context, req Request, counters *counters, limit int64) (*Response, []byte, error) {
+// callAndRead makes a call and reads its short answer completely.
+func (c *HTTPClient) callAndRead(ctx context.Context, req Request, counters *counters, limit int64) (*Response, []byte, error) {
 	resp, err := c.call(ctx, req, counters)
 	if err != nil {
 		return nil, nil, err
@@ -128,7 +128,7 @@
 		return nil, nil, err
 	}
 	if int64(len(body)) > limit {
-		return nil, nil, fmt.Errorf("target: answer of %s is over %d bytes", req.Path, limit)
+		return nil, nil, fmt.Errorf("target: answer to %s exceeds %d bytes", req.Path, limit)
 	}
 	return resp, body, nil
 }
--- a/targets/pool.go
+++ b/targets/pool.go
@@ -8,7 +8,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// pool keeps unused connections by address, the most recent last.
+// pool keeps idle connections by address, the most recently used last.
 type pool struct {
 	options Options
 	dials   *metrics.Counter
@@ -34,7 +34,7 @@
 	return p
 }
 
-// get returns an unused connection that is still open, or opens a new one.
+// get returns an idle connection that is still open, or opens a new one.
 func (p *pool) get(ctx context.Context, address string) (*conn, error) {
 	for {
 		c := p.pop(address)
@@ -77,7 +77,7 @@
 	return opened, nil
 }
 
-// put keeps a connection whose last answer was read whole.
+// put returns a connection whose last answer was read completely to the pool.
 func (p *pool) put(c *conn) {
 	c.detach()
 	c.idleSince = time.Now()
@@ -105,7 +105,7 @@
 	}
 }
 
-// prune closes the connections unused since before the limit.
+// prune closes the connections that have been idle since before the limit.
 func (p *pool) prune(limit time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/targets/prefix.go
+++ b/targets/prefix.go
@@ -2,12 +2,12 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// PrefixBytes is how much of a prompt's beginning PrefixHash covers.
+// PrefixBytes is the length of the prompt prefix that PrefixHash covers.
 const PrefixBytes = 256
 
-// PrefixHash returns the hash of a prompt's beginning as targets report it in
-// Load.CachedPrefixes. The prompt is the JSON value of "messages" or "prompt"
-// as it stands in the call's body. No prompt hashes to zero.
+// PrefixHash returns the hash of the beginning of a prompt as targets report it in
+// Load.CachedPrefixes. The prompt is the JSON value of "messages" or "prompt" as it appears in
+// the request body. An empty prompt hashes to zero.
 func PrefixHash(prompt []byte) uint64 {
 	if len(prompt) == 0 {
 		return 0
--- a/targets/script_test.go
+++ b/targets/script_test.go
@@ -13,7 +13,7 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// scriptServer accepts connections and lets serve handle each.
+// scriptServer accepts connections and passes each to serve.
 func scriptServer(t testing.TB, serve func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,8 +36,8 @@
 	return ln.Addr().String()
 }
 
-// answerOnce reads one request whole, writes raw and closes the connection.
-func answerOnce(raw string) func(net.Conn) {
+// replyOnce reads one complete request, writes raw and closes the connection.
+func replyOnce(raw string) func(net.Conn) {
 	return func(c net.Conn) {
 		req, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
--- a/targets/stray_test.go
+++ b/targets/stray_test.go
@@ -14,15 +14,15 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// echoing is a dialect whose targets repeat the id of each request.
-var echoing = &dialect.Dialect{
+// echoDialect is a dialect whose targets echo the id of each request.
+var echoDialect = &dialect.Dialect{
 	RequestID:     "X-Id",
 	EchoesID:      true,
 	UnframedEnds:  true,
 	RefusedNotRun: func(int, dialect.Getter) bool { return false },
 }
 
-// serveRaw answers each request on a connection by what answer returns for its id.
+// serveRaw answers each request on a connection with what answer returns for its id.
 func serveRaw(t *testing.T, answer func(id string) string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -55,20 +55,20 @@
 	return listener.Addr().String()
 }
 
-func whole(id, body string) string {
+func fullResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// TestAnswersOfOthersArePassedOver: a late second answer to an earlier request that
-// stands where the next answer is due reaches nobody.
-func TestAnswersOfOthersArePassedOver(t *testing.T) {
-	client := NewHTTPClient(Options{Dialect: echoing})
+// TestStrayAnswersAreSkipped checks that a late second answer to an earlier request, read in
+// place of the next answer, is not passed to any caller.
+func TestStrayAnswersAreSkipped(t *testing.T) {
+	client := NewHTTPClient(Options{Dialect: echoDialect})
 	defer client.Close()
 	earlier := ""
 	address := serveRaw(t, func(id string) string {
-		text := whole(id, "for "+id)
+		text := fullResponse(id, "for "+id)
 		if earlier != "" {
-			text = whole(earlier, "again for "+earlier) + text
+			text = fullResponse(earlier, "again for "+earlier) + text
 		}
 		earlier = id
 		return text
@@ -87,24 +87,25 @@
 	}
 }
 
-// TestAnswerOfAnotherIsNoAnswer: where only another request's answer comes, the
-// request may have run, and nothing of that answer is passed on.
-func TestAnswerOfAnotherIsNoAnswer(t *testing.T) {
-	client := NewHTTPClient(Options{Dialect: echoing})
+// TestOnlyStrayAnswerIsLostRequest checks that if only another request's answer arrives, the
+// request counts as possibly run, and nothing of that answer is passed on.
+func TestOnlyStrayAnswerIsLostRequest(t *testing.T) {
+	client := NewHTTPClient(Options{Dialect: echoDialect})
 	defer client.Close()
 	address := serveRaw(t, func(string) string {
 		return "HTTP/1.1 200 OK\r\nX-Id: other\r\nConnection: close\r\nContent-Length: 2\r\n\r\nno"
 	})
 	_, err := client.Do(context.Background(), Request{ID: "mine", Address: address, Method: "GET", Path: "/"})
-	var numbered *result.Error
-	if !errors.As(err, &numbered) || numbered.Code != result.TargetLostRequest || numbered.Ran != result.RanUnknown {
+	var resultErr *result.Error
+	if !errors.As(err, &resultErr) || resultErr.Code != result.TargetLostRequest || resultErr.Ran != result.RanUnknown {
 		t.Errorf("got %v", err)
 	}
 }
 
-// TestUnframedAnswerEndsWithItsConnection: without a length a clean end is the end.
-func TestUnframedAnswerEndsWithItsConnection(t *testing.T) {
-	client := NewHTTPClient(Options{Dialect: echoing})
+// TestUnframedAnswerEndsWithConnection checks that an answer without a length ends with a clean
+// close of the connection.
+func TestUnframedAnswerEndsWithConnection(t *testing.T) {
+	client := NewHTTPClient(Options{Dialect: echoDialect})
 	defer client.Close()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/targets/target.go
+++ b/targets/target.go
@@ -1,6 +1,5 @@
-// Package targets is the client towards model engines and plain services. It
-// reuses connections, never retries by itself, and says of every failure
-// whether the request may have run.
+// Package targets is the client for model engines and plain services. It reuses connections,
+// never retries on its own, and reports for every failure whether the request may have run.
 package targets
 
 import (
@@ -19,48 +18,47 @@
 	Path    string
 	Header  map[string]string
 	Body    []byte
-	// Offset asks the target to resume a stream after this many body bytes;
-	// zero starts afresh. Only for targets that resume.
+	// Offset asks the target to resume a stream after this many body bytes; zero starts from
+	// the beginning. Only for targets that support resuming.
 	Offset int64
-	// Host is the host name that the caller sent; empty: Address.
+	// Host is the host name that the caller sent; if empty, Address is used.
 	Host string
-	// Workspace is the workspace's name, where the dialect tells targets.
+	// Workspace is the workspace's name, if the dialect sends it to targets.
 	Workspace string
-	// Target names the incarnation that is to run the request, where the
-	// dialect tells targets; empty: any.
+	// Target names the incarnation that is to run the request, if the dialect sends it to
+	// targets; empty means any.
 	Target string
-	// Deadline is when the caller gives up, where the dialect tells targets;
-	// zero: not known.
+	// Deadline is when the caller gives up, if the dialect sends it to targets; zero if not
+	// known.
 	Deadline time.Time
-	// CallerLeft looks whether the caller is still there; nil: it is. It is asked if a
-	// connection was long in coming, right before anything is written.
+	// CallerLeft reports whether the caller has left; nil means that it has not. It is called
+	// right before anything is written, if getting a connection took long.
 	CallerLeft func() bool
-	// TargetServes looks whether the target still takes work; nil: it does. It is asked
-	// right before anything is written.
+	// TargetServes reports whether the target still accepts work; nil means that it does. It is
+	// called right before anything is written.
 	TargetServes func() bool
-	// OnCallerGone adds a function that is run by whoever finds that the caller has gone
-	// away, and must not block; see pipeline.Exchange. nil: nobody tells, and ctx alone
-	// ends the call.
+	// OnCallerGone registers a function that is run by whoever detects that the caller has gone
+	// away, and that must not block; see pipeline.Exchange. If it is nil, only ctx ends the
+	// call.
 	OnCallerGone func(f func()) (stop func() bool)
-	// FirstByte bounds the sending of the request and the wait for the answer's head;
-	// zero: Options.FirstByteTimeout.
+	// FirstByteTimeout bounds the sending of the request and the wait for the head of the
+	// answer; zero means Options.FirstByteTimeout.
 	FirstByte time.Duration
-	// Stall bounds the gap between parts of the answer's body; zero:
+	// StallTimeout bounds the gap between parts of the body of the answer; zero means
 	// Options.StallTimeout.
 	Stall time.Duration
-	// FetchAddress is the "ip:port" of the target that keeps shared parts of the
-	// prompt, where the dialect tells targets; empty: nothing is to be fetched.
+	// FetchAddress is the "ip:port" of the target that holds shared parts of the prompt, if the
+	// dialect sends it to targets; empty if nothing is to be fetched.
 	FetchAddress string
-	// AfterEvent asks to go on with a stream behind this event; empty: from the
-	// beginning, or from where the caller's own header says.
+	// AfterEvent asks to continue a stream after this event; empty means from the beginning, or
+	// from where the caller's own header says.
 	AfterEvent string
 	// Fence is the fencing number sent with the order; zero sends none.
 	Fence uint64
 }
 
-// Response is a target's answer. Body must be closed; closing it before its
-// end cancels the run. A Body that does not end as the target framed it
-// returns an error other than io.EOF.
+// Response is a target's answer. Body must be closed; closing it before its end cancels the
+// run. A Body that does not end as the target framed it returns an error other than io.EOF.
 type Response struct {
 	Status int
 	Header map[string]string
@@ -72,11 +70,11 @@
 
 // Client calls targets.
 type Client interface {
-	// Do sends the request and returns when the answer's head has arrived.
-	// Errors are *result.Error with Ran set truly: RanNo only if no byte was
-	// written or the target refused before running. Cancelling ctx ends the run.
+	// Do sends the request and returns when the head of the answer has arrived. Errors are
+	// *result.Error with an accurate Ran: RanNo only if no byte was written or the target
+	// refused before running. Cancelling ctx ends the run.
 	Do(ctx context.Context, req Request) (*Response, error)
-	// Load polls a target's load report, which may leave out CachedPrefixes.
+	// Load requests a target's load report, which may lack CachedPrefixes.
 	Load(ctx context.Context, address string) (Load, error)
 }
 
@@ -87,7 +85,8 @@
 	Slots          int      `json:"slots"`
 	Leaving        bool     `json:"leaving"`
 	CachedPrefixes []uint64 `json:"cached_prefixes,omitempty"`
-	// StartID tells one start of the target from the next; zero if it reports none.
+	// StartID distinguishes one start of the target from the next; zero if the target does not
+	// report it.
 	StartID uint64 `json:"start_id,omitempty"`
 	// Age is how old the report was when the target sent it.
 	Age time.Duration `json:"age_ns,omitempty"`
--- a/targets/targetleft_test.go
+++ b/targets/targetleft_test.go
@@ -14,10 +14,11 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// TestNothingIsSentToATargetThatLeft: a busy router sent requests up to three seconds
-// after they were granted, to targets that had told meanwhile that they leave. The look
-// right before the write keeps the request, which has not run, for another target.
-func TestNothingIsSentToATargetThatLeft(t *testing.T) {
+// TestNoRequestToTargetThatLeft guards against requests to targets that are leaving: a busy
+// router sent requests up to three seconds after they were granted, to targets that had
+// announced meanwhile that they were leaving. The check right before the write keeps the
+// request, which has not run, for another target.
+func TestNoRequestToTargetThatLeft(t *testing.T) {
 	var runs atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	defer server.Close()
