--- a/targets/loadpoll/bench_test.go
+++ b/targets/loadpoll/bench_test.go
@@ -19,8 +19,8 @@
 	benchTime    = 20 * time.Second
 )
 
-// BenchmarkTargets polls 11 steadily loaded targets for 20 s: as it was (each
-// 250 ms, always with the prefixes) and as it is. Run it with -benchtime=1x.
+// BenchmarkTargets polls 11 steadily loaded targets for 20 s: with the earlier defaults (every
+// 250 ms, always with the prefixes) and with the current ones. Run it with -benchtime=1x.
 func BenchmarkTargets(b *testing.B) {
 	for _, prefixes := range []int{0, 64, 512} {
 		for name, options := range map[string]Options{
@@ -42,7 +42,7 @@
 		b.Fatal(err)
 	}
 	var bytes, polls atomic.Int64
-	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { report(ctx, prefixes) }}
+	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { serveReport(ctx, prefixes) }}
 	go func() { _ = server.Serve(countconn.Listener{Listener: listener, Bytes: &bytes}) }()
 	defer func() { _ = server.Shutdown() }()
 	client := targets.NewHTTPClient(targets.Options{})
@@ -54,18 +54,18 @@
 		addresses[fmt.Sprint(n)] = listener.Addr().String()
 	}
 	poller := New(options)
-	spent := processorTime(b)
+	cpuTime := cpuTimeUsed(b)
 	poller.SetTargets(addresses)
 	time.Sleep(benchTime)
-	spent = processorTime(b) - spent
+	cpuTime = cpuTimeUsed(b) - cpuTime
 	poller.Close()
 	b.ReportMetric(float64(bytes.Load())/benchTime.Seconds(), "bytes/s")
 	b.ReportMetric(float64(polls.Load())/benchTime.Seconds(), "polls/s")
-	b.ReportMetric(100*spent.Seconds()/benchTime.Seconds(), "%core-with-server")
+	b.ReportMetric(100*cpuTime.Seconds()/benchTime.Seconds(), "%core-with-server")
 }
 
-// report answers as a target with a steady load does.
-func report(ctx *fasthttp.RequestCtx, prefixes int) {
+// serveReport answers as a target with a steady load does.
+func serveReport(ctx *fasthttp.RequestCtx, prefixes int) {
 	ctx.SetContentType("application/json")
 	fmt.Fprintf(ctx, `{"running":14,"queued":1,"slots":16,"leaving":false`)
 	if prefixes > 0 && ctx.QueryArgs().GetBool("prefixes") {
@@ -78,7 +78,7 @@
 	fmt.Fprint(ctx, "}")
 }
 
-func processorTime(b *testing.B) time.Duration {
+func cpuTimeUsed(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		b.Fatal(err)
--- a/targets/loadpoll/loadpoll.go
+++ b/targets/loadpoll/loadpoll.go
@@ -1,8 +1,8 @@
-// Package loadpoll polls the load of a replaceable set of targets and hands
-// each result to a callback. Each target has at most one poll outstanding, so a
-// slow target delays only itself. A target is polled quickly while it is new,
-// fails, or its load is news; else more slowly, as a scheduler learns most from
-// the runs that it sees end.
+// Package loadpoll polls the load of a replaceable set of targets and passes each result to a
+// callback. Each target has at most one poll outstanding, so a slow target delays only itself.
+// A target is polled at the fast interval while it is new, fails, or its load has changed
+// significantly; otherwise more slowly, because a scheduler learns most from the ends of the
+// runs that it observes itself.
 package loadpoll
 
 import (
@@ -24,44 +24,44 @@
 	DefaultWorkers       = 256
 	DefaultJitter        = 0.2
 	DefaultPrefixesEvery = 30
-	// slowFactor makes the default of SlowEvery. A target that is leaving must
-	// be noticed within 3 s, with the lag of its report.
+	// slowFactor is the default ratio of SlowEvery to Every. A target that is leaving must be
+	// noticed within 3 s, including the lag of its report.
 	slowFactor = 4
 )
 
-// Loader polls one target's load; targets.Client is one.
+// Loader polls one target's load; targets.HTTPClient implements it.
 type Loader interface {
 	// Load polls the target at address ("ip:port").
 	Load(ctx context.Context, address string) (targets.Load, error)
-	// LoadWithPrefixes does, and asks for the cached prefixes too.
+	// LoadWithPrefixes does the same and requests the cached prefixes as well.
 	LoadWithPrefixes(ctx context.Context, address string) (targets.Load, error)
 }
 
-// Result receives what a poll gave: the load, or the error if it is not nil.
-// It is called from many goroutines, but for one name and address from one at
-// a time. It may call SetTargets; it must not call Close.
+// Result receives the result of a poll: the load, or the error if it is not nil. It is called
+// from many goroutines, but for one name and address from one at a time. It may call
+// SetTargets; it must not call Close.
 type Result func(name string, load targets.Load, err error)
 
 // Options configure a Poller. Zero values take the stated defaults.
 type Options struct {
-	// Client polls. Required.
+	// Client makes the polls. Required.
 	Client Loader
 	// OnResult receives every result. Required.
 	OnResult Result
-	// Every is the pause between the polls of one target that is new, fails or
-	// has news. Default 250 ms.
+	// Every is the pause between the polls of a target that is new, fails or has changed
+	// significantly. Default 250 ms.
 	Every time.Duration
-	// SlowEvery is the pause for any other. Default 4 times Every.
+	// SlowEvery is the pause between the polls of any other target. Default 4 times Every.
 	SlowEvery time.Duration
-	// PrefixesEvery is of how many polls one asks for the cached prefixes; the
+	// PrefixesEvery is the number of polls of which one requests the cached prefixes; the
 	// results of the others repeat them. Default 30.
 	PrefixesEvery int
-	// Jitter is the part of a pause by which it varies either way, from 0
-	// to 1. Default 0.2.
+	// Jitter is the fraction of a pause by which it varies either way, from 0 to 1. Default
+	// 0.2.
 	Jitter float64
 	// Timeout bounds one poll. Default 1 s.
 	Timeout time.Duration
-	// Workers bounds the polls outstanding at once. Default 256.
+	// Workers bounds the number of polls outstanding at once. Default 256.
 	Workers int
 	// Seed seeds the jitter.
 	Seed uint64
@@ -131,10 +131,9 @@
 	return p
 }
 
-// SetTargets replaces the targets: addresses ("ip:port") by name. A target
-// that keeps its name and address keeps its place; a new one is polled within
-// Every. The outstanding poll of a target that is gone is cancelled, and its
-// result is dropped unless the callback has already begun.
+// SetTargets replaces the targets: addresses ("ip:port") by name. A target that keeps its name
+// and address keeps its schedule; a new one is polled within Every. The outstanding poll of a
+// removed target is cancelled, and its result is dropped unless the callback has already begun.
 func (p *Poller) SetTargets(addresses map[string]string) {
 	now := time.Now()
 	p.mu.Lock()
@@ -154,11 +153,11 @@
 	p.wakeLoop()
 }
 
-// add spreads the first polls of new targets over one period. p.mu is held.
+// add spreads the first polls of new targets over one period. p.mu must be held.
 func (p *Poller) add(name, address string, now time.Time) {
-	e := &entry{name: name, address: address, place: notQueued}
+	e := &entry{name: name, address: address, index: notQueued}
 	e.ctx, e.cancel = context.WithCancel(p.ctx)
-	e.at = now.Add(time.Duration(p.random.Float64() * float64(p.options.Every)))
+	e.nextPoll = now.Add(time.Duration(p.random.Float64() * float64(p.options.Every)))
 	p.targets[name] = e
 	p.due.add(e)
 }
@@ -202,7 +201,7 @@
 		if e == nil {
 			return p.options.Every
 		}
-		if wait := e.at.Sub(now); wait > 0 {
+		if wait := e.nextPoll.Sub(now); wait > 0 {
 			return wait
 		}
 		p.due.remove(e)
@@ -212,33 +211,33 @@
 	}
 }
 
-// poll polls one target once, hands on the result and sets the next poll.
+// poll polls one target once, passes on the result and schedules the next poll.
 func (p *Poller) poll(e *entry) {
 	ctx, cancel := context.WithTimeout(e.ctx, p.options.Timeout)
-	asks := e.pace.asksPrefixes(p.options.PrefixesEvery)
-	load, err := p.load(ctx, e.address, asks)
+	withPrefixes := e.pace.wantsPrefixes(p.options.PrefixesEvery)
+	load, err := p.load(ctx, e.address, withPrefixes)
 	cancel()
 	if e.ctx.Err() != nil {
 		return
 	}
 	p.count(err)
 	if err != nil {
-		e.pace.failed()
+		e.pace.recordFailure()
 	} else {
-		load = e.pace.learn(load, asks)
+		load = e.pace.record(load, withPrefixes)
 	}
 	p.options.OnResult(e.name, load, err)
 	p.mu.Lock()
 	if p.targets[e.name] == e {
-		e.at = time.Now().Add(p.vary(e.pace.pause(p.options)))
+		e.nextPoll = time.Now().Add(p.jittered(e.pace.pause(p.options)))
 		p.due.add(e)
 	}
 	p.mu.Unlock()
 	p.wakeLoop()
 }
 
-func (p *Poller) load(ctx context.Context, address string, prefixes bool) (targets.Load, error) {
-	if prefixes {
+func (p *Poller) load(ctx context.Context, address string, withPrefixes bool) (targets.Load, error) {
+	if withPrefixes {
 		return p.options.Client.LoadWithPrefixes(ctx, address)
 	}
 	return p.options.Client.Load(ctx, address)
@@ -252,8 +251,8 @@
 	p.ok.Inc()
 }
 
-// vary varies a pause by the jitter. p.mu is held.
-func (p *Poller) vary(pause time.Duration) time.Duration {
-	part := 1 + p.options.Jitter*(2*p.random.Float64()-1)
-	return time.Duration(part * float64(pause))
+// jittered varies a pause by the jitter. p.mu must be held.
+func (p *Poller) jittered(pause time.Duration) time.Duration {
+	factor := 1 + p.options.Jitter*(2*p.random.Float64()-1)
+	return time.Duration(factor * float64(pause))
 }
--- a/targets/loadpoll/loadpoll_test.go
+++ b/targets/loadpoll/loadpoll_test.go
@@ -12,27 +12,27 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// fakeLoader counts polls by address and holds those of "hung".
+// fakeLoader counts polls by address and blocks those of "hung" until they are cancelled.
 type fakeLoader struct {
-	mu    sync.Mutex
-	polls map[string]int
-	now   map[string]int
-	most  map[string]int
+	mu             sync.Mutex
+	polls          map[string]int
+	outstanding    map[string]int
+	maxOutstanding map[string]int
 }
 
 func newFakeLoader() *fakeLoader {
-	return &fakeLoader{polls: map[string]int{}, now: map[string]int{}, most: map[string]int{}}
+	return &fakeLoader{polls: map[string]int{}, outstanding: map[string]int{}, maxOutstanding: map[string]int{}}
 }
 
 func (f *fakeLoader) Load(ctx context.Context, address string) (targets.Load, error) {
 	f.mu.Lock()
 	f.polls[address]++
-	f.now[address]++
-	f.most[address] = max(f.most[address], f.now[address])
+	f.outstanding[address]++
+	f.maxOutstanding[address] = max(f.maxOutstanding[address], f.outstanding[address])
 	f.mu.Unlock()
 	defer func() {
 		f.mu.Lock()
-		f.now[address]--
+		f.outstanding[address]--
 		f.mu.Unlock()
 	}()
 	switch address {
@@ -91,7 +91,7 @@
 	return &results{loads: map[string]int{}, errors: map[string]int{}}
 }
 
-func TestPollsEachTargetOneAtATimeAndAHungOneDelaysOnlyItself(t *testing.T) {
+func TestHungTargetDelaysOnlyItself(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	loader, got := newFakeLoader(), newResults()
 	p := New(Options{Client: loader, OnResult: got.add, Every: time.Millisecond, Timeout: time.Hour})
@@ -99,7 +99,7 @@
 	got.wait(t, "repeated results", func() bool {
 		return got.loads["a"] >= 20 && got.loads["b"] >= 20 && got.errors["f"] >= 20
 	})
-	for range 5 { // a doubled entry would be polled twice at once
+	for range 5 { // a duplicate entry would be polled twice at once
 		p.SetTargets(map[string]string{"a": "a", "h": "hung"})
 	}
 	got.wait(t, "more results", func() bool { return got.loads["a"] >= 60 })
@@ -107,9 +107,9 @@
 		t.Errorf("the hung target was polled %d times", n)
 	}
 	p.Close()
-	for address, most := range loader.most {
-		if most != 1 {
-			t.Errorf("%s had %d polls outstanding", address, most)
+	for address, maxOutstanding := range loader.maxOutstanding {
+		if maxOutstanding != 1 {
+			t.Errorf("%s had %d polls outstanding", address, maxOutstanding)
 		}
 	}
 	if got.errors["h"] != 0 {
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestSetTargetsReplacesAddressesAndDropsTheGone replaces the targets from
-// within the callback of one that goes, which must not be polled again.
-func TestSetTargetsReplacesAddressesAndDropsTheGone(t *testing.T) {
+// TestSetTargetsReplacesAndRemovesTargets replaces the targets from within the callback of one
+// that is removed, which must not be polled again.
+func TestSetTargetsReplacesAndRemovesTargets(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	loader, got := newFakeLoader(), newResults()
 	var p *Poller
@@ -137,7 +137,7 @@
 	close(ready)
 	got.wait(t, "the new address", func() bool { return got.loads["x"] >= 30 })
 	if polls := loader.count("b"); polls != got.loads["y"] {
-		t.Errorf("the target that is gone was polled %d times, %d reported", polls, got.loads["y"])
+		t.Errorf("the removed target was polled %d times, %d reported", polls, got.loads["y"])
 	}
 	if got.errors["x"] != 0 {
 		t.Error("the result of the old address was reported")
--- a/targets/loadpoll/pace.go
+++ b/targets/loadpoll/pace.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	// quickPolls is how many polls are quick after something was new.
-	quickPolls = 4
-	// leastNews and newsPart say which change of the load is news: one of more
-	// than so many runs and more than this part of the slots.
-	leastNews = 4
-	newsPart  = 0.5
+	// fastPolls is how many polls use the fast interval after a significant change.
+	fastPolls = 4
+	// minLoadChange and minLoadChangePart define a significant change of the load: one of more
+	// than this number of runs and of more than this part of the slots.
+	minLoadChange     = 4
+	minLoadChangePart = 0.5
 )
 
-// pace decides when a target is polled next, and whether that poll asks for
-// the cached prefixes. The zero value is that of a new target.
+// pace decides when a target is polled next, and whether that poll requests the cached
+// prefixes. The zero value is that of a new target.
 type pace struct {
 	known bool
 	last  targets.Load
-	// quick is how many of the next pauses are short.
-	quick int
-	// withoutPrefixes counts the polls since one asked for prefixes; prefixes
-	// are what it gave.
+	// fastLeft is how many of the next pauses are short.
+	fastLeft int
+	// withoutPrefixes counts the polls since the last one that returned prefixes; prefixes are
+	// what it returned.
 	withoutPrefixes int
 	prefixes        []uint64
 }
 
-// asksPrefixes says whether the next poll asks for the cached prefixes.
-func (p *pace) asksPrefixes(every int) bool {
+// wantsPrefixes reports whether the next poll should request the cached prefixes.
+func (p *pace) wantsPrefixes(every int) bool {
 	return !p.known || p.withoutPrefixes+1 >= every
 }
 
-// failed takes in a poll without a result: the target may have restarted.
-func (p *pace) failed() { *p = pace{quick: quickPolls} }
+// recordFailure handles a poll without a result: the target may have restarted.
+func (p *pace) recordFailure() { *p = pace{fastLeft: fastPolls} }
 
-// learn takes a report in. One that was not asked for prefixes gets those
-// reported last, unless the target sent some all the same.
-func (p *pace) learn(load targets.Load, asked bool) targets.Load {
+// record handles a report. A report without requested prefixes gets those reported last, unless
+// the target sent some anyway.
+func (p *pace) record(load targets.Load, requested bool) targets.Load {
 	switch {
-	case !p.known || isNews(p.last, load):
-		p.quick = quickPolls
-	case p.quick > 0:
-		p.quick--
+	case !p.known || isSignificantChange(p.last, load):
+		p.fastLeft = fastPolls
+	case p.fastLeft > 0:
+		p.fastLeft--
 	}
-	if asked || len(load.CachedPrefixes) > 0 {
+	if requested || len(load.CachedPrefixes) > 0 {
 		p.prefixes = load.CachedPrefixes
 		p.withoutPrefixes = 0
 	} else {
@@ -57,17 +57,17 @@
 	return load
 }
 
-// pause is the mean time to the next poll.
+// pause returns the mean time until the next poll.
 func (p *pace) pause(o Options) time.Duration {
-	if !p.known || p.quick > 0 {
+	if !p.known || p.fastLeft > 0 {
 		return o.Every
 	}
 	return o.SlowEvery
 }
 
-// isNews says whether a report differs from the one before in a way that the
-// target's own completions do not tell.
-func isNews(before, now targets.Load) bool {
+// isSignificantChange reports whether a report differs from the one before in a way that the
+// completions of the target's requests do not show.
+func isSignificantChange(before, now targets.Load) bool {
 	if before.StartID != now.StartID || before.Slots != now.Slots || before.Leaving != now.Leaving {
 		return true
 	}
@@ -75,5 +75,5 @@
 	if change < 0 {
 		change = -change
 	}
-	return change > leastNews && float64(change) > newsPart*float64(now.Slots)
+	return change > minLoadChange && float64(change) > minLoadChangePart*float64(now.Slots)
 }
--- a/targets/loadpoll/queue.go
+++ b/targets/loadpoll/queue.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// notQueued is the place of an entry outside of the queue.
+// notQueued is the index of an entry that is not in the queue.
 const notQueued = -1
 
 // entry is one target.
@@ -16,15 +16,15 @@
 	// ctx ends when the target is no longer polled.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// pace is used by the outstanding poll alone.
+	// pace is only used by the outstanding poll.
 	pace pace
-	// at is when the next poll is due.
-	at time.Time
-	// place is the entry's index in the queue, or notQueued.
-	place int
+	// nextPoll is when the next poll is due.
+	nextPoll time.Time
+	// index is the entry's index in the queue, or notQueued.
+	index int
 }
 
-// queue holds the targets without an outstanding poll, the earliest first.
+// queue holds the targets without an outstanding poll, the earliest next poll first.
 type queue struct{ entries byTime }
 
 func (q *queue) add(e *entry) { heap.Push(&q.entries, e) }
@@ -37,8 +37,8 @@
 }
 
 func (q *queue) remove(e *entry) {
-	if e.place != notQueued {
-		heap.Remove(&q.entries, e.place)
+	if e.index != notQueued {
+		heap.Remove(&q.entries, e.index)
 	}
 }
 
@@ -46,18 +46,18 @@
 type byTime []*entry
 
 func (b byTime) Len() int           { return len(b) }
-func (b byTime) Less(i, j int) bool { return b[i].at.Before(b[j].at) }
+func (b byTime) Less(i, j int) bool { return b[i].nextPoll.Before(b[j].nextPoll) }
 
 func (b byTime) Swap(i, j int) {
 	b[i], b[j] = b[j], b[i]
-	b[i].place = i
-	b[j].place = j
+	b[i].index = i
+	b[j].index = j
 }
 
 // Push implements heap.Interface.
 func (b *byTime) Push(x any) {
 	e := x.(*entry)
-	e.place = len(*b)
+	e.index = len(*b)
 	*b = append(*b, e)
 }
 
@@ -67,6 +67,6 @@
 	e := (*b)[last]
 	(*b)[last] = nil
 	*b = (*b)[:last]
-	e.place = notQueued
+	e.index = notQueued
 	return e
 }
