--- a/targets/cachewatch/cachewatch.go
+++ b/targets/cachewatch/cachewatch.go
@@ -1,6 +1,6 @@
-// Package cachewatch follows what targets keep of prompts, so that a scheduler
-// places requests by what is there and not only by what it placed itself. Targets
-// tell late and lose some; nothing rests on it but the choice of a target.
+// Package cachewatch tracks which parts of prompts targets keep cached, so that a scheduler
+// places requests by what is actually there and not only by its own earlier placements. Targets
+// report late and lose some changes; only the choice of a target depends on this data.
 package cachewatch
 
 import (
@@ -17,16 +17,16 @@
 )
 
 const (
-	// pace is the mean time between two calls to a target. A call that finds news
-	// at once counts as a probe there; more often is hardly better informed.
-	pace = time.Second
-	// longHold is how long one call waits for news.
-	longHold = time.Second
-	// callMargin is how much longer than longHold a call may take.
+	// meanInterval is the mean time between two calls to a target. A call that finds changes at
+	// once counts as a probe there; calling more often hardly improves the data.
+	meanInterval = time.Second
+	// changesHold is how long one call waits for changes.
+	changesHold = time.Second
+	// callMargin is how much longer than changesHold a call may take.
 	callMargin = time.Second
-	// firstSpread spreads the first calls of a new scheduler.
-	firstSpread = 150 * time.Millisecond
-	// maxPause bounds the pause after calls that failed.
+	// startJitter spreads the first calls of a new scheduler.
+	startJitter = 150 * time.Millisecond
+	// maxPause bounds the pause after failed calls.
 	maxPause = 8 * time.Second
 )
 
@@ -36,34 +36,36 @@
 	listings = metrics.GetOrCreateCounter(`walnut_cachewatch_listings_total`)
 )
 
-// News is what a target tells of the parts that it keeps.
+// Update is what a target reports about the prompt parts that it keeps.
 type News struct {
-	// Epoch changes when the target starts anew, and with it its numbering.
+	// Epoch changes when the target restarts, and with it its numbering of changes.
 	Epoch string
-	// Start tells one start of the target from the next; zero: it does not tell.
+	// Start distinguishes one start of the target from the next; zero if the target does not
+	// report it.
 	Start int64
-	// Next is where the next call goes on.
+	// Next is the number after which the next call continues.
 	Next uint64
-	// Lost says that news before these are missing.
+	// Lost reports that earlier changes are missing.
 	Lost bool
-	// Parts are the changed parts, or in a listing all, with the tokens kept now.
+	// Parts are the changed parts, or in a listing all parts, with the number of tokens kept
+	// now.
 	Parts []control.PromptPart
 }
 
-// Source asks targets.
+// Source queries targets.
 type Source interface {
 	// Kept lists everything that the target at an address keeps.
 	Kept(ctx context.Context, address string) (News, error)
-	// Changes returns what changed behind a number, waiting for it for a while.
+	// Changes returns what changed after a number, waiting up to the given time for a change.
 	Changes(ctx context.Context, address string, after uint64, wait time.Duration) (News, error)
 }
 
 // Watcher follows a set of targets. Create it with New.
 type Watcher struct {
 	source Source
-	// told gets what a target keeps.
-	told func(control.TargetKept)
-	log  *slog.Logger
+	// onUpdate receives what a target keeps.
+	onUpdate func(control.TargetKept)
+	log      *slog.Logger
 
 	mu      sync.Mutex
 	watched map[string]*watch
@@ -77,9 +79,9 @@
 	cancel  context.CancelFunc
 }
 
-// New returns a watcher of no targets.
-func New(source Source, told func(control.TargetKept), log *slog.Logger) *Watcher {
-	return &Watcher{source: source, told: told, log: log, watched: make(map[string]*watch)}
+// New returns a watcher without targets.
+func New(source Source, onUpdate func(control.TargetKept), log *slog.Logger) *Watcher {
+	return &Watcher{source: source, onUpdate: onUpdate, log: log, watched: make(map[string]*watch)}
 }
 
 // SetTargets replaces the set of followed targets, given by name and address.
@@ -89,9 +91,9 @@
 	if w.closed {
 		return
 	}
-	for name, one := range w.watched {
-		if addresses[name] != one.address {
-			one.cancel()
+	for name, current := range w.watched {
+		if addresses[name] != current.address {
+			current.cancel()
 			delete(w.watched, name)
 		}
 	}
@@ -105,7 +107,7 @@
 	}
 }
 
-// Close ends all calls.
+// Close cancels all calls and waits for them to end.
 func (w *Watcher) Close() {
 	w.SetTargets(nil)
 	w.mu.Lock()
@@ -114,41 +116,41 @@
 	w.running.Wait()
 }
 
-// follow asks one target until ctx ends.
+// follow polls one target until ctx ends.
 func (w *Watcher) follow(ctx context.Context, name, address string) {
-	wait.For(ctx, rand.N(firstSpread))
+	wait.For(ctx, rand.N(startJitter))
 	var last News
 	listed := false
-	pause := pace
+	pause := meanInterval
 	for ctx.Err() == nil {
-		news, err := w.ask(ctx, address, listed, last.Next)
+		update, err := w.fetch(ctx, address, listed, last.Next)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err != nil:
 			failures.Inc()
-			if pause == pace {
-				w.log.Warn("cachewatch: Target does not tell what it keeps.", "target", name, "error", err)
+			if pause == meanInterval {
+				w.log.Warn("cachewatch: Cannot read what a target keeps.", "target", name, "error", err)
 			}
 			pause = min(2*pause, maxPause)
-		case listed && (news.Lost || news.Epoch != last.Epoch || news.Start != last.Start):
+		case listed && (update.Lost || update.Epoch != last.Epoch || update.Start != last.Start):
 			listed = false
 			continue
 		default:
-			w.told(control.TargetKept{Target: name, Start: news.Start, Whole: !listed, Parts: news.Parts})
-			last, listed, pause = news, true, pace
+			w.onUpdate(control.TargetKept{Target: name, Start: update.Start, Whole: !listed, Parts: update.Parts})
+			last, listed, pause = update, true, meanInterval
 		}
 		wait.For(ctx, pause/2+rand.N(pause))
 	}
 }
 
-func (w *Watcher) ask(ctx context.Context, address string, listed bool, after uint64) (News, error) {
+func (w *Watcher) fetch(ctx context.Context, address string, listed bool, after uint64) (News, error) {
 	calls.Inc()
-	ctx, cancel := context.WithTimeout(ctx, longHold+callMargin)
+	ctx, cancel := context.WithTimeout(ctx, changesHold+callMargin)
 	defer cancel()
 	if !listed {
 		listings.Inc()
 		return w.source.Kept(ctx, address)
 	}
-	return w.source.Changes(ctx, address, after, longHold)
+	return w.source.Changes(ctx, address, after, changesHold)
 }
--- a/targets/cachewatch/cachewatch_test.go
+++ b/targets/cachewatch/cachewatch_test.go
@@ -12,16 +12,16 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// fakeTarget keeps parts and loses its history when told to.
+// fakeTarget keeps parts and loses its history when the test sets historyLost.
 type fakeTarget struct {
-	mu    sync.Mutex
-	epoch string
-	start int64
-	log   []control.PromptPart
-	kept  map[uint64]int
-	lost  bool
-	down  bool
-	lists int
+	mu          sync.Mutex
+	epoch       string
+	start       int64
+	log         []control.PromptPart
+	kept        map[uint64]int
+	historyLost bool
+	down        bool
+	listings    int
 }
 
 func (f *fakeTarget) set(id uint64, tokens int) {
@@ -38,13 +38,13 @@
 	if f.down {
 		return News{}, errors.New("down")
 	}
-	f.lists++
-	f.lost = false
-	news := News{Epoch: f.epoch, Start: f.start, Next: uint64(len(f.log))}
+	f.listings++
+	f.historyLost = false
+	update := News{Epoch: f.epoch, Start: f.start, Next: uint64(len(f.log))}
 	for id, tokens := range f.kept {
-		news.Parts = append(news.Parts, control.PromptPart{ID: id, Tokens: tokens})
+		update.Parts = append(update.Parts, control.PromptPart{ID: id, Tokens: tokens})
 	}
-	return news, nil
+	return update, nil
 }
 
 // Changes implements Source.
@@ -55,12 +55,12 @@
 		return News{}, errors.New("down")
 	}
 	after = min(after, uint64(len(f.log)))
-	return News{Epoch: f.epoch, Start: f.start, Next: uint64(len(f.log)), Lost: f.lost, Parts: f.log[after:]}, nil
+	return News{Epoch: f.epoch, Start: f.start, Next: uint64(len(f.log)), Lost: f.historyLost, Parts: f.log[after:]}, nil
 }
 
-// TestWatcherKeepsUp: what a target keeps is known here soon, also after it lost
-// its history, started anew or was away.
-func TestWatcherKeepsUp(t *testing.T) {
+// TestWatcherTracksTarget checks that what a target keeps is known soon, also after it lost its
+// history, restarted or was unreachable.
+func TestWatcherTracksTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		target := &fakeTarget{epoch: "1", kept: map[uint64]int{7: 100}}
 		var mu sync.Mutex
@@ -91,7 +91,7 @@
 		target.set(8, 200)
 		check(3*time.Second, 8, 200)
 		target.mu.Lock()
-		target.lost = true
+		target.historyLost = true
 		delete(target.kept, 7)
 		target.mu.Unlock()
 		check(3*time.Second, 7, 0)
@@ -99,7 +99,7 @@
 		target.epoch, target.log, target.kept = "2", nil, map[uint64]int{9: 300}
 		target.mu.Unlock()
 		check(3*time.Second, 9, 300)
-		// The next start under the same name may number its news alike.
+		// The next start under the same name may use the same numbers.
 		target.mu.Lock()
 		target.start, target.kept = 2, map[uint64]int{10: 400}
 		target.mu.Unlock()
@@ -114,8 +114,8 @@
 		target.mu.Unlock()
 		target.set(10, 400)
 		check(15*time.Second, 10, 400)
-		if target.lists != 4 {
-			t.Errorf("%d listings, 4 were needed", target.lists)
+		if target.listings != 4 {
+			t.Errorf("%d listings, 4 were needed", target.listings)
 		}
 	})
 }
