--- a/targets/connstate/connstate.go
+++ b/targets/connstate/connstate.go
@@ -1,5 +1,5 @@
-// Package connstate tells whether the far end has closed a connection, without
-// consuming any byte of it.
+// Package connstate reports whether the remote end has closed a connection, without consuming
+// any byte of it.
 package connstate
 
 import (
@@ -8,44 +8,43 @@
 	"syscall"
 )
 
-// ErrClosed says that the far end closed or reset the connection.
-var ErrClosed = errors.New("connstate: closed by the far end")
+// ErrClosed reports that the remote end closed or reset the connection.
+var ErrClosed = errors.New("connstate: closed by the remote end")
 
-// ErrData says that bytes wait to be read, so that a close cannot be seen yet.
+// ErrData reports that bytes are waiting to be read, so that a close cannot be detected yet.
 var ErrData = errors.New("connstate: unread bytes")
 
-// Checker looks at one idle connection again and again. It is not safe for
-// concurrent use.
+// Checker checks one idle connection repeatedly. It is not safe for concurrent use.
 type Checker struct {
-	raw   syscall.RawConn
-	look  func(fd uintptr)
-	state error
+	raw      syscall.RawConn
+	peekFunc func(fd uintptr)
+	state    error
 }
 
-// NewChecker returns a checker of a connection. For a connection that is not a
-// system socket, Check always returns nil.
+// NewChecker returns a checker of a connection. For a connection that is not a socket of the
+// operating system, Check always returns nil.
 func NewChecker(conn net.Conn) *Checker {
 	c := &Checker{raw: rawConn(conn)}
-	c.look = func(fd uintptr) { c.state, _ = peek(int(fd)) }
+	c.peekFunc = func(fd uintptr) { c.state, _ = peek(int(fd)) }
 	return c
 }
 
-// Check returns nil if the connection is open and nothing waits to be read. It
-// does not block, and no deadline of the connection matters.
+// Check returns nil if the connection is open and nothing is waiting to be read. It does not
+// block, and the connection's deadlines do not affect it.
 func (c *Checker) Check() error {
 	if c.raw == nil {
 		return nil
 	}
-	if err := c.raw.Control(c.look); err != nil {
+	if err := c.raw.Control(c.peekFunc); err != nil {
 		return err
 	}
 	return c.state
 }
 
-// Wait blocks until the far end closes the connection (ErrClosed), sends bytes
-// (ErrData), or the read deadline passes (any other error). Nothing else may
-// read from the connection meanwhile. For a connection that is not a system
-// socket it returns nil at once.
+// Wait blocks until the remote end closes the connection (ErrClosed) or sends bytes (ErrData),
+// or the read deadline passes (any other error). Nothing else may read from the connection
+// meanwhile. For a connection that is not a socket of the operating system it returns nil at
+// once.
 func Wait(conn net.Conn) error {
 	raw := rawConn(conn)
 	if raw == nil {
@@ -53,9 +52,9 @@
 	}
 	var state error
 	err := raw.Read(func(fd uintptr) bool {
-		var quiet bool
-		state, quiet = peek(int(fd))
-		return !quiet
+		var idle bool
+		state, idle = peek(int(fd))
+		return !idle
 	})
 	if err != nil {
 		return err
@@ -63,7 +62,7 @@
 	return state
 }
 
-// rawConn returns the system socket of a connection, or nil.
+// rawConn returns the raw socket of a connection, or nil.
 func rawConn(conn net.Conn) syscall.RawConn {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -76,11 +75,11 @@
 	return raw
 }
 
-// peek reports the state of a socket, and whether it has nothing to say yet.
-func peek(fd int) (state error, quiet bool) {
-	var one [1]byte
+// peek reports the state of a socket, and whether it is open with nothing to read.
+func peek(fd int) (state error, idle bool) {
+	var buffer [1]byte
 	for {
-		n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, err := syscall.Recvfrom(fd, buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EINTR:
 			continue
--- a/targets/connstate/connstate_test.go
+++ b/targets/connstate/connstate_test.go
@@ -7,53 +7,53 @@
 	"time"
 )
 
-// pair returns both ends of a TCP connection.
-func pair(t *testing.T) (near, far net.Conn) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair(t *testing.T) (local, remote net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	near, err = net.Dial("tcp", ln.Addr().String())
+	local, err = net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err = ln.Accept()
+	remote, err = ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close(); far.Close() })
-	return near, far
+	t.Cleanup(func() { local.Close(); remote.Close() })
+	return local, remote
 }
 
-func TestCheckAndWaitSeeWhatTheFarEndDid(t *testing.T) {
-	near, far := pair(t)
-	checker := NewChecker(near)
-	_ = near.SetReadDeadline(time.Unix(1, 0))
+func TestCheckAndWait(t *testing.T) {
+	local, remote := tcpPair(t)
+	checker := NewChecker(local)
+	_ = local.SetReadDeadline(time.Unix(1, 0))
 	if err := checker.Check(); err != nil {
 		t.Fatalf("open connection past its read deadline: %v", err)
 	}
-	if err := Wait(near); err == nil || errors.Is(err, ErrClosed) {
+	if err := Wait(local); err == nil || errors.Is(err, ErrClosed) {
 		t.Fatalf("Wait past the read deadline: %v", err)
 	}
-	_ = near.SetReadDeadline(time.Time{})
-	_, _ = far.Write([]byte("x"))
-	if err := Wait(near); err != ErrData {
+	_ = local.SetReadDeadline(time.Time{})
+	_, _ = remote.Write([]byte("x"))
+	if err := Wait(local); err != ErrData {
 		t.Fatalf("unread byte: %v", err)
 	}
 	if err := checker.Check(); err != ErrData {
 		t.Fatalf("unread byte: %v", err)
 	}
-	_, _ = near.Read(make([]byte, 1))
-	far.Close()
-	if err := Wait(near); err != ErrClosed {
-		t.Fatalf("closed by the far end: %v", err)
+	_, _ = local.Read(make([]byte, 1))
+	remote.Close()
+	if err := Wait(local); err != ErrClosed {
+		t.Fatalf("closed by the remote end: %v", err)
 	}
 	if err := checker.Check(); err != ErrClosed {
-		t.Fatalf("closed by the far end: %v", err)
+		t.Fatalf("closed by the remote end: %v", err)
 	}
-	near.Close()
+	local.Close()
 	if err := checker.Check(); err == nil {
 		t.Fatal("closed here: no error")
 	}
