--- a/targets/conn.go
+++ b/targets/conn.go
@@ -51,8 +51,8 @@
 	readTimeout time.Duration
 	// idleSince is when the connection became idle.
 	idleSince time.Time
-	// idleLimit is how long the target keeps the connection idle, as of its last answer; zero
-	// if it did not say.
+	// idleLimit is how long the target keeps an idle connection open, as of its last answer;
+	// zero if it did not say.
 	idleLimit time.Duration
 }
 
@@ -80,8 +80,8 @@
 // The margin exceeds the usual delay of a network and a timer.
 const idleMargin = 300 * time.Millisecond
 
-// readKeepAlive records how long the target keeps the connection idle, as it says in its
-// answer.
+// readKeepAlive records how long the target says in its answer that it keeps an idle connection
+// open.
 func (c *conn) readKeepAlive(header *fasthttp.ResponseHeader) {
 	for parameter := range strings.SplitSeq(string(header.Peek(fasthttp.HeaderKeepAlive)), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
