--- a/directory/answers.go
+++ b/directory/answers.go
@@ -75,7 +75,7 @@
 }
 
 // FeedAges returns the age of each feed by feed name.
-func (f *Follower) Ages() map[string]FeedAge {
+func (f *Follower) FeedAges() map[string]FeedAge {
 	ages := make(map[string]FeedAge, len(f.callTimes))
 	for name, times := range f.callTimes {
 		ages[name] = times.feedAge()
--- a/directory/exchange.go
+++ b/directory/exchange.go
@@ -57,7 +57,7 @@
 }
 
 // Cursor describes how much of the directory a router knows.
-type Known struct {
+type Cursor struct {
 	Version config.Version `json:"version"`
 	// ConfigRevision is the highest revision of the entries that operators wrote.
 	ConfigRevision config.Revision `json:"config_revision,omitempty"`
@@ -68,23 +68,23 @@
 }
 
 // Cursor returns what this router knows, as the argument for Export at another router.
-func (f *Follower) Known() Known {
+func (f *Follower) Cursor() Cursor {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	own := f.state.configuration
-	return Known{Version: own.Version, ConfigRevision: f.state.operatorRevision, Revision: f.state.revision, PlatformOnly: !f.state.peerSynced}
+	return Cursor{Version: own.Version, ConfigRevision: f.state.operatorRevision, Revision: f.state.revision, PlatformOnly: !f.state.peerSynced}
 }
 
 // NeedsPeerSync reports whether everything known here comes from the platform itself, so that a
 // peer has to be asked once.
-func (f *Follower) NeedsPeer() bool {
+func (f *Follower) NeedsPeerSync() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state.listed && !f.state.peerSynced
 }
 
 // Export encodes what this router knows and the router with the given cursor does not.
-func (f *Follower) Export(known Known) ([]byte, error) {
+func (f *Follower) Export(known Cursor) ([]byte, error) {
 	f.mu.Lock()
 	content := f.state.export(known, time.Now())
 	f.mu.Unlock()
@@ -108,7 +108,7 @@
 // export copies what another router does not know yet: all targets changed, removed or missing
 // after its revision, and the configuration if that router's is older. For a router in an
 // earlier era, that is everything.
-func (s *state) export(known Known, now time.Time) peerExport {
+func (s *state) export(known Cursor, now time.Time) peerExport {
 	content := peerExport{
 		Targets:     make(map[string]exportedTarget),
 		Gone:        make(map[string]config.Revision),
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -56,10 +56,10 @@
 	ReturnGrace time.Duration
 	// MinLapseTime is the shortest outage of the platform in which entries can lapse; see
 	// settings.Platform.
-	ShortestLapse time.Duration
+	MinLapseTime time.Duration
 	// MaxLapseTime is the longest time that the platform lists a target that no longer renews
 	// its entry; see settings.Platform.
-	LongestLapse time.Duration
+	MaxLapseTime time.Duration
 	// OnRestored is called when the platform's store was restored from an older copy, which
 	// lacks what routers have written since; may be nil. It must not block.
 	OnRestored func()
@@ -70,7 +70,7 @@
 	Shared bool
 	// OnLiveChange is called at each change with whether this router follows both feeds and
 	// they answer; may be nil.
-	OnFollowing func(live bool)
+	OnLiveChange func(live bool)
 	// Routers returns the number of routers in the fleet; nil means one.
 	Routers func() int
 	// Log receives a line for each change and whenever a feed is lost or recovered. Required.
@@ -184,7 +184,7 @@
 		restored := s.revision > 0 && s.revision.Era() < listing.Revision.Era()
 		if info.complete {
 			s.enterEra(listing.Revision)
-			listing.Entries = s.withoutSuperseded(entries, time.Now().Add(f.options.LongestLapse))
+			listing.Entries = s.withoutSuperseded(entries, time.Now().Add(f.options.MaxLapseTime))
 			entries = s.withRemovals(listing)
 		}
 		if info.afterOutage || restored {
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -160,10 +160,10 @@
 		s.mu.Unlock()
 	}
 	options.Shared = s.shared
-	options.OnFollowing = func(live bool) { s.live = live }
+	options.OnLiveChange = func(live bool) { s.live = live }
 	options.ReturnGrace = 2 * time.Second
-	options.ShortestLapse = 2 * time.Second
-	options.LongestLapse = maxLapse
+	options.MinLapseTime = 2 * time.Second
+	options.MaxLapseTime = maxLapse
 	options.Log = slog.New(slog.DiscardHandler)
 	s.follower = New(options)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -284,7 +284,7 @@
 		time.Sleep(time.Second)
 		other.targets.set(removalOf("a"))
 		synctest.Wait()
-		encoded, err := other.follower.Export(Known{})
+		encoded, err := other.follower.Export(Cursor{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -318,7 +318,7 @@
 func TestOlderPeerExportIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, other := startPair(t)
-		old, err := other.follower.Export(Known{})
+		old, err := other.follower.Export(Cursor{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -364,7 +364,7 @@
 func TestExportHoldsOnlyNewEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, other := startPair(t)
-		known := s.follower.Known()
+		known := s.follower.Cursor()
 		other.targets.set(targetEntry("e"))
 		other.targets.set(removalOf("a"))
 		synctest.Wait()
@@ -427,7 +427,7 @@
 		time.Sleep(7 * time.Second)
 		s.configurations.set(version(5))
 		time.Sleep(2 * time.Second)
-		ages := s.follower.Ages()
+		ages := s.follower.FeedAges()
 		if got := ages[feedConfigurations]; got.Answer != 2*time.Second-verifyHold || got.Call != got.Answer || got.Stale != 0 {
 			t.Errorf("configurations: %+v", got)
 		}
--- a/directory/poller.go
+++ b/directory/poller.go
@@ -299,7 +299,7 @@
 		p.follower.options.Log.Info("directory: Feed recovered.", "feed", p.name, "revision", listing.Revision.String(),
 			"answered_before", silence)
 	}
-	p.deliver(listing, listingInfo{complete: !p.loaded, afterOutage: p.lost && silence >= p.follower.options.ShortestLapse})
+	p.deliver(listing, listingInfo{complete: !p.loaded, afterOutage: p.lost && silence >= p.follower.options.MinLapseTime})
 	if p.loaded {
 		p.reloadPause = minRetryPause // The feed works. A load alone does not show that: another reload may follow it.
 	}
--- a/directory/silence_test.go
+++ b/directory/silence_test.go
@@ -303,7 +303,7 @@
 func TestStalenessDuringSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, store := startOnSilentStore(t)
-		stale := func() time.Duration { return s.follower.Ages()[feedConfigurations].Stale }
+		stale := func() time.Duration { return s.follower.FeedAges()[feedConfigurations].Stale }
 		if got := stale(); got != 0 {
 			t.Errorf("%s old before the silence", got)
 		}
@@ -357,7 +357,7 @@
 			store.begin(10 * time.Second)
 			time.Sleep(maxDetectionTime)
 			synctest.Wait()
-			for feed, age := range s.follower.Ages() {
+			for feed, age := range s.follower.FeedAges() {
 				if age.Stale == 0 {
 					t.Errorf("%s: not known to be stale after %s of silence", feed, maxDetectionTime)
 				}
--- a/directory/turn.go
+++ b/directory/turn.go
@@ -58,7 +58,7 @@
 func newTurn(options Options) *turn {
 	return &turn{
 		shared:       options.Shared,
-		onLiveChange: options.OnFollowing,
+		onLiveChange: options.OnLiveChange,
 		wanted:       true,
 		proves:       true,
 		changed:      make(chan struct{}),
--- a/filters/dispatch/dispatch.go
+++ b/filters/dispatch/dispatch.go
@@ -83,7 +83,7 @@
 	callCtx, cancel := context.WithCancel(ctx)
 	timer := time.AfterFunc(f.FirstByteTimeout, cancel)
 	request := Request(ex, 0)
-	request.FirstByte = f.firstByteTimeout(ex)
+	request.FirstByteTimeout = f.firstByteTimeout(ex)
 	answer, err := f.Client.Do(callCtx, request)
 	timedOut := !timer.Stop()
 	if err == nil && timedOut {
@@ -129,7 +129,7 @@
 			request.OnCallerGone = ex.OnCallerGone
 		}
 		if ex.Stream && ex.Idempotent {
-			request.Stall = stallLimit(ex)
+			request.StallTimeout = stallLimit(ex)
 		}
 	}
 	return request
--- a/router/managed.go
+++ b/router/managed.go
@@ -68,18 +68,18 @@
 		rows:    s,
 		routers: platform.NewRouters(s, r.log),
 		directory: directory.New(directory.Options{
-			Directives:    platform.NewDirectives(s, r.log),
-			Targets:       platform.NewReplicas(s, r.settings.Node.Regions, r.log),
-			OnChange:      r.configChanged,
-			ReturnGrace:   time.Duration(r.settings.Platform.ReturnGrace),
-			ShortestLapse: heartbeatsToLapse * time.Duration(r.settings.Platform.TargetHeartbeat),
-			LongestLapse:  heartbeatsToVanish * time.Duration(r.settings.Platform.TargetHeartbeat),
-			OnRestored:    r.storeRestored,
-			ProbeEra:      s.Era,
-			Routers:       func() int { return int(r.members.Load()) },
-			Shared:        true,
-			OnFollowing:   func(live bool) { r.loop.post(control.FeedsFollowed{Live: live}) },
-			Log:           r.log,
+			Directives:   platform.NewDirectives(s, r.log),
+			Targets:      platform.NewReplicas(s, r.settings.Node.Regions, r.log),
+			OnChange:     r.configChanged,
+			ReturnGrace:  time.Duration(r.settings.Platform.ReturnGrace),
+			MinLapseTime: heartbeatsToLapse * time.Duration(r.settings.Platform.TargetHeartbeat),
+			MaxLapseTime: heartbeatsToVanish * time.Duration(r.settings.Platform.TargetHeartbeat),
+			OnRestored:   r.storeRestored,
+			ProbeEra:     s.Era,
+			Routers:      func() int { return int(r.members.Load()) },
+			Shared:       true,
+			OnLiveChange: func(live bool) { r.loop.post(control.FeedsFollowed{Live: live}) },
+			Log:          r.log,
 		}),
 		othersKnown: make(chan struct{}),
 		joined:      make(chan struct{}),
@@ -129,7 +129,7 @@
 }
 
 func (r *Router) fetch(ctx context.Context, node control.NodeID) error {
-	known, err := json.Marshal(r.directory.Known())
+	known, err := json.Marshal(r.directory.Cursor())
 	if err != nil {
 		return err
 	}
--- a/router/members.go
+++ b/router/members.go
@@ -190,7 +190,7 @@
 // peerConnected reads the routers again if one turned up that is not listed, and asks the
 // first one what the platform may not list.
 func (r *Router) peerConnected(node control.NodeID) {
-	if r.directory.NeedsPeer() {
+	if r.directory.NeedsPeerSync() {
 		r.fetchFrom(node)
 	}
 	if listed := r.vms.Load(); listed != nil {
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -33,11 +33,11 @@
 
 // publishAges exports how old the word of the platform may be, feed by feed.
 func publishAges(set *metrics.Set, node string, source *directory.Follower) {
-	for feed := range source.Ages() {
+	for feed := range source.FeedAges() {
 		labels := fmt.Sprintf("{node=%q,feed=%q}", node, feed)
-		set.NewGauge("walnut_directory_answer_age_seconds"+labels, func() float64 { return source.Ages()[feed].Answer.Seconds() })
-		set.NewGauge("walnut_directory_call_age_seconds"+labels, func() float64 { return source.Ages()[feed].Call.Seconds() })
-		set.NewGauge("walnut_directory_stale_seconds"+labels, func() float64 { return source.Ages()[feed].Stale.Seconds() })
+		set.NewGauge("walnut_directory_answer_age_seconds"+labels, func() float64 { return source.FeedAges()[feed].Answer.Seconds() })
+		set.NewGauge("walnut_directory_call_age_seconds"+labels, func() float64 { return source.FeedAges()[feed].Call.Seconds() })
+		set.NewGauge("walnut_directory_stale_seconds"+labels, func() float64 { return source.FeedAges()[feed].Stale.Seconds() })
 	}
 }
 
--- a/router/peers.go
+++ b/router/peers.go
@@ -85,7 +85,7 @@
 }
 
 func (h peerHandler) serveDirectory(payload []byte) ([]byte, error) {
-	var known directory.Known
+	var known directory.Cursor
 	if err := json.Unmarshal(payload, &known); err != nil {
 		return nil, fmt.Errorf("read the request for the directory: %w", err)
 	}
--- a/targets/cachewatch/cachewatch.go
+++ b/targets/cachewatch/cachewatch.go
@@ -37,7 +37,7 @@
 )
 
 // Update is what a target reports about the prompt parts that it keeps.
-type News struct {
+type Update struct {
 	// Epoch changes when the target restarts, and with it its numbering of changes.
 	Epoch string
 	// Start distinguishes one start of the target from the next; zero if the target does not
@@ -55,9 +55,9 @@
 // Source queries targets.
 type Source interface {
 	// Kept lists everything that the target at an address keeps.
-	Kept(ctx context.Context, address string) (News, error)
+	Kept(ctx context.Context, address string) (Update, error)
 	// Changes returns what changed after a number, waiting up to the given time for a change.
-	Changes(ctx context.Context, address string, after uint64, wait time.Duration) (News, error)
+	Changes(ctx context.Context, address string, after uint64, wait time.Duration) (Update, error)
 }
 
 // Watcher follows a set of targets. Create it with New.
@@ -119,7 +119,7 @@
 // follow polls one target until ctx ends.
 func (w *Watcher) follow(ctx context.Context, name, address string) {
 	wait.For(ctx, rand.N(startJitter))
-	var last News
+	var last Update
 	listed := false
 	pause := meanInterval
 	for ctx.Err() == nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (w *Watcher) fetch(ctx context.Context, address string, listed bool, after uint64) (News, error) {
+func (w *Watcher) fetch(ctx context.Context, address string, listed bool, after uint64) (Update, error) {
 	calls.Inc()
 	ctx, cancel := context.WithTimeout(ctx, changesHold+callMargin)
 	defer cancel()
--- a/targets/cachewatch/cachewatch_test.go
+++ b/targets/cachewatch/cachewatch_test.go
@@ -32,15 +32,15 @@
 }
 
 // Kept implements Source.
-func (f *fakeTarget) Kept(context.Context, string) (News, error) {
+func (f *fakeTarget) Kept(context.Context, string) (Update, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
-		return News{}, errors.New("down")
+		return Update{}, errors.New("down")
 	}
 	f.listings++
 	f.historyLost = false
-	update := News{Epoch: f.epoch, Start: f.start, Next: uint64(len(f.log))}
+	update := Update{Epoch: f.epoch, Start: f.start, Next: uint64(len(f.log))}
 	for id, tokens := range f.kept {
 		update.Parts = append(update.Parts, control.PromptPart{ID: id, Tokens: tokens})
 	}
@@ -48,14 +48,14 @@
 }
 
 // Changes implements Source.
-func (f *fakeTarget) Changes(_ context.Context, _ string, after uint64, _ time.Duration) (News, error) {
+func (f *fakeTarget) Changes(_ context.Context, _ string, after uint64, _ time.Duration) (Update, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
-		return News{}, errors.New("down")
+		return Update{}, errors.New("down")
 	}
 	after = min(after, uint64(len(f.log)))
-	return News{Epoch: f.epoch, Start: f.start, Next: uint64(len(f.log)), Lost: f.historyLost, Parts: f.log[after:]}, nil
+	return Update{Epoch: f.epoch, Start: f.start, Next: uint64(len(f.log)), Lost: f.historyLost, Parts: f.log[after:]}, nil
 }
 
 // TestWatcherTracksTarget checks that what a target keeps is known soon, also after it lost its
--- a/targets/exchange.go
+++ b/targets/exchange.go
@@ -40,7 +40,7 @@
 
 // run sends the request and reads the head of the answer.
 func (ex *exchange) run(req *Request) (*Response, error) {
-	deadline := time.Now().Add(cmp.Or(req.FirstByte, ex.client.options.FirstByteTimeout))
+	deadline := time.Now().Add(cmp.Or(req.FirstByteTimeout, ex.client.options.FirstByteTimeout))
 	ex.conn.written = 0
 	ex.conn.readDeadline = deadline
 	if err := ex.conn.SetWriteDeadline(deadline); err != nil {
--- a/targets/httpclient.go
+++ b/targets/httpclient.go
@@ -89,7 +89,7 @@
 		c.pool.put(cn)
 		return nil, counters.newError(reasonTargetLeft, result.TargetLeft, result.RanNo, nil)
 	}
-	ex := &exchange{client: c, counters: counters, ctx: ctx, conn: cn, stallTimeout: req.Stall, listing: c.options.Listing()}
+	ex := &exchange{client: c, counters: counters, ctx: ctx, conn: cn, stallTimeout: req.StallTimeout, listing: c.options.Listing()}
 	if ctx.Done() != nil {
 		ex.stopContextClose = context.AfterFunc(ctx, func() { cn.Conn.Close() })
 	}
@@ -116,14 +116,14 @@
 
 // Get sends a GET request of the fleet itself, rather than of a caller, to a target and returns
 // the body of the answer.
-func (c *HTTPClient) Ask(ctx context.Context, address, path string, header map[string]string) ([]byte, error) {
+func (c *HTTPClient) Get(ctx context.Context, address, path string, header map[string]string) ([]byte, error) {
 	req := Request{Address: address, Method: fasthttp.MethodGet, Path: path, Header: header}
 	resp, body, err := c.callAndRead(ctx, req, c.polls, maxLoadBytes)
 	if err != nil {
 		return nil, err
 	}
 	if resp.Status != fasthttp.StatusOK {
-		return nil, &StatusError{What: path, Status: resp.Status}
+		return nil, &StatusError{Subject: path, Status: resp.Status}
 	}
 	return body, nil
 }
@@ -136,7 +136,7 @@
 		return Load{}, err
 	}
 	if resp.Status != fasthttp.StatusOK {
-		return Load{}, &StatusError{What: "load report", Status: resp.Status}
+		return Load{}, &StatusError{Subject: "load report", Status: resp.Status}
 	}
 	var load Load
 	if err := json.Unmarshal(body, &load); err != nil {
--- a/targets/order.go
+++ b/targets/order.go
@@ -61,13 +61,13 @@
 // StatusError is an answer with an unexpected status and no further details.
 type StatusError struct {
 	// Subject is what was requested, for example "order".
-	What   string
-	Status int
+	Subject string
+	Status  int
 }
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("target: %s has status %d", e.What, e.Status)
+	return fmt.Sprintf("target: %s has status %d", e.Subject, e.Status)
 }
 
 // OrderState requests the state that results from a target's orders.
@@ -78,7 +78,7 @@
 		return OrderState{}, err
 	}
 	if resp.Status != fasthttp.StatusOK {
-		return OrderState{}, &StatusError{What: "order state", Status: resp.Status}
+		return OrderState{}, &StatusError{Subject: "order state", Status: resp.Status}
 	}
 	var state OrderState
 	if err := json.Unmarshal(body, &state); err != nil {
@@ -111,7 +111,7 @@
 		highest, _ := strconv.ParseUint(resp.Header[HeaderFencingNumber], 10, 64)
 		return &FencedError{Highest: highest}
 	case resp.Status < 200 || resp.Status > 299:
-		return &StatusError{What: "order", Status: resp.Status}
+		return &StatusError{Subject: "order", Status: resp.Status}
 	}
 	return nil
 }
--- a/targets/target.go
+++ b/targets/target.go
@@ -43,10 +43,10 @@
 	OnCallerGone func(f func()) (stop func() bool)
 	// FirstByteTimeout bounds the sending of the request and the wait for the head of the
 	// answer; zero means Options.FirstByteTimeout.
-	FirstByte time.Duration
+	FirstByteTimeout time.Duration
 	// StallTimeout bounds the gap between parts of the body of the answer; zero means
 	// Options.StallTimeout.
-	Stall time.Duration
+	StallTimeout time.Duration
 	// FetchAddress is the "ip:port" of the target that holds shared parts of the prompt, if the
 	// dialect sends it to targets; empty if nothing is to be fetched.
 	FetchAddress string
