--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -17,21 +17,21 @@
 
 // Run is a granted slot of a target.
 type Run interface {
-	// Begin says that the target has begun to answer: what it had to read is
-	// read. Only the first call counts.
+	// Begin reports that the target has begun to answer, so that it has finished
+	// reading its input. Only the first call has an effect.
 	Begin()
-	// End frees the slot. Only the first call counts.
+	// End frees the slot. Only the first call has an effect.
 	End(outcome control.Outcome)
 }
 
-// Exchange is one request and its answer on their way through the pipeline.
-// It owns copies of everything: nothing in it points into a fasthttp buffer.
+// Exchange holds one request and its answer while they pass through the pipeline.
+// It owns copies of all its data: nothing in it points into a fasthttp buffer.
 type Exchange struct {
-	// Sequence numbers the request within this process. Set by accept.
+	// Sequence is the number of the request within this process. Set by accept.
 	Sequence uint64
 	// ID is the request id, unique across the fleet; it is in every log line.
 	ID string
-	// Arrived is when the request had arrived whole.
+	// Arrived is when the request had been received completely.
 	Arrived time.Time
 
 	// Set by accept.
@@ -43,20 +43,20 @@
 	Body        []byte
 	// CallerGone is closed when the caller's connection is found closed.
 	CallerGone <-chan struct{}
-	// LookForCaller, if set, looks at the caller's connection and says whether it is
-	// closed. CallerGone tells that later, at the next look at all connections.
+	// ProbeCallerGone, if set, checks the caller's connection and reports whether it is
+	// closed. CallerGone is closed later, at the next check of all connections.
 	LookForCaller func() bool
-	// TargetServes, set with a grant, says whether the target granted is still listed, as
-	// one that takes work.
+	// TargetServes, set with a grant, reports whether the granted target is still listed
+	// as one that accepts work.
 	TargetServes func() bool
 
-	// Serving ends when the exchange has ended or the router is stopped by
-	// force, but not when the caller goes away. See RunContext.
+	// ServingContext ends when the exchange has ended or the router is stopped by
+	// force, but not when the caller disconnects. See RunContext.
 	Serving context.Context
-	// EndBy, if set, has the caller get the refusal that refuse returns at a time, if the
-	// exchange has no answer by then; the exchange goes on, and its answer is dropped. stop
-	// gives that up; it reports false if the caller has been refused. refuse is called from
-	// another goroutine than the exchange's.
+	// EndBy, if set, answers the caller with the refusal that refuse returns if the
+	// exchange has no answer at the given time. The exchange continues and its answer is
+	// discarded. stop cancels the timer; it returns false if the caller has already been
+	// refused. refuse is called from a different goroutine than the exchange's.
 	EndBy func(at time.Time, refuse func() error) (stop func() bool)
 
 	// Set by authenticate.
@@ -71,15 +71,15 @@
 	Stream         bool
 	Idempotent     bool
 	IdempotencyKey string
-	CostHint       time.Duration // slot time; zero if the caller gave none
+	CostHint       time.Duration // expected slot time; zero if the caller gave none
 	Deadline       time.Time     // never zero
-	PrefixHash     uint64        // hash of the prompt's beginning; zero if none
+	PrefixHash     uint64        // hash of the beginning of the prompt; zero if none
 	Fingerprint    uint64        // hash of workspace, path and body
 
-	// Route is the route that serves the request; nil where pools are found by
-	// model and path.
+	// Route is the route that serves the request; nil if the pool is selected by
+	// model and path instead.
 	Route *config.NamedRoute
-	// Work is what the caller says about the tokens of the request.
+	// Work holds what the caller states about the tokens of the request.
 	Work control.Work
 
 	// Set by grant for each attempt.
@@ -87,20 +87,20 @@
 	Target   string
 	Address  string
 	Excluded []string // targets that failed this request
-	// Placed is what the scheduler went by, for logs.
+	// Placement holds the scheduler's reasons for choosing the target, for logs.
 	Placed Placement
-	// FetchAddress is the target that keeps shared parts of the prompt, if the
-	// target is to fetch them; empty otherwise.
+	// FetchAddress is the address of the target that caches shared parts of the
+	// prompt, if the granted target is to fetch them; empty otherwise.
 	FetchAddress string
-	// AfterEvent is the id of the last event that the caller has; empty before
-	// the first one. A stream that goes on elsewhere begins behind it.
+	// LastEventID is the id of the last event that the caller received; empty before
+	// the first one. A stream resumed on another target continues after it.
 	AfterEvent string
 	// Run is the granted slot. Set by grant; dispatch and relay end it.
 	Run Run
 
 	// Answer, set by dispatch and relay. Exactly one of AnswerBody and
-	// AnswerStream is used. A stream that ends with an error other than io.EOF
-	// must break the caller's connection, never end it cleanly.
+	// AnswerStream is used. If the stream ends with an error other than io.EOF,
+	// the caller's connection must be broken, never closed cleanly.
 	Status       int
 	AnswerHeader map[string]string
 	AnswerBody   []byte
@@ -110,29 +110,30 @@
 	// a target; an error refuses the request as not run.
 	BeforeDispatch []func() error
 
-	began   atomic.Int64 // nanoseconds from arrival to the answer's beginning
-	sent    atomic.Int32 // see BeginSend
-	endOnce sync.Once
-	mu      sync.Mutex
-	onEnd   []func(error)
-	onGone  []*goneFunc
+	timeToAnswer atomic.Int64 // nanoseconds from arrival to the beginning of the answer
+	sendState    atomic.Int32 // see BeginSend
+	endOnce      sync.Once
+	mu           sync.Mutex
+	onEnd        []func(error)
+	onCallerGone []*callerGoneFunc
 }
 
-// goneFunc is a function added with OnCallerGone.
-type goneFunc struct{ run func() }
+// callerGoneFunc is a function added with OnCallerGone.
+type callerGoneFunc struct{ call func() }
 
-// Placement is what a scheduler went by when it chose the target of a request.
+// Placement holds a scheduler's predictions for the target that it chose.
 type Placement struct {
-	// Start is when the answer was predicted to begin, from the grant.
+	// PredictedStart is the predicted time from the grant to the beginning of the answer.
 	Start time.Duration
-	// Reads is how many tokens of the prompt the target had to read.
+	// UncachedTokens is the number of prompt tokens that the target had to read.
 	Reads int
-	// FetchFrom names the target that shared parts were to be fetched from.
+	// FetchFrom names the target to fetch shared parts of the prompt from.
 	FetchFrom string
 }
 
-// HashContent hashes what makes two requests the same: workspace, path and body.
-// Lengths keep the parts apart.
+// HashContent hashes the fields that make two requests equal: workspace, path and body.
+// The workspace and the path are preceded by their lengths, so that different splits of
+// the same bytes hash differently.
 func (ex *Exchange) HashContent() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -146,63 +147,65 @@
 	return d.Sum64()
 }
 
-// MarkBegan notes that the answer has begun; only the first call counts.
+// MarkAnswerBegan records that the answer has begun. Only the first call has an effect.
 func (ex *Exchange) MarkBegan() {
-	ex.began.CompareAndSwap(0, int64(max(1, time.Since(ex.Arrived))))
+	ex.timeToAnswer.CompareAndSwap(0, int64(max(1, time.Since(ex.Arrived))))
 }
 
-// Began is the time from the request's arrival to the beginning of its answer;
-// zero if there was none.
-func (ex *Exchange) Began() time.Duration { return time.Duration(ex.began.Load()) }
+// TimeToAnswer returns the time from the request's arrival to the beginning of its
+// answer; zero if no answer has begun.
+func (ex *Exchange) Began() time.Duration { return time.Duration(ex.timeToAnswer.Load()) }
 
-// OnEnd adds a function that runs once, when the answer has been sent whole
-// (nil error), broken off, or refused. Functions run last added first.
+// OnEnd adds a function that runs once, when the answer has been sent completely
+// (nil error), has broken off, or the request was refused. Functions run in reverse
+// order of their addition.
 func (ex *Exchange) OnEnd(f func(error)) {
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
 	ex.onEnd = append(ex.onEnd, f)
 }
 
-// OnCallerGone adds a function that is run once the caller is found to have gone away,
-// by whoever found it and before anything else is. It must not block. On a router that
-// runs late each goroutine in between waits for the processor in its turn: runs went on
-// for 0.6 s and more after their callers had left. stop takes the function out again,
-// and reports whether it has not run and will not.
+// OnCallerGone adds a function that runs as soon as the caller's connection is found
+// closed, in the goroutine that found it and before any other work. It must not block.
+// Passing the event on through other goroutines is slow on an overloaded router, as each
+// of them waits for the processor: runs continued for 0.6 s and more after their callers
+// had disconnected. stop removes the function and reports whether it has not run and
+// never will.
 func (ex *Exchange) OnCallerGone(f func()) (stop func() bool) {
-	one := &goneFunc{run: f}
+	entry := &callerGoneFunc{call: f}
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
-	ex.onGone = append(ex.onGone, one)
+	ex.onCallerGone = append(ex.onCallerGone, entry)
 	return func() bool {
 		ex.mu.Lock()
 		defer ex.mu.Unlock()
-		at := slices.Index(ex.onGone, one)
-		if at < 0 {
+		index := slices.Index(ex.onCallerGone, entry)
+		if index < 0 {
 			return false
 		}
-		ex.onGone = slices.Delete(ex.onGone, at, at+1)
+		ex.onCallerGone = slices.Delete(ex.onCallerGone, index, index+1)
 		return true
 	}
 }
 
-// CallerWentAway runs the functions added with OnCallerGone. The mutex is held, so that
-// none runs once its stop has returned.
+// NotifyCallerGone runs the functions added with OnCallerGone. It holds the mutex, so
+// that no function runs after its stop has returned.
 func (ex *Exchange) CallerWentAway() {
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
-	for _, one := range ex.onGone {
-		one.run()
+	for _, entry := range ex.onCallerGone {
+		entry.call()
 	}
-	ex.onGone = nil
+	ex.onCallerGone = nil
 }
 
-// HasCallerLeft is IsCallerGone with a look at the connection, which costs a
-// system call.
+// IsCallerGoneNow is like IsCallerGone but also checks the connection itself, at the
+// cost of a system call.
 func (ex *Exchange) HasCallerLeft() bool {
 	return ex.IsCallerGone() || ex.LookForCaller != nil && ex.LookForCaller()
 }
 
-// IsCallerGone says whether the caller's connection was found closed.
+// IsCallerGone reports whether the caller's connection was found closed.
 func (ex *Exchange) IsCallerGone() bool {
 	select {
 	case <-ex.CallerGone:
@@ -212,10 +215,10 @@
 	}
 }
 
-// OutlivesCaller says whether a run of this request goes on when its caller
-// goes away: a non-idempotent one does, so that a resend gets its answer from
-// the run record, and so that what it does at the target is not left half done.
-// On routes a stream never does: nobody could have the rest of it.
+// OutlivesCaller reports whether a run of this request continues after its caller
+// disconnects. A non-idempotent run does, so that a resend gets its answer from the
+// run record and the target's work is not left half done. A stream on a route never
+// does, because nobody could receive the rest of it.
 func (ex *Exchange) OutlivesCaller() bool {
 	if ex.Route != nil && ex.Route.Kind != config.RouteNonIdempotent {
 		return false
@@ -223,7 +226,7 @@
 	return !ex.Idempotent && ex.Serving != nil
 }
 
-// RunContext returns the context of a dispatched run, given that of a filter.
+// RunContext returns the context for a dispatched run; ctx is the calling filter's.
 func (ex *Exchange) RunContext(ctx context.Context) context.Context {
 	if ex.OutlivesCaller() {
 		return ex.Serving
@@ -231,18 +234,18 @@
 	return ctx
 }
 
-// IsAbandoned says whether the caller has gone and its run is to be cancelled.
+// IsAbandoned reports whether the caller has disconnected and the run is to be cancelled.
 func (ex *Exchange) IsAbandoned() bool { return ex.IsCallerGone() && !ex.OutlivesCaller() }
 
-// End runs the functions added with OnEnd. Only the first call counts.
+// End runs the functions added with OnEnd. Only the first call has an effect.
 func (ex *Exchange) End(err error) {
 	ex.endOnce.Do(func() {
 		ex.mu.Lock()
-		fs := ex.onEnd
+		onEnd := ex.onEnd
 		ex.onEnd = nil
 		ex.mu.Unlock()
-		for i := len(fs) - 1; i >= 0; i-- {
-			fs[i](err)
+		for i := len(onEnd) - 1; i >= 0; i-- {
+			onEnd[i](err)
 		}
 	})
 }
--- a/pipeline/exchange_test.go
+++ b/pipeline/exchange_test.go
@@ -7,10 +7,10 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// TestWhatOutlivesItsCaller: only a run that may not be left half done and not be
-// repeated goes on when its caller leaves; a stream ends with its caller, also if
-// it may not be repeated.
-func TestWhatOutlivesItsCaller(t *testing.T) {
+// TestOutlivesCaller checks that only a non-idempotent run, which must neither be left
+// half done nor be repeated, continues after its caller disconnects. A stream ends with
+// its caller even if it must not be repeated.
+func TestOutlivesCaller(t *testing.T) {
 	for _, c := range []struct {
 		route config.Route
 		want  bool
--- a/pipeline/gone_test.go
+++ b/pipeline/gone_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// TestCallerGoneFunctions: what was added runs once, in order, and what was taken out
-// does not.
+// TestCallerGoneFunctions checks that added functions run once, in order, and that
+// removed ones do not run.
 func TestCallerGoneFunctions(t *testing.T) {
 	var ex Exchange
 	var ran []int
-	add := func(n int) func() bool { return ex.OnCallerGone(func() { ran = append(ran, n) }) }
+	add := func(number int) func() bool { return ex.OnCallerGone(func() { ran = append(ran, number) }) }
 	stopFirst := add(1)
 	stopSecond := add(2)
 	add(3)
 	if !stopSecond() || stopSecond() {
-		t.Error("stop does not tell whether the function was held")
+		t.Error("stop does not report whether the function was still registered")
 	}
 	ex.CallerWentAway()
 	ex.CallerWentAway()
@@ -20,6 +20,6 @@
 		t.Errorf("ran %v", ran)
 	}
 	if stopFirst() {
-		t.Error("stop says that a function that has run was taken out")
+		t.Error("stop reports that a function was removed after it had run")
 	}
 }
--- a/pipeline/log.go
+++ b/pipeline/log.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// Log writes a log line about an exchange: the message, the exchange's id and
-// what is known of it, and then attrs.
+// Log writes a log line about an exchange: the message, the exchange's id, the
+// attributes that are known so far, and then attrs.
 func Log(ctx context.Context, log *slog.Logger, level slog.Level, ex *Exchange, message string, attrs ...slog.Attr) {
 	if !log.Enabled(ctx, level) {
 		return
@@ -14,7 +14,8 @@
 	log.LogAttrs(ctx, level, message, append(ex.logAttrs(), attrs...)...)
 }
 
-// logAttrs names the exchange, without what is not known yet.
+// logAttrs returns the attributes that identify the exchange, leaving out those that
+// are not known yet.
 func (ex *Exchange) logAttrs() []slog.Attr {
 	attrs := make([]slog.Attr, 0, 12)
 	attrs = append(attrs, slog.String("request", ex.ID))
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -1,19 +1,19 @@
-// Package pipeline strings filters together. A request flows through the
-// filters in a fixed, visible order:
+// Package pipeline chains the filters that handle a request. A request passes
+// through the filters in a fixed, explicit order:
 //
 //	accept -> authenticate -> classify -> guard -> admit -> grant -> dispatch -> relay -> settle
 //
-// Each filter is a package under filters/ with one job. A filter calls next to
-// go on, or returns a *result.Error to refuse.
+// Each filter is a package under filters/ with one responsibility. A filter calls
+// next to continue, or returns a *result.Error to refuse the request.
 package pipeline
 
 import "context"
 
-// Handler runs the rest of the pipeline for an exchange. The returned error is
-// nil (the answer is set on the exchange) or a *result.Error.
+// Handler runs the rest of the pipeline for an exchange. It returns nil, with the
+// answer set on the exchange, or a *result.Error.
 type Handler func(ctx context.Context, ex *Exchange) error
 
-// Filter is one concern of the request path.
+// Filter is one step of request handling.
 type Filter interface {
 	// Name is the filter's name in logs and metrics.
 	Name() string
--- a/pipeline/sent.go
+++ b/pipeline/sent.go
@@ -1,18 +1,21 @@
 package pipeline
 
-// Whether a request was sent to a target before its caller was told that it was not.
+// The states of Exchange.sendState. Sending a request and telling its caller that it
+// was not sent exclude each other: whichever comes first decides.
 const (
-	undecided int32 = iota
-	sending
-	endedUnsent
+	sendUndecided int32 = iota
+	sendBegun
+	sendCancelled
 )
 
-// BeginSend is called right before a request is sent to a target. It reports false if the
-// caller has been told meanwhile that the request has not run.
+// BeginSend is called right before a request is sent to a target. It returns false if the
+// caller has already been told that the request did not run.
 func (ex *Exchange) BeginSend() bool {
-	return ex.sent.CompareAndSwap(undecided, sending) || ex.sent.Load() == sending
+	return ex.sendState.CompareAndSwap(sendUndecided, sendBegun) || ex.sendState.Load() == sendBegun
 }
 
-// EndUnsent decides that the request is not sent any more. It reports false if it may have
-// been sent.
-func (ex *Exchange) EndUnsent() bool { return ex.sent.CompareAndSwap(undecided, endedUnsent) }
+// CancelSend prevents the request from being sent. It returns false if it may already
+// have been sent.
+func (ex *Exchange) EndUnsent() bool {
+	return ex.sendState.CompareAndSwap(sendUndecided, sendCancelled)
+}
--- a/pipeline/sent_test.go
+++ b/pipeline/sent_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// TestSentOrToldNotRun guards against sending a request whose caller was told that it has not
-// run, and against telling that of one that may have been sent.
-func TestSentOrToldNotRun(t *testing.T) {
-	sent, ended := &Exchange{}, &Exchange{}
+// TestBeginSendExcludesCancelSend guards against sending a request whose caller was told
+// that it did not run, and against telling a caller so when the request may have been sent.
+func TestBeginSendExcludesCancelSend(t *testing.T) {
+	sent, cancelled := &Exchange{}, &Exchange{}
 	if !sent.BeginSend() || sent.EndUnsent() || !sent.BeginSend() {
-		t.Error("a request that was sent is told as not run, or cannot be sent again")
+		t.Error("a request that was sent can be cancelled, or cannot be sent again")
 	}
-	if !ended.EndUnsent() || ended.BeginSend() {
-		t.Error("a request that was told as not run is sent")
+	if !cancelled.EndUnsent() || cancelled.BeginSend() {
+		t.Error("a cancelled request can be sent")
 	}
 }
