--- a/filters/retry/budget.go
+++ b/filters/retry/budget.go
@@ -3,55 +3,57 @@
 import "sync"
 
 const (
-	// earnedPerRequest is the part of a retry that each request earns.
-	earnedPerRequest = 0.2
-	// maxBudget bounds the retries saved up at one router.
-	maxBudget = 50.0
-	// maxWorkspaceBudget bounds those that one workspace may save up, so that
-	// one whose requests all fail leaves retries to the others.
-	maxWorkspaceBudget = 10.0
+	// retriesPerRequest is the fraction of a retry that each request adds to the budget.
+	retriesPerRequest = 0.2
+	// maxSavedRetries bounds the retries that a router can save up.
+	maxSavedRetries = 50.0
+	// maxWorkspaceSavedRetries bounds the retries that one workspace can save up, so
+	// that a workspace whose requests all fail leaves retries to the others.
+	maxWorkspaceSavedRetries = 10.0
 )
 
-// budget bounds the retries of a router, and of each workspace at it.
-type budget struct {
-	mu   sync.Mutex
-	left float64
-	// short holds what is left to the workspaces that have not all of theirs.
-	short map[string]float64
+// savedBudget is a token bucket that bounds the retries of a router and of each
+// workspace at that router.
+type savedBudget struct {
+	mu    sync.Mutex
+	saved float64
+	// savedByWorkspace holds the retries left to each workspace; a workspace with a
+	// full budget has no entry.
+	savedByWorkspace map[string]float64
 }
 
-func newBudget() *budget {
-	return &budget{left: maxBudget, short: make(map[string]float64)}
+func newSavedBudget() *savedBudget {
+	return &savedBudget{saved: maxSavedRetries, savedByWorkspace: make(map[string]float64)}
 }
 
-// earn counts a request.
-func (b *budget) earn(_, workspace string) {
+// recordRequest adds what one request earns to the budgets.
+func (b *savedBudget) recordRequest(_, workspace string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(b.left+earnedPerRequest, maxBudget)
-	own, isShort := b.short[workspace]
-	if !isShort {
+	b.saved = min(b.saved+retriesPerRequest, maxSavedRetries)
+	workspaceSaved, isTracked := b.savedByWorkspace[workspace]
+	if !isTracked {
 		return
 	}
-	if own += earnedPerRequest; own >= maxWorkspaceBudget {
-		delete(b.short, workspace)
+	if workspaceSaved += retriesPerRequest; workspaceSaved >= maxWorkspaceSavedRetries {
+		delete(b.savedByWorkspace, workspace)
 		return
 	}
-	b.short[workspace] = own
+	b.savedByWorkspace[workspace] = workspaceSaved
 }
 
-// spend takes one retry. It reports false if there is none.
-func (b *budget) spend(_, workspace string) bool {
+// takeRetry takes one retry. It returns false if none is left.
+func (b *savedBudget) takeRetry(_, workspace string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	own, isShort := b.short[workspace]
-	if !isShort {
-		own = maxWorkspaceBudget
+	workspaceSaved, isTracked := b.savedByWorkspace[workspace]
+	if !isTracked {
+		workspaceSaved = maxWorkspaceSavedRetries
 	}
-	if b.left < 1 || own < 1 {
+	if b.saved < 1 || workspaceSaved < 1 {
 		return false
 	}
-	b.left--
-	b.short[workspace] = own - 1
+	b.saved--
+	b.savedByWorkspace[workspace] = workspaceSaved - 1
 	return true
 }
--- a/filters/retry/retry.go
+++ b/filters/retry/retry.go
@@ -1,8 +1,8 @@
 // Package retry is the filter that runs grant and dispatch again on another
-// target when an idempotent request failed, or when any request surely did not
-// run. Retries draw on a budget, so that a brown-out does not multiply load:
-// each request earns a part of a retry, up to a limit for its workspace and one
-// for the router.
+// target when an idempotent request failed, or when any request is known not to
+// have run. Retries are limited by a budget, so that a partial outage does not
+// multiply the load: each request adds a fraction of a retry, up to a limit per
+// workspace and one per router.
 package retry
 
 import (
@@ -22,17 +22,18 @@
 const (
 	// maxAttempts bounds the attempts of one request.
 	maxAttempts = 3
-	// maxPause bounds the pause before a request's first retry; it grows with
-	// the attempts. Pauses are random, so that the requests that one target
-	// lost do not come back together.
+	// maxPause bounds the pause before a request's first retry; the bound grows
+	// linearly with the attempts. Pauses are random, so that the requests that one
+	// target lost are not all retried at the same time.
 	maxPause = 25 * time.Millisecond
-	// The advice after an empty budget lies between these, at random.
+	// When the budget is exhausted, callers are told to retry after a random time
+	// between these.
 	minRetryAfter = time.Second
 	maxRetryAfter = 2 * time.Second
 )
 
-// Counters of this package: the retries by the failure that they follow, and
-// the retries that were not made.
+// Counters of this package: retries by the code of the failure that caused them, and
+// retries that the budget did not allow.
 var (
 	retries = codecounter.New("walnut_retry_retries_total",
 		result.ConnectFailed, result.TargetRefused, result.TargetLeft, result.TargetLostRequest, result.StreamBroken, result.TargetError,
@@ -40,25 +41,25 @@
 	refusals = codecounter.New("walnut_retry_refusals_total", result.RetryBudgetEmpty)
 )
 
-// Filter retries.
+// Filter retries failed requests.
 type Filter struct {
 	log    *slog.Logger
 	budget interface {
-		// earn counts a request.
-		earn(pool, workspace string)
-		// spend takes one retry. It reports false if there is none.
-		spend(pool, workspace string) bool
+		// recordRequest counts a request towards the budget.
+		recordRequest(pool, workspace string)
+		// takeRetry takes one retry. It returns false if none is left.
+		takeRetry(pool, workspace string) bool
 	}
 }
 
-// New returns a filter with a full budget of this router's own. It logs each retry
-// to log.
-func New(log *slog.Logger) *Filter { return &Filter{log: log, budget: newBudget()} }
+// New returns a filter with a budget of its own, which starts full. It logs each
+// retry to log.
+func New(log *slog.Logger) *Filter { return &Filter{log: log, budget: newSavedBudget()} }
 
-// NewWindowed returns a filter whose retries are bounded by rules, which are asked
-// for at each use.
-func NewWindowed(log *slog.Logger, rules func() Rules) *Filter {
-	return &Filter{log: log, budget: newWindowed(rules, time.Now)}
+// NewWindowed returns a filter whose retries are bounded in a sliding window. limits
+// is called for each request and each retry.
+func NewWindowed(log *slog.Logger, limits func() Rules) *Filter {
+	return &Filter{log: log, budget: newWindowBudget(limits, time.Now)}
 }
 
 // Name implements pipeline.Filter.
@@ -66,9 +67,9 @@
 
 // Serve implements pipeline.Filter.
 func (f *Filter) Serve(ctx context.Context, ex *pipeline.Exchange, next pipeline.Handler) error {
-	f.budget.earn(ex.PoolName, ex.WorkspaceName)
+	f.budget.recordRequest(ex.PoolName, ex.WorkspaceName)
 	ran := result.RanNo
-	runs := 0 // attempts that may have run
+	possibleRuns := 0 // attempts that may have run
 	for {
 		ex.Attempt++
 		err := next(ctx, ex)
@@ -77,9 +78,9 @@
 		}
 		refusal, retriable := f.retriable(ex, err)
 		if refusal != nil {
-			refusal = withRan(refusal, ran)
+			refusal = raiseRan(refusal, ran)
 			ran = refusal.Ran
-			if final(err) != nil {
+			if finalError(err) != nil {
 				err = refusal
 			}
 		}
@@ -87,14 +88,14 @@
 			return err
 		}
 		if refusal.Ran != result.RanNo {
-			runs++
+			possibleRuns++
 		}
-		if ex.Attempt >= maxAttempts || runs >= maxRuns(ex) || !time.Now().Before(ex.Deadline) {
-			return final(err)
+		if ex.Attempt >= maxAttempts || possibleRuns >= maxRuns(ex) || !time.Now().Before(ex.Deadline) {
+			return finalError(err)
 		}
-		// A request that was not sent is not sent again: its next attempt costs targets nothing.
-		if refusal.Code != result.TargetLeft && !f.budget.spend(ex.PoolName, ex.WorkspaceName) {
-			return budgetEmpty(err, refusal)
+		// An attempt that was never sent put no load on any target, so the next one is free.
+		if refusal.Code != result.TargetLeft && !f.budget.takeRetry(ex.PoolName, ex.WorkspaceName) {
+			return budgetExhausted(err, refusal)
 		}
 		retries.Inc(refusal.Code)
 		f.logRetry(ctx, ex, refusal)
@@ -105,40 +106,40 @@
 	}
 }
 
-// failedAnswer is the error of a target's whole answer that says that it failed.
-// The answer stands in the exchange.
-type failedAnswer struct{ failure *result.Error }
+// failedAnswerError reports that a target answered completely, but with an error
+// status. The exchange holds the answer.
+type failedAnswerError struct{ failure *result.Error }
 
 // Error implements error.
-func (f failedAnswer) Error() string { return f.failure.Error() }
+func (f failedAnswerError) Error() string { return f.failure.Error() }
 
-// Unwrap gives the numbered error.
-func (f failedAnswer) Unwrap() error { return f.failure }
+// Unwrap returns the error with its result code.
+func (f failedAnswerError) Unwrap() error { return f.failure }
 
-// FailedAnswer returns an error if the exchange holds a target's failure that
-// another target may do better: the request is idempotent on its route. The answer
-// is delivered after all if the request is not tried again.
+// CheckAnswer returns an error if the exchange holds a target's error answer and the
+// request is idempotent by its route, so that another target may succeed. If the
+// request is not retried, the error answer is delivered after all.
 func FailedAnswer(ex *pipeline.Exchange) error {
-	if ex.Status < firstServerError || ex.Route == nil || ex.Route.Kind != config.RouteIdempotent || ex.AnswerStream != nil {
+	if ex.Status < minServerErrorStatus || ex.Route == nil || ex.Route.Kind != config.RouteIdempotent || ex.AnswerStream != nil {
 		return nil
 	}
-	return failedAnswer{result.New(result.TargetError, "The target answered with status %d.", ex.Status)}
+	return failedAnswerError{result.New(result.TargetError, "The target answered with status %d.", ex.Status)}
 }
 
-// firstServerError is the first HTTP status of a target's own failure.
-const firstServerError = 500
+// minServerErrorStatus is the lowest HTTP status that means that the target failed.
+const minServerErrorStatus = 500
 
-// final is what a failure comes to that is not tried again: a target's own answer
-// is delivered as it is.
-func final(err error) error {
-	var answered failedAnswer
-	if errors.As(err, &answered) {
+// finalError returns the error of a request that is not retried; nil if the failure
+// is a target's own error answer, which is delivered unchanged.
+func finalError(err error) error {
+	var answerErr failedAnswerError
+	if errors.As(err, &answerErr) {
 		return nil
 	}
 	return err
 }
 
-// maxRuns bounds the attempts of a request that may have run.
+// maxRuns returns the maximum number of a request's attempts that may have run.
 func maxRuns(ex *pipeline.Exchange) int {
 	if ex.Route == nil {
 		return maxAttempts
@@ -146,34 +147,35 @@
 	return ex.Route.Attempts
 }
 
-// Spend takes a retry for a stream that is to go on at another target. It
-// reports false if there is none left.
+// TakeRetry takes a retry for a stream that is to resume on another target. It
+// returns false if none is left.
 func (f *Filter) Spend(ex *pipeline.Exchange) bool {
-	if f.budget.spend(ex.PoolName, ex.WorkspaceName) {
+	if f.budget.takeRetry(ex.PoolName, ex.WorkspaceName) {
 		return true
 	}
 	refusals.Inc(result.RetryBudgetEmpty)
 	return false
 }
 
-// logRetry tells of a failed attempt that another one follows.
+// logRetry logs a failed attempt that is followed by a retry.
 func (f *Filter) logRetry(ctx context.Context, ex *pipeline.Exchange, failure *result.Error) {
-	pipeline.Log(ctx, f.log, slog.LevelWarn, ex, "retry: Attempt failed, another follows.",
+	pipeline.Log(ctx, f.log, slog.LevelWarn, ex, "retry: Attempt failed, retrying.",
 		slog.Int("code", int(failure.Code)),
 		slog.String("reason", failure.Code.Info().Name),
 		slog.String("ran", failure.Ran.String()),
 		slog.Any("error", failure))
 }
 
-// retriable says whether the failure allows another attempt: the request
-// surely did not run at the target, or it is idempotent.
+// retriable returns the failure's result error, if it has one, and reports whether
+// another attempt is allowed: the request is known not to have run on the target, or
+// it is idempotent.
 func (f *Filter) retriable(ex *pipeline.Exchange, err error) (*result.Error, bool) {
 	var refusal *result.Error
 	if !errors.As(err, &refusal) {
 		return nil, false
 	}
-	var answered failedAnswer
-	if errors.As(err, &answered) {
+	var answerErr failedAnswerError
+	if errors.As(err, &answerErr) {
 		return refusal, true
 	}
 	switch refusal.Code {
@@ -188,9 +190,10 @@
 	}
 }
 
-// withRan returns the refusal of the latest attempt with what is known of all:
-// a request that may have run in an earlier attempt is never "not run".
-func withRan(refusal *result.Error, earlier result.Ran) *result.Error {
+// raiseRan returns the refusal of the latest attempt with the highest Ran value of all
+// attempts: a request that may have run in an earlier attempt is never reported as
+// not run.
+func raiseRan(refusal *result.Error, earlier result.Ran) *result.Error {
 	if refusal.Ran >= earlier {
 		return refusal
 	}
@@ -199,11 +202,11 @@
 	return &raised
 }
 
-// budgetEmpty says that the request failed and was not retried. It keeps the
-// outcome of the failure.
-func budgetEmpty(err error, failure *result.Error) error {
+// budgetExhausted returns the error of a request that failed and was not retried for
+// want of budget. It keeps the failure's Ran value.
+func budgetExhausted(err error, failure *result.Error) error {
 	refusals.Inc(result.RetryBudgetEmpty)
-	if final(err) == nil {
+	if finalError(err) == nil {
 		return nil
 	}
 	refusal := result.Wrap(result.RetryBudgetEmpty, failure, "The request failed and too many others are being retried.")
--- a/filters/retry/retry_test.go
+++ b/filters/retry/retry_test.go
@@ -16,9 +16,10 @@
 
 func newFilter() *Filter { return New(slog.New(slog.DiscardHandler)) }
 
-// attempts runs the filter over attempts that fail one after another, at
-// targets named t1, t2 and so on; those after the last failure are answered.
-func attempts(ctx context.Context, f *Filter, ex *pipeline.Exchange, failures ...*result.Error) (*result.Error, int) {
+// serveAttempts runs the filter with attempts that fail one after another, on targets
+// named t1, t2 and so on; attempts after the last failure are answered. It returns the
+// refusal, if any, and the number of attempts.
+func serveAttempts(ctx context.Context, f *Filter, ex *pipeline.Exchange, failures ...*result.Error) (*result.Error, int) {
 	count := 0
 	err := f.Serve(ctx, ex, func(context.Context, *pipeline.Exchange) error {
 		count++
@@ -33,13 +34,13 @@
 	return refusal, count
 }
 
-func exchange(idempotent bool) *pipeline.Exchange {
+func newExchange(idempotent bool) *pipeline.Exchange {
 	return &pipeline.Exchange{Idempotent: idempotent, Deadline: time.Now().Add(time.Hour)}
 }
 
-// TestNotRunSpeaksForEveryAttempt: a request that a target lost may have run,
-// whatever a later attempt says.
-func TestNotRunSpeaksForEveryAttempt(t *testing.T) {
+// TestRanCoversAllAttempts guards against reporting a request as not run because a later
+// attempt did not run, although an earlier attempt was lost and may have run.
+func TestRanCoversAllAttempts(t *testing.T) {
 	lost := result.New(result.TargetLostRequest, "lost")
 	noTarget := result.New(result.NoTarget, "none")
 	unreached := result.New(result.ConnectFailed, "unreached")
@@ -52,7 +53,7 @@
 		{[]*result.Error{unreached, lost, unreached}, result.ConnectFailed, result.RanUnknown},
 		{[]*result.Error{unreached, noTarget}, result.NoTarget, result.RanNo},
 	} {
-		got, count := attempts(context.Background(), newFilter(), exchange(true), c.failures...)
+		got, count := serveAttempts(context.Background(), newFilter(), newExchange(true), c.failures...)
 		if got == nil || got.Code != c.code || got.Ran != c.ran || count != len(c.failures) {
 			t.Errorf("%v: got %v, ran %v after %d attempts", c.failures, got, got.Ran, count)
 		}
@@ -62,8 +63,8 @@
 	}
 }
 
-// TestWhatIsRetried goes through every code there is.
-func TestWhatIsRetried(t *testing.T) {
+// TestRetriedCodes checks for every result code whether it leads to a retry.
+func TestRetriedCodes(t *testing.T) {
 	always := []result.Code{result.ConnectFailed, result.TargetRefused, result.TargetLeft}
 	ifIdempotent := []result.Code{result.TargetLostRequest, result.StreamBroken}
 	for _, row := range result.Table() {
@@ -71,7 +72,7 @@
 			failure := result.New(row.Code, "failed")
 			want := slices.Contains(always, row.Code) || idempotent && slices.Contains(ifIdempotent, row.Code)
 			before := retries.Get(row.Code)
-			got, count := attempts(context.Background(), newFilter(), exchange(idempotent), failure)
+			got, count := serveAttempts(context.Background(), newFilter(), newExchange(idempotent), failure)
 			if retried := count == 2 && got == nil; retried != want {
 				t.Errorf("%s, idempotent %t: %d attempts, %v", row.Name, idempotent, count, got)
 			}
@@ -80,19 +81,19 @@
 			}
 		}
 	}
-	// What surely did not run may be retried whatever it is.
+	// A request that is known not to have run may be retried even if it is not idempotent.
 	notRun := result.New(result.TargetLostRequest, "lost")
 	notRun.Ran = result.RanNo
-	if got, count := attempts(context.Background(), newFilter(), exchange(false), notRun); got != nil || count != 2 {
+	if got, count := serveAttempts(context.Background(), newFilter(), newExchange(false), notRun); got != nil || count != 2 {
 		t.Errorf("not run: %d attempts, %v", count, got)
 	}
 }
 
-// TestNonIdempotentIsNeverRepeatedAfterARun: an attempt that may have run ends
-// the retries, also if an earlier one surely did not run.
-func TestNonIdempotentIsNeverRepeatedAfterARun(t *testing.T) {
+// TestNonIdempotentIsNotRetriedAfterPossibleRun checks that an attempt that may have run
+// ends the retries, even if an earlier attempt is known not to have run.
+func TestNonIdempotentIsNotRetriedAfterPossibleRun(t *testing.T) {
 	refused, lost := result.New(result.TargetRefused, "full"), result.New(result.TargetLostRequest, "lost")
-	got, count := attempts(context.Background(), newFilter(), exchange(false), refused, lost)
+	got, count := serveAttempts(context.Background(), newFilter(), newExchange(false), refused, lost)
 	if count != 2 || got == nil || got.Ran != result.RanUnknown {
 		t.Errorf("%d attempts, %v", count, got)
 	}
@@ -100,8 +101,8 @@
 
 func TestFailedTargetsAreExcluded(t *testing.T) {
 	lost := result.New(result.TargetLostRequest, "lost")
-	ex := exchange(true)
-	if got, count := attempts(context.Background(), newFilter(), ex, lost, lost); got != nil || count != 3 {
+	ex := newExchange(true)
+	if got, count := serveAttempts(context.Background(), newFilter(), ex, lost, lost); got != nil || count != 3 {
 		t.Fatalf("%d attempts, %v", count, got)
 	}
 	if !slices.Equal(ex.Excluded, []string{"t1", "t2"}) || ex.Attempt != 3 {
@@ -109,25 +110,25 @@
 	}
 }
 
-func TestRetriesEnd(t *testing.T) {
+func TestRetriesAreBounded(t *testing.T) {
 	lost := result.New(result.TargetLostRequest, "lost")
-	if got, count := attempts(context.Background(), newFilter(), exchange(true), lost, lost, lost, lost); got != lost || count != maxAttempts {
+	if got, count := serveAttempts(context.Background(), newFilter(), newExchange(true), lost, lost, lost, lost); got != lost || count != maxAttempts {
 		t.Errorf("%d attempts, %v", count, got)
 	}
-	late := exchange(true)
+	late := newExchange(true)
 	late.Deadline = time.Now()
-	if got, count := attempts(context.Background(), newFilter(), late, lost); got != lost || count != 1 {
+	if got, count := serveAttempts(context.Background(), newFilter(), late, lost); got != lost || count != 1 {
 		t.Errorf("past the deadline: %d attempts, %v", count, got)
 	}
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
-	if got, count := attempts(gone, newFilter(), exchange(true), lost); count > 2 || (count == 1) != (got == lost) {
+	if got, count := serveAttempts(gone, newFilter(), newExchange(true), lost); count > 2 || (count == 1) != (got == lost) {
 		t.Errorf("cancelled: %d attempts, %v", count, got)
 	}
 }
 
-// TestBudget: of many failing requests, as many retries are made as were saved
-// up and earned; the others keep their failure's outcome.
+// TestBudget checks that many failing requests get as many retries as were saved up and
+// earned, and that the other requests keep the outcome of their failure.
 func TestBudget(t *testing.T) {
 	const requests = 300
 	f := newFilter()
@@ -135,7 +136,7 @@
 	retried, refused := 0, 0
 	advice := make(map[time.Duration]bool)
 	for range requests {
-		got, count := attempts(context.Background(), f, exchange(true), lost)
+		got, count := serveAttempts(context.Background(), f, newExchange(true), lost)
 		retried += count - 1
 		if got == nil {
 			continue
@@ -149,59 +150,59 @@
 		}
 		advice[got.RetryAfter] = true
 	}
-	// The first request finds the budget full and earns nothing.
-	if most := int(maxWorkspaceBudget + earnedPerRequest*requests); retried > most || retried < most-2 {
-		t.Errorf("%d retries of %d", retried, most)
+	// The first request finds the budget full and adds nothing to it.
+	if limit := int(maxWorkspaceSavedRetries + retriesPerRequest*requests); retried > limit || retried < limit-2 {
+		t.Errorf("%d retries of %d", retried, limit)
 	}
 	if retried+refused != requests || len(advice) < refused/2 {
 		t.Errorf("%d retried, %d refused with %d different waits", retried, refused, len(advice))
 	}
 }
 
-// TestBudgetIsSharedByWorkspaces: one workspace whose requests all fail does
-// not use the others' retries up, and all together are bounded.
-func TestBudgetIsSharedByWorkspaces(t *testing.T) {
-	b := newBudget()
-	spend := func(workspace string, requests int) (spent int) {
+// TestBudgetBoundsEachWorkspace checks that one workspace whose requests all fail does
+// not use up the retries of the others, and that the total is bounded.
+func TestBudgetBoundsEachWorkspace(t *testing.T) {
+	b := newSavedBudget()
+	takeRetries := func(workspace string, requests int) (taken int) {
 		for range requests {
-			b.earn("pool", workspace)
-			if b.spend("pool", workspace) {
-				spent++
+			b.recordRequest("pool", workspace)
+			if b.takeRetry("pool", workspace) {
+				taken++
 			}
 		}
-		return spent
+		return taken
 	}
-	if spent := spend("flood", 10_000); spent > 10_000*earnedPerRequest+maxWorkspaceBudget {
-		t.Errorf("the flood spent %d", spent)
+	if taken := takeRetries("flood", 10_000); taken > 10_000*retriesPerRequest+maxWorkspaceSavedRetries {
+		t.Errorf("the flooding workspace used %d retries", taken)
 	}
-	if spent := spend("small", 5); spent != 5 {
-		t.Errorf("the small one spent %d of 5", spent)
+	if taken := takeRetries("small", 5); taken != 5 {
+		t.Errorf("the small workspace used %d retries of 5", taken)
 	}
 	total := 0
 	for n := range 100 {
-		total += spend(fmt.Sprint(n), 1)
+		total += takeRetries(fmt.Sprint(n), 1)
 	}
-	if total > maxBudget+100*earnedPerRequest {
-		t.Errorf("a hundred spent %d", total)
+	if total > maxSavedRetries+100*retriesPerRequest {
+		t.Errorf("a hundred workspaces used %d retries", total)
 	}
-	for range int(maxWorkspaceBudget / earnedPerRequest) {
-		b.earn("pool", "small")
+	for range int(maxWorkspaceSavedRetries / retriesPerRequest) {
+		b.recordRequest("pool", "small")
 	}
-	if _, isShort := b.short["small"]; isShort {
-		t.Error("a full budget is kept")
+	if _, isTracked := b.savedByWorkspace["small"]; isTracked {
+		t.Error("a workspace with a full budget still has an entry")
 	}
 }
 
-// TestWindowBoundsEverySpan: in any window a pool's retries are at most the slack
-// and what the requests earn of this window or of the one half a window before,
-// also after a quiet time and a flood. Routers use four fifths of the fleet's budget:
-// the rest is for windows that begin between the two.
-func TestWindowBoundsEverySpan(t *testing.T) {
-	rules := Rules{Ratio: 0.2, Slack: 8, Window: 10 * time.Second}
-	used := Rules{Ratio: 0.8 * rules.Ratio, Slack: 0.8 * rules.Slack, Window: rules.Window}
+// TestWindowBudgetHoldsInEveryWindow checks that in any window a pool's retries are at
+// most the slack plus the ratio times the requests of this window or of the one that
+// ended half a window earlier, also after a quiet time and a flood. Routers use four
+// fifths of the fleet's budget; the rest covers windows that begin between those two.
+func TestWindowBudgetHoldsInEveryWindow(t *testing.T) {
+	fleetLimits := Rules{Ratio: 0.2, Slack: 8, Window: 10 * time.Second}
+	routerLimits := Rules{Ratio: 0.8 * fleetLimits.Ratio, Slack: 0.8 * fleetLimits.Slack, Window: fleetLimits.Window}
 	begin := time.Now()
 	now := begin
-	b := newWindowed(func() Rules { return used }, func() time.Time { return now })
+	b := newWindowBudget(func() Rules { return routerLimits }, func() time.Time { return now })
 	var requests, retries []time.Duration
 	for n := range 4000 {
 		step := 10 * time.Millisecond
@@ -210,24 +211,24 @@
 		}
 		now = now.Add(step)
 		workspace := fmt.Sprint(n % 50)
-		b.earn("pool", workspace)
+		b.recordRequest("pool", workspace)
 		requests = append(requests, now.Sub(begin))
-		if n%1000 > 500 && b.spend("pool", workspace) {
+		if n%1000 > 500 && b.takeRetry("pool", workspace) {
 			retries = append(retries, now.Sub(begin))
 		}
 	}
 	within := func(times []time.Duration, end time.Duration) (count float64) {
 		for _, at := range times {
-			if at <= end && at > end-rules.Window {
+			if at <= end && at > end-fleetLimits.Window {
 				count++
 			}
 		}
 		return count
 	}
 	for _, end := range requests {
-		earned := max(within(requests, end), within(requests, end-rules.Window/2))
-		if spent, most := within(retries, end), rules.Slack+rules.Ratio*earned; spent > most {
-			t.Fatalf("%.0f retries for %.0f requests, at most %.1f", spent, earned, most)
+		earned := max(within(requests, end), within(requests, end-fleetLimits.Window/2))
+		if taken, limit := within(retries, end), fleetLimits.Slack+fleetLimits.Ratio*earned; taken > limit {
+			t.Fatalf("%.0f retries for %.0f requests, at most %.1f", taken, earned, limit)
 		}
 	}
 	if len(retries) == 0 {
@@ -235,37 +236,38 @@
 	}
 }
 
-// TestWindowServesABurst: what the requests of the window earned is there at once,
-// as when a target breaks off all its streams; one workspace gets half of it.
-func TestWindowServesABurst(t *testing.T) {
+// TestWindowBudgetAllowsBurst checks that all retries that the window's requests earned
+// are available at once, for instance when a target breaks all its streams, and that one
+// workspace gets at most half of them.
+func TestWindowBudgetAllowsBurst(t *testing.T) {
 	now := time.Now()
-	b := newWindowed(func() Rules { return Rules{Ratio: 0.2, Window: 10 * time.Second} }, func() time.Time { return now })
+	b := newWindowBudget(func() Rules { return Rules{Ratio: 0.2, Window: 10 * time.Second} }, func() time.Time { return now })
 	for range 500 {
 		now = now.Add(10 * time.Millisecond)
-		b.earn("pool", "a")
+		b.recordRequest("pool", "a")
 	}
-	spent := map[string]int{}
+	taken := map[string]int{}
 	for range 200 {
 		for _, workspace := range []string{"a", "b"} {
-			if b.spend("pool", workspace) {
-				spent[workspace]++
+			if b.takeRetry("pool", workspace) {
+				taken[workspace]++
 			}
 		}
 	}
-	if spent["a"] != 50 || spent["b"] != 50 {
-		t.Errorf("spent %v of 100", spent)
+	if taken["a"] != 50 || taken["b"] != 50 {
+		t.Errorf("used %v of 100 retries", taken)
 	}
-	if b.spend("other", "a") {
+	if b.takeRetry("other", "a") {
 		t.Error("a pool without requests has retries")
 	}
 }
 
-// TestFailedAnswerIsDelivered: an idempotent request whose target answered with an
-// error is tried again, and gets that answer if no retry is left.
+// TestFailedAnswerIsDelivered checks that an idempotent request whose target answered
+// with an error is retried, and gets that answer if no retry is left.
 func TestFailedAnswerIsDelivered(t *testing.T) {
-	for _, saved := range []float64{0, 5} {
-		f := NewWindowed(slog.New(slog.DiscardHandler), func() Rules { return Rules{Slack: saved, Window: time.Second} })
-		ex := routed(config.RouteIdempotent, 2)
+	for _, slack := range []float64{0, 5} {
+		f := NewWindowed(slog.New(slog.DiscardHandler), func() Rules { return Rules{Slack: slack, Window: time.Second} })
+		ex := newRoutedExchange(config.RouteIdempotent, 2)
 		calls := 0
 		err := f.Serve(context.Background(), ex, func(_ context.Context, ex *pipeline.Exchange) error {
 			calls++
@@ -277,23 +279,24 @@
 			return FailedAnswer(ex)
 		})
 		wantCalls, wantStatus := 1, 500
-		if saved > 0 {
+		if slack > 0 {
 			wantCalls, wantStatus = 2, 200
 		}
 		if err != nil || calls != wantCalls || ex.Status != wantStatus || len(ex.AnswerBody) == 0 {
-			t.Errorf("%g saved: %d calls, status %d, %v", saved, calls, ex.Status, err)
+			t.Errorf("%g saved: %d calls, status %d, %v", slack, calls, ex.Status, err)
 		}
 	}
 }
 
-// TestNonIdempotentErrorIsTheAnswer: it ran, and is not run again.
-func TestNonIdempotentErrorIsTheAnswer(t *testing.T) {
-	if err := FailedAnswer(routed(config.RouteNonIdempotent, 3)); err != nil {
+// TestNonIdempotentErrorIsNotRetried checks that an error answer to a non-idempotent
+// request, which ran, does not lead to another run.
+func TestNonIdempotentErrorIsNotRetried(t *testing.T) {
+	if err := FailedAnswer(newRoutedExchange(config.RouteNonIdempotent, 3)); err != nil {
 		t.Errorf("got %v", err)
 	}
 }
 
-func routed(kind config.RouteKind, attempts int) *pipeline.Exchange {
+func newRoutedExchange(kind config.RouteKind, attempts int) *pipeline.Exchange {
 	route := config.Route{Kind: kind, Attempts: attempts}
 	return &pipeline.Exchange{
 		Route:      &config.NamedRoute{Route: route},
@@ -303,17 +306,17 @@
 	}
 }
 
-// TestUnsentAttemptSpendsNoBudget: an attempt that was given up before it was sent, as its
-// target had said that it leaves, takes no retry from the budget.
-func TestUnsentAttemptSpendsNoBudget(t *testing.T) {
+// TestUnsentAttemptUsesNoBudget checks that an attempt that was abandoned before it was
+// sent, because its target had announced that it was leaving, takes no retry from the budget.
+func TestUnsentAttemptUsesNoBudget(t *testing.T) {
 	f := newFilter()
-	for range 10 * int(maxBudget) {
-		ex := exchange(false)
-		if refusal, count := attempts(context.Background(), f, ex, result.New(result.TargetLeft, "left")); refusal != nil || count != 2 {
+	for range 10 * int(maxSavedRetries) {
+		ex := newExchange(false)
+		if refusal, count := serveAttempts(context.Background(), f, ex, result.New(result.TargetLeft, "left")); refusal != nil || count != 2 {
 			t.Fatalf("%v after %d attempts", refusal, count)
 		}
 	}
-	if refusal, _ := attempts(context.Background(), f, exchange(true), result.New(result.ConnectFailed, "unreached")); refusal != nil {
+	if refusal, _ := serveAttempts(context.Background(), f, newExchange(true), result.New(result.ConnectFailed, "unreached")); refusal != nil {
 		t.Errorf("no retry is left: %v", refusal)
 	}
 }
--- a/filters/retry/window.go
+++ b/filters/retry/window.go
@@ -6,101 +6,102 @@
 )
 
 const (
-	// slotsPerWindow is into how many slots a window is cut.
-	slotsPerWindow = 20
-	// slotsKept is one more: requests are counted in the slots that lie in the window
-	// whole, and retries also in the one that lies in it in part, so that no window
-	// holds more than the rules allow.
-	slotsKept = slotsPerWindow + 1
+	// bucketsPerWindow is the number of time buckets in a window.
+	bucketsPerWindow = 20
+	// bucketsKept is one more than that: requests are summed over the buckets that lie
+	// fully inside the window, retries also over the one that lies partly inside, so
+	// that no window holds more retries than the limits allow.
+	bucketsKept = bucketsPerWindow + 1
 )
 
-// workspacePart is the part of a pool's retries that one workspace may use, so that
-// one whose requests all fail leaves retries to the others.
-const workspacePart = 0.5
+// maxWorkspaceFraction is the fraction of a pool's retries that one workspace may use,
+// so that a workspace whose requests all fail leaves retries to the others.
+const maxWorkspaceFraction = 0.5
 
-// Rules bound the retries of a pool at this router: in any window, Ratio for each
-// request in it, and Slack.
+// Limits bound the retries of a pool at this router: any window may hold Slack retries
+// plus Ratio for each request in the window.
 type Rules struct {
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
-// windowed is a budget that counts requests and retries in a sliding window.
-type windowed struct {
-	rules func() Rules
-	now   func() time.Time
+// windowBudget is a budget that counts requests and retries in a sliding window.
+type windowBudget struct {
+	limits func() Rules
+	now    func() time.Time
 
 	mu    sync.Mutex
 	pools map[string]*poolWindow
 }
 
-// poolWindow counts one pool. Slots are used in turn; each says which turn it holds.
+// poolWindow counts the requests and retries of one pool. It is a ring of time buckets;
+// each bucket records the period that it holds.
 type poolWindow struct {
-	slots [slotsKept]windowSlot
+	buckets [bucketsKept]windowBucket
 }
 
-type windowSlot struct {
-	turn              int64
+type windowBucket struct {
+	period            int64
 	requests, retries float64
-	// byWorkspace counts the retries of each workspace.
-	byWorkspace map[string]float64
+	// retriesByWorkspace counts the retries of each workspace.
+	retriesByWorkspace map[string]float64
 }
 
-func newWindowed(rules func() Rules, now func() time.Time) *windowed {
-	return &windowed{rules: rules, now: now, pools: make(map[string]*poolWindow)}
+func newWindowBudget(limits func() Rules, now func() time.Time) *windowBudget {
+	return &windowBudget{limits: limits, now: now, pools: make(map[string]*poolWindow)}
 }
 
-// start is the origin of turns, on the steady clock.
-var start = time.Now()
+// windowOrigin is the start of period 0, on the monotonic clock.
+var windowOrigin = time.Now()
 
-// slot returns the present slot of a pool and its turn.
-func (w *windowed) slot(pool string, window time.Duration) (*poolWindow, *windowSlot, int64) {
+// currentBucket returns a pool's window, its current bucket and the current period.
+func (w *windowBudget) currentBucket(pool string, window time.Duration) (*poolWindow, *windowBucket, int64) {
 	p := w.pools[pool]
 	if p == nil {
 		p = &poolWindow{}
 		w.pools[pool] = p
 	}
-	turn := int64(w.now().Sub(start) / (window / slotsPerWindow))
-	s := &p.slots[turn%slotsKept]
-	if s.turn != turn {
-		*s = windowSlot{turn: turn, byWorkspace: make(map[string]float64)}
+	period := int64(w.now().Sub(windowOrigin) / (window / bucketsPerWindow))
+	b := &p.buckets[period%bucketsKept]
+	if b.period != period {
+		*b = windowBucket{period: period, retriesByWorkspace: make(map[string]float64)}
 	}
-	if s.byWorkspace == nil {
-		s.byWorkspace = make(map[string]float64)
+	if b.retriesByWorkspace == nil {
+		b.retriesByWorkspace = make(map[string]float64)
 	}
-	return p, s, turn
+	return p, b, period
 }
 
-// earn counts a request.
-func (w *windowed) earn(pool, _ string) {
-	rules := w.rules()
+// recordRequest counts one request in the current bucket.
+func (w *windowBudget) recordRequest(pool, _ string) {
+	limits := w.limits()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, s, _ := w.slot(pool, rules.Window)
-	s.requests++
+	_, b, _ := w.currentBucket(pool, limits.Window)
+	b.requests++
 }
 
-// spend takes one retry. It reports false if there is none.
-func (w *windowed) spend(pool, workspace string) bool {
-	rules := w.rules()
+// takeRetry takes one retry. It returns false if none is left.
+func (w *windowBudget) takeRetry(pool, workspace string) bool {
+	limits := w.limits()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p, s, turn := w.slot(pool, rules.Window)
-	var requests, retries, own float64
-	for _, other := range p.slots {
-		if turn-other.turn < slotsPerWindow {
+	p, b, period := w.currentBucket(pool, limits.Window)
+	var requests, retries, workspaceRetries float64
+	for _, other := range p.buckets {
+		if period-other.period < bucketsPerWindow {
 			requests += other.requests
 		}
-		if turn-other.turn < slotsKept {
+		if period-other.period < bucketsKept {
 			retries += other.retries
-			own += other.byWorkspace[workspace]
+			workspaceRetries += other.retriesByWorkspace[workspace]
 		}
 	}
-	allowed := rules.Slack + rules.Ratio*requests
-	if retries+1 > allowed || own+1 > max(1, workspacePart*allowed) {
+	allowed := limits.Slack + limits.Ratio*requests
+	if retries+1 > allowed || workspaceRetries+1 > max(1, maxWorkspaceFraction*allowed) {
 		return false
 	}
-	s.retries++
-	s.byWorkspace[workspace]++
+	b.retries++
+	b.retriesByWorkspace[workspace]++
 	return true
 }
