--- a/filters/dispatch/dispatch.go
+++ b/filters/dispatch/dispatch.go
@@ -1,5 +1,5 @@
 // Package dispatch is the filter that sends a granted request to its target
-// and waits for the head of the answer. It never retries: see filters/retry.
+// and waits for the answer's header. It never retries: see filters/retry.
 package dispatch
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// refusals counts the calls to targets that gave no answer.
+// refusals counts the calls to targets that got no answer, by result code.
 var refusals = codecounter.New("walnut_dispatch_refusals_total",
 	result.ConnectFailed,
 	result.TargetRefused,
@@ -31,19 +31,19 @@
 type Filter struct {
 	// Client calls targets.
 	Client targets.Client
-	// Relay takes the answer's body over; see filters/relay.
+	// Relay takes over the answer's body; see filters/relay.
 	Relay func(ctx context.Context, ex *pipeline.Exchange, answer *targets.Response) error
-	// FirstByteTimeout bounds the wait for the answer's head.
+	// FirstByteTimeout bounds the wait for the answer's header.
 	FirstByteTimeout time.Duration
-	// Lag returns how late this process runs; nil: never.
+	// Lag returns by how much this process lags behind; nil means that it never lags.
 	Lag func() time.Duration
-	// Log gets a line at debug for each answer that begins.
+	// Log gets a debug line for each answer that begins.
 	Log *slog.Logger
 }
 
-// lagPatience is how many times its own lateness a router adds to what it lets a
-// target be silent: on its way through a busy router an answer waits several times.
-const lagPatience = 10
+// lagTimeoutFactor is how many times the router's own lag is added to the time that a
+// target may be silent: an answer waits several times on its way through a busy router.
+const lagTimeoutFactor = 10
 
 // Name implements pipeline.Filter.
 func (f *Filter) Name() string { return "dispatch" }
@@ -62,7 +62,7 @@
 	ctx = ex.RunContext(ctx)
 	answer, err := f.send(ctx, ex)
 	if err != nil {
-		refusal := asResult(err)
+		refusal := toResultError(err)
 		refusals.Inc(refusal.Code)
 		ex.Run.End(OutcomeOf(refusal))
 		return refusal
@@ -71,12 +71,12 @@
 	return f.Relay(ctx, ex, answer)
 }
 
-// send calls the target. A head that has arrived stays open until the exchange
-// ends or ctx does, as it does when the caller of an idempotent request goes
-// away.
+// send calls the target and returns the answer once its header has arrived. The
+// call stays open until the exchange ends or ctx does; ctx ends, for example, when
+// the caller of an idempotent request disconnects.
 func (f *Filter) send(ctx context.Context, ex *pipeline.Exchange) (*targets.Response, error) {
-	// On a busy router a request may have waited to be read for longer than its
-	// caller did; the look is cheap against a run for nobody.
+	// On a busy router the request may have waited longer than its caller did. Probing
+	// the connection is cheap compared with a run that nobody waits for.
 	if ex.HasCallerLeft() {
 		return nil, result.New(result.CallerGone, "The caller went away.")
 	}
@@ -96,16 +96,16 @@
 	}
 	cancel()
 	if ex.IsAbandoned() {
-		return nil, rename(err, result.CallerGone, "The caller went away.")
+		return nil, withCode(err, result.CallerGone, "The caller went away.")
 	}
 	if timedOut {
-		return nil, rename(err, result.FirstByteTimeout, "The target did not answer in time.")
+		return nil, withCode(err, result.FirstByteTimeout, "The target did not answer in time.")
 	}
 	return nil, err
 }
 
-// Request builds the call to the exchange's target. A resumed call starts at
-// offset.
+// Request builds the call to the exchange's target. A resumed call starts after
+// offset bytes of the answer's body.
 func Request(ex *pipeline.Exchange, offset int64) targets.Request {
 	request := targets.Request{
 		ID:      ex.ID,
@@ -136,38 +136,39 @@
 }
 
 const (
-	// leastPatience is the shortest silence of a target after which a request that
-	// may run again goes to another one. Targets under load pause for some hundred
-	// milliseconds; callers give a silent stream up after two seconds or more.
-	leastPatience = 1200 * time.Millisecond
-	// pausesPatience is that silence in pauses that are still on time.
-	pausesPatience = 4
-	// startPatience is that silence in times of the predicted start, behind
-	// leastPatience: predictions are rarely off by more.
-	startPatience = 3
+	// minStallLimit is the shortest silence of a target after which an idempotent
+	// request moves to another one. Targets under load pause for a few hundred
+	// milliseconds; callers give up on a silent stream after two seconds or more.
+	minStallLimit = 1200 * time.Millisecond
+	// stallPauseFactor allows a silence of at least this many times the longest pause
+	// that the route still counts as on time.
+	stallPauseFactor = 4
+	// stallStartFactor adds this many predicted start times to minStallLimit:
+	// predictions are rarely wrong by a larger factor.
+	stallStartFactor = 3
 )
 
-// stallLimit is how long a target may be silent before a request that may run again
-// is taken to another one.
+// stallLimit returns how long a target may be silent before an idempotent request is
+// moved to another one.
 func stallLimit(ex *pipeline.Exchange) time.Duration {
-	pauses := pausesPatience * time.Duration(ex.Route.PauseMillis) * time.Millisecond
-	return max(leastPatience+startPatience*ex.Placed.Start, pauses)
+	pauses := stallPauseFactor * time.Duration(ex.Route.PauseMillis) * time.Millisecond
+	return max(minStallLimit+stallStartFactor*ex.Placed.Start, pauses)
 }
 
-// firstByteTimeout bounds the wait for the answer's head: for a request that may
-// run again elsewhere, by what a target may be silent.
+// firstByteTimeout returns the limit of the wait for the answer's header. A request
+// that may still be retried on another target waits no longer than a target may be silent.
 func (f *Filter) firstByteTimeout(ex *pipeline.Exchange) time.Duration {
 	if ex.Route == nil || !ex.Idempotent || ex.Attempt >= ex.Route.Attempts {
 		return f.FirstByteTimeout
 	}
 	limit := stallLimit(ex)
 	if f.Lag != nil {
-		limit += lagPatience * f.Lag()
+		limit += lagTimeoutFactor * f.Lag()
 	}
 	return min(f.FirstByteTimeout, limit)
 }
 
-// checkBeforeDispatch runs the last checks before any byte is written.
+// checkBeforeDispatch runs the last checks before any byte is written to the target.
 func checkBeforeDispatch(ex *pipeline.Exchange) error {
 	for _, check := range ex.BeforeDispatch {
 		if err := check(); err != nil {
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// OutcomeOf maps a failed call to the outcome that the scheduler is told.
+// OutcomeOf maps a failed call to the outcome reported to the scheduler.
 func OutcomeOf(refusal *result.Error) control.Outcome {
 	switch {
 	case refusal.Code == result.ConnectFailed:
@@ -195,14 +196,15 @@
 	}
 }
 
-// rename names a cancelled call after its cause, and keeps its outcome.
-func rename(err error, code result.Code, detail string) error {
+// withCode returns the error of a cancelled call with the result code of what cancelled
+// it. It keeps the call's Ran value.
+func withCode(err error, code result.Code, detail string) error {
 	renamed := result.Wrap(code, err, "%s", detail)
-	renamed.Ran = asResult(err).Ran
+	renamed.Ran = toResultError(err).Ran
 	return renamed
 }
 
-func asResult(err error) *result.Error {
+func toResultError(err error) *result.Error {
 	var refusal *result.Error
 	if errors.As(err, &refusal) {
 		return refusal
--- a/filters/dispatch/dispatch_test.go
+++ b/filters/dispatch/dispatch_test.go
@@ -14,7 +14,7 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// fakeTarget answers each call by a function.
+// fakeTarget answers each call by calling do and records the calls.
 type fakeTarget struct {
 	do    func(ctx context.Context) (*targets.Response, error)
 	calls []targets.Request
@@ -28,17 +28,17 @@
 
 // Load implements targets.Client.
 func (f *fakeTarget) Load(context.Context, string) (targets.Load, error) {
-	return targets.Load{}, errors.New("not asked for here")
+	return targets.Load{}, errors.New("not used in this test")
 }
 
-// endedRun notes how a run was ended first.
-type endedRun struct{ outcomes []control.Outcome }
+// recordedRun records the outcomes that a run was ended with; only the first counts.
+type recordedRun struct{ outcomes []control.Outcome }
 
 // Begin implements pipeline.Run.
-func (e *endedRun) Begin() {}
+func (e *recordedRun) Begin() {}
 
 // End implements pipeline.Run.
-func (e *endedRun) End(outcome control.Outcome) { e.outcomes = append(e.outcomes, outcome) }
+func (e *recordedRun) End(outcome control.Outcome) { e.outcomes = append(e.outcomes, outcome) }
 
 type closedBody struct {
 	io.Reader
@@ -52,8 +52,8 @@
 }
 
 // serve runs the filter and returns the refusal, if there is one.
-func serve(ctx context.Context, f *Filter, ex *pipeline.Exchange) (*result.Error, *endedRun) {
-	run := &endedRun{}
+func serve(ctx context.Context, f *Filter, ex *pipeline.Exchange) (*result.Error, *recordedRun) {
+	run := &recordedRun{}
 	ex.ID, ex.Address, ex.Path, ex.Run = "r-1", "127.0.0.1:1", "/x", run
 	f.Log = slog.New(slog.DiscardHandler)
 	if f.FirstByteTimeout == 0 {
@@ -64,7 +64,7 @@
 	return refusal, run
 }
 
-func TestFailuresKeepTheirOutcome(t *testing.T) {
+func TestFailureOutcomes(t *testing.T) {
 	notRun := result.New(result.TargetError, "Bad head.")
 	notRun.Ran = result.RanNo
 	for _, c := range []struct {
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestRefusedRightBeforeDispatch(t *testing.T) {
+func TestRefusalByBeforeDispatchCheck(t *testing.T) {
 	client := &fakeTarget{}
 	lapsed := result.New(result.RecordLapsed, "Lapsed.")
 	ex := &pipeline.Exchange{BeforeDispatch: []func() error{
@@ -108,8 +108,8 @@
 	}
 }
 
-// waitForEnd is a target that does not answer: its call ends with ctx.
-func waitForEnd(started chan<- struct{}, ran result.Ran) func(context.Context) (*targets.Response, error) {
+// blockUntilCancelled returns a target that does not answer: its call ends with ctx.
+func blockUntilCancelled(started chan<- struct{}, ran result.Ran) func(context.Context) (*targets.Response, error) {
 	return func(ctx context.Context) (*targets.Response, error) {
 		close(started)
 		<-ctx.Done()
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestCallerGoneCancelsTheCall: the caller-side server ends the context when
-// the caller is gone; nothing else watches for it.
+// TestCallerGoneCancelsTheCall checks that a call ends with its context. The server for
+// callers ends that context when the caller disconnects; nothing else watches for it.
 func TestCallerGoneCancelsTheCall(t *testing.T) {
 	for _, ran := range []result.Ran{result.RanNo, result.RanUnknown} {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -130,7 +130,7 @@
 			close(gone)
 			cancel()
 		}()
-		f := &Filter{Client: &fakeTarget{do: waitForEnd(started, ran)}}
+		f := &Filter{Client: &fakeTarget{do: blockUntilCancelled(started, ran)}}
 		refusal, run := serve(ctx, f, &pipeline.Exchange{CallerGone: gone})
 		if refusal == nil || refusal.Code != result.CallerGone || refusal.Ran != ran || run.outcomes[0] != control.OutcomeCancelled {
 			t.Errorf("ran %s: got %v, outcomes %v", ran, refusal, run.outcomes)
@@ -138,16 +138,17 @@
 	}
 }
 
-// TestNonIdempotentRunOutlivesItsCaller: only a forced stop ends the call.
+// TestNonIdempotentRunOutlivesItsCaller checks that only a forced stop of the router ends
+// the call of a non-idempotent request, and that an idempotent one ends with its caller.
 func TestNonIdempotentRunOutlivesItsCaller(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		serving, stop := context.WithCancel(context.Background())
 		ctx, cancel := context.WithCancel(serving)
-		gone, lasted := make(chan struct{}), false
+		gone, wasCallAlive := make(chan struct{}), false
 		f := &Filter{Client: &fakeTarget{do: func(call context.Context) (*targets.Response, error) {
 			close(gone)
 			cancel()
-			lasted = call.Err() == nil
+			wasCallAlive = call.Err() == nil
 			stop()
 			<-call.Done()
 			return nil, result.New(result.TargetLostRequest, "Cut.")
@@ -158,14 +159,15 @@
 		if idempotent {
 			code, outcome = result.CallerGone, control.OutcomeCancelled
 		}
-		if lasted == idempotent || refusal == nil || refusal.Code != code || run.outcomes[0] != outcome {
-			t.Errorf("idempotent %t: lasted %t, got %v, outcomes %v", idempotent, lasted, refusal, run.outcomes)
+		if wasCallAlive == idempotent || refusal == nil || refusal.Code != code || run.outcomes[0] != outcome {
+			t.Errorf("idempotent %t: lasted %t, got %v, outcomes %v", idempotent, wasCallAlive, refusal, run.outcomes)
 		}
 	}
 }
 
-// TestNothingIsSentForACallerThatIsGone: the request is refused as not run.
-func TestNothingIsSentForACallerThatIsGone(t *testing.T) {
+// TestNoCallForKnownGoneCaller checks that a request whose caller is known to have
+// disconnected is refused as not run.
+func TestNoCallForKnownGoneCaller(t *testing.T) {
 	gone := make(chan struct{})
 	close(gone)
 	client := &fakeTarget{}
@@ -176,14 +178,14 @@
 	}
 }
 
-func TestSlowTargetIsGivenUp(t *testing.T) {
+func TestSlowTargetTimesOut(t *testing.T) {
 	f := &Filter{FirstByteTimeout: time.Millisecond}
-	f.Client = &fakeTarget{do: waitForEnd(make(chan struct{}), result.RanUnknown)}
+	f.Client = &fakeTarget{do: blockUntilCancelled(make(chan struct{}), result.RanUnknown)}
 	refusal, run := serve(context.Background(), f, &pipeline.Exchange{})
 	if refusal == nil || refusal.Code != result.FirstByteTimeout || refusal.Ran != result.RanUnknown || run.outcomes[0] != control.OutcomeFailed {
 		t.Errorf("got %v, outcomes %v", refusal, run.outcomes)
 	}
-	// The head comes as the time runs out: the answer is not used.
+	// The header arrives just as the timeout fires: the answer must not be used.
 	body := &closedBody{}
 	f.Client = &fakeTarget{do: func(ctx context.Context) (*targets.Response, error) {
 		<-ctx.Done()
@@ -195,7 +197,8 @@
 	}
 }
 
-// TestCallLastsUntilTheExchangeEnds: the answer's body is read after Serve.
+// TestCallLastsUntilTheExchangeEnds guards against ending the call when Serve returns:
+// the answer's body is read after that.
 func TestCallLastsUntilTheExchangeEnds(t *testing.T) {
 	var call context.Context
 	f := &Filter{
@@ -215,9 +218,9 @@
 	}
 }
 
-// TestNothingIsSentForACallerThatLeft: a caller that is found to have left right
-// before the request is sent gets no run.
-func TestNothingIsSentForACallerThatLeft(t *testing.T) {
+// TestNoCallWhenProbeFindsCallerGone checks that no run begins for a caller whose
+// connection is found closed right before the request is sent.
+func TestNoCallWhenProbeFindsCallerGone(t *testing.T) {
 	f := &fakeTarget{do: func(context.Context) (*targets.Response, error) {
 		return nil, errors.New("called")
 	}}
