--- a/filters/relay/body.go
+++ b/filters/relay/body.go
@@ -10,60 +10,61 @@
 	"github.com/walnutcove/walnutcove/pipeline"
 )
 
-// serverErrors is the first HTTP status that counts as a failed run.
-const serverErrors = 500
+// minServerErrorStatus is the lowest HTTP status that counts as a failed run.
+const minServerErrorStatus = 500
 
-// body is a target's answer on its way to the caller. It counts what was
-// relayed, resumes a broken stream, and ends the run exactly once.
+// body is a target's answer that is being relayed to the caller. It counts the
+// relayed bytes, resumes a broken stream, and ends the run exactly once.
 type body struct {
 	ctx   context.Context
 	relay *Relay
 	ex    *pipeline.Exchange
-	// run is the exchange's at the time, which a retry replaces.
+	// run is the exchange's run when the answer began; a retry replaces that of the
+	// exchange.
 	run pipeline.Run
 
-	source  io.ReadCloser
-	first   []byte // read already, not yet handed on
-	sticky  error  // returned once first is empty
-	offset  int64  // bytes handed on
-	resumes int
+	source      io.ReadCloser
+	buffered    []byte // read from source, not yet returned by Read
+	sourceErr   error  // returned once buffered is empty
+	offset      int64  // bytes returned by Read
+	resumeCount int
 
 	closeOnce sync.Once
 }
 
-func newBody(ctx context.Context, r *Relay, ex *pipeline.Exchange, source io.ReadCloser, first []byte, err error) *body {
-	return &body{ctx: ctx, relay: r, ex: ex, run: ex.Run, source: source, first: first, sticky: err}
+func newBody(ctx context.Context, r *Relay, ex *pipeline.Exchange, source io.ReadCloser, buffered []byte, err error) *body {
+	return &body{ctx: ctx, relay: r, ex: ex, run: ex.Run, source: source, buffered: buffered, sourceErr: err}
 }
 
-// Read hands on the next part. It returns io.EOF only for a whole answer.
+// Read implements io.Reader. It returns io.EOF only at the end of a complete answer.
 func (b *body) Read(p []byte) (int, error) {
-	if len(b.first) > 0 {
-		n := copy(p, b.first)
-		b.first = b.first[n:]
+	if len(b.buffered) > 0 {
+		n := copy(p, b.buffered)
+		b.buffered = b.buffered[n:]
 		b.offset += int64(n)
 		return n, nil
 	}
-	if b.sticky == nil {
+	if b.sourceErr == nil {
 		n, err := b.source.Read(p)
 		b.offset += int64(n)
-		b.sticky = err
+		b.sourceErr = err
 		if n > 0 || err == nil {
 			return n, nil
 		}
 	}
-	if b.sticky != io.EOF && b.resume() {
-		b.sticky = nil
+	if b.sourceErr != io.EOF && b.resume() {
+		b.sourceErr = nil
 		return b.Read(p)
 	}
-	return 0, b.ended(b.sticky)
+	return 0, b.endRun(b.sourceErr)
 }
 
-// resume opens the stream again at the offset reached.
+// resume reopens the stream at the current offset. It reports whether it succeeded.
 func (b *body) resume() bool {
 	if !b.canResume() {
 		return false
 	}
-	b.resumes++
+	b.resumeCount++
 	answer, err := b.relay.Client.Do(b.ctx, b.relay.Request(b.ex, b.offset))
 	if err != nil {
 		return false
@@ -74,48 +75,49 @@
 	}
 	_ = b.source.Close()
 	b.source = answer.Body
-	resumed.Inc()
+	resumedCount.Inc()
 	pipeline.Log(b.ctx, b.relay.Log, slog.LevelWarn, b.ex, "relay: Stream broke and was resumed.", slog.Int64("offset", b.offset))
 	return true
 }
 
-// canResume says whether the target may be asked to go on. At offset zero
-// nothing was handed on, and the call would be a fresh run.
+// canResume reports whether the target may be asked to continue the answer. At offset
+// zero nothing has been relayed, and the call would start a new run.
 func (b *body) canResume() bool {
-	if b.offset == 0 || b.resumes >= maxResumes || b.ctx.Err() != nil {
+	if b.offset == 0 || b.resumeCount >= maxResumes || b.ctx.Err() != nil {
 		return false
 	}
 	declared := b.ex.Snapshot.Declarations.Targets[b.ex.Target]
 	return declared.Resumes
 }
 
-// ended ends the run after the last part or a break.
-func (b *body) ended(err error) error {
-	b.sticky = err
+// endRun ends the run with the outcome that follows from err: io.EOF after a complete
+// answer, any other error after a break. It returns err.
+func (b *body) endRun(err error) error {
+	b.sourceErr = err
 	switch {
 	case err != io.EOF && b.ex.IsAbandoned():
-		gone.Inc()
+		callerGoneCount.Inc()
 		b.run.End(control.OutcomeCancelled)
 	case err != io.EOF:
-		broken.Inc()
+		brokenCount.Inc()
 		b.run.End(control.OutcomeLost)
-	case b.ex.Status >= serverErrors:
-		failed.Inc()
+	case b.ex.Status >= minServerErrorStatus:
+		targetErrorCount.Inc()
 		b.run.End(control.OutcomeFailed)
 	default:
-		answered.Inc()
+		answeredCount.Inc()
 		b.run.End(control.OutcomeAnswered)
 	}
 	return err
 }
 
-// Close ends the run. Before the answer's end it cancels the run.
+// Close ends the run. If the answer is not complete, the run is cancelled.
 func (b *body) Close() error {
 	var err error
 	b.closeOnce.Do(func() {
 		err = b.source.Close()
-		if b.sticky == nil || len(b.first) > 0 {
-			gone.Inc()
+		if b.sourceErr == nil || len(b.buffered) > 0 {
+			callerGoneCount.Inc()
 		}
 		b.run.End(control.OutcomeCancelled)
 	})
--- a/filters/relay/relay_test.go
+++ b/filters/relay/relay_test.go
@@ -14,59 +14,59 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-var errCut = errors.New("cut")
-
-// parts is a body that gives its text and then an error, in the same read if
-// together is set.
-type parts struct {
-	text     string
-	end      error
-	together bool
-	closed   int
+var errBroken = errors.New("cut")
+
+// fakeBody is a body that returns its text and then err, in the same read if
+// isErrWithText is set.
+type fakeBody struct {
+	text          string
+	err           error
+	isErrWithText bool
+	closeCount    int
 }
 
-func (p *parts) Read(b []byte) (int, error) {
+func (p *fakeBody) Read(b []byte) (int, error) {
 	n := copy(b, p.text)
 	p.text = p.text[n:]
-	if n > 0 && !p.together {
+	if n > 0 && !p.isErrWithText {
 		return n, nil
 	}
-	return n, p.end
+	return n, p.err
 }
 
-func (p *parts) Close() error {
-	p.closed++
+func (p *fakeBody) Close() error {
+	p.closeCount++
 	return nil
 }
 
-// scripted answers each call with the next of its answers.
-type scripted struct {
-	answers []*targets.Response
-	asked   []targets.Request
+// scriptedClient answers each call with the next of its answers.
+type scriptedClient struct {
+	answers  []*targets.Response
+	requests []targets.Request
 }
 
-func (s *scripted) Do(_ context.Context, r targets.Request) (*targets.Response, error) {
-	s.asked = append(s.asked, r)
+func (s *scriptedClient) Do(_ context.Context, r targets.Request) (*targets.Response, error) {
+	s.requests = append(s.requests, r)
 	if len(s.answers) == 0 {
-		return nil, errCut
+		return nil, errBroken
 	}
 	next := s.answers[0]
 	s.answers = s.answers[1:]
 	return next, nil
 }
 
-func (s *scripted) Load(context.Context, string) (targets.Load, error) {
-	return targets.Load{}, errCut
+func (s *scriptedClient) Load(context.Context, string) (targets.Load, error) {
+	return targets.Load{}, errBroken
 }
 
-type countedRun struct{ outcomes []control.Outcome }
+type recordedRun struct{ outcomes []control.Outcome }
 
-func (c *countedRun) Begin() {}
+func (c *recordedRun) Begin() {}
 
-func (c *countedRun) End(outcome control.Outcome) { c.outcomes = append(c.outcomes, outcome) }
+func (c *recordedRun) End(outcome control.Outcome) { c.outcomes = append(c.outcomes, outcome) }
 
-// first returns the outcome that counts; see pipeline.Run.
-func (c *countedRun) first(t *testing.T) control.Outcome {
+// firstOutcome returns the outcome that counts, which is the first; see pipeline.Run.
+func (c *recordedRun) firstOutcome(t *testing.T) control.Outcome {
 	t.Helper()
 	if len(c.outcomes) == 0 {
 		t.Fatal("the run was not ended")
@@ -74,15 +74,15 @@
 	return c.outcomes[0]
 }
 
-func exchange(resumes bool) (*pipeline.Exchange, *countedRun) {
-	run := &countedRun{}
+func newExchange(resumes bool) (*pipeline.Exchange, *recordedRun) {
+	run := &recordedRun{}
 	ex := &pipeline.Exchange{Stream: true, Target: "t", Run: run}
 	ex.Snapshot = &config.Snapshot{}
 	ex.Snapshot.Declarations.Targets = map[string]config.Target{"t": {Resumes: resumes}}
 	return ex, run
 }
 
-func relayOf(client targets.Client) *Relay {
+func newRelay(client targets.Client) *Relay {
 	return &Relay{
 		Client: client,
 		Log:    slog.New(slog.DiscardHandler),
@@ -92,15 +92,15 @@
 	}
 }
 
-func answerOf(status int, body io.ReadCloser) *targets.Response {
+func newAnswer(status int, body io.ReadCloser) *targets.Response {
 	return &targets.Response{Status: status, Body: body}
 }
 
-func TestStreamResumesAtTheOffsetReached(t *testing.T) {
-	for _, together := range []bool{false, true} {
-		client := &scripted{answers: []*targets.Response{answerOf(200, &parts{text: "world", end: io.EOF})}}
-		ex, run := exchange(true)
-		err := relayOf(client).Answer(context.Background(), ex, answerOf(200, &parts{text: "hello ", end: errCut, together: together}))
+func TestStreamResumesAtOffset(t *testing.T) {
+	for _, isErrWithText := range []bool{false, true} {
+		client := &scriptedClient{answers: []*targets.Response{newAnswer(200, &fakeBody{text: "world", err: io.EOF})}}
+		ex, run := newExchange(true)
+		err := newRelay(client).Answer(context.Background(), ex, newAnswer(200, &fakeBody{text: "hello ", err: errBroken, isErrWithText: isErrWithText}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -108,77 +108,77 @@
 		if err != nil || string(got) != "hello world" {
 			t.Errorf("read %q, %v", got, err)
 		}
-		if len(client.asked) != 1 || client.asked[0].Offset != int64(len("hello ")) {
-			t.Errorf("asked %+v", client.asked)
+		if len(client.requests) != 1 || client.requests[0].Offset != int64(len("hello ")) {
+			t.Errorf("requested %+v", client.requests)
 		}
-		if outcome := run.first(t); outcome != control.OutcomeAnswered {
+		if outcome := run.firstOutcome(t); outcome != control.OutcomeAnswered {
 			t.Errorf("outcome %v", outcome)
 		}
 	}
 }
 
-func TestBreakIsNeverAnEnd(t *testing.T) {
-	ex, run := exchange(false)
-	err := relayOf(&scripted{}).Answer(context.Background(), ex, answerOf(200, &parts{text: "half", end: errCut}))
+func TestBrokenStreamReturnsError(t *testing.T) {
+	ex, run := newExchange(false)
+	err := newRelay(&scriptedClient{}).Answer(context.Background(), ex, newAnswer(200, &fakeBody{text: "half", err: errBroken}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := io.ReadAll(ex.AnswerStream)
-	if !errors.Is(err, errCut) || string(got) != "half" {
+	if !errors.Is(err, errBroken) || string(got) != "half" {
 		t.Errorf("read %q, %v", got, err)
 	}
-	if outcome := run.first(t); outcome != control.OutcomeLost {
+	if outcome := run.firstOutcome(t); outcome != control.OutcomeLost {
 		t.Errorf("outcome %v", outcome)
 	}
 }
 
-func TestBreakBeforeTheFirstPartIsReturned(t *testing.T) {
-	ex, run := exchange(true)
-	client := &scripted{}
-	err := relayOf(client).Answer(context.Background(), ex, answerOf(200, &parts{end: errCut}))
+func TestBreakBeforeFirstPartIsReturned(t *testing.T) {
+	ex, run := newExchange(true)
+	client := &scriptedClient{}
+	err := newRelay(client).Answer(context.Background(), ex, newAnswer(200, &fakeBody{err: errBroken}))
 	if err == nil || ex.AnswerStream != nil {
 		t.Fatalf("error %v, stream %v", err, ex.AnswerStream)
 	}
-	if len(client.asked) != 0 {
-		t.Error("a fresh run was asked for")
+	if len(client.requests) != 0 {
+		t.Error("a new run was requested")
 	}
-	if outcome := run.first(t); outcome != control.OutcomeLost {
+	if outcome := run.firstOutcome(t); outcome != control.OutcomeLost {
 		t.Errorf("outcome %v", outcome)
 	}
 }
 
-func TestResumeThatIsRefusedIsClosed(t *testing.T) {
-	refused := &parts{text: "unknown run", end: io.EOF}
-	client := &scripted{answers: []*targets.Response{answerOf(410, refused)}}
-	ex, _ := exchange(true)
-	if err := relayOf(client).Answer(context.Background(), ex, answerOf(200, &parts{text: "half", end: errCut})); err != nil {
+func TestRefusedResumeIsClosed(t *testing.T) {
+	refused := &fakeBody{text: "unknown run", err: io.EOF}
+	client := &scriptedClient{answers: []*targets.Response{newAnswer(410, refused)}}
+	ex, _ := newExchange(true)
+	if err := newRelay(client).Answer(context.Background(), ex, newAnswer(200, &fakeBody{text: "half", err: errBroken})); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadAll(ex.AnswerStream); !errors.Is(err, errCut) {
+	if _, err := io.ReadAll(ex.AnswerStream); !errors.Is(err, errBroken) {
 		t.Errorf("error %v", err)
 	}
-	if refused.closed == 0 {
+	if refused.closeCount == 0 {
 		t.Error("the refusal's body was not closed")
 	}
 }
 
-func TestWholeAnswerIsHeldAndALargeOneStreamed(t *testing.T) {
-	ex, run := exchange(false)
+func TestSmallAnswerIsBufferedAndLargeOneStreamed(t *testing.T) {
+	ex, run := newExchange(false)
 	ex.Stream = false
-	if err := relayOf(&scripted{}).Answer(context.Background(), ex, answerOf(200, &parts{text: "all", end: io.EOF})); err != nil {
+	if err := newRelay(&scriptedClient{}).Answer(context.Background(), ex, newAnswer(200, &fakeBody{text: "all", err: io.EOF})); err != nil {
 		t.Fatal(err)
 	}
-	if string(ex.AnswerBody) != "all" || run.first(t) != control.OutcomeAnswered {
+	if string(ex.AnswerBody) != "all" || run.firstOutcome(t) != control.OutcomeAnswered {
 		t.Errorf("body %q, outcomes %v", ex.AnswerBody, run.outcomes)
 	}
 	large := strings.Repeat("x", maxWholeBytes+1)
-	ex, _ = exchange(false)
+	ex, _ = newExchange(false)
 	ex.Stream = false
-	if err := relayOf(&scripted{}).Answer(context.Background(), ex, answerOf(200, &parts{text: large, end: errCut})); err != nil {
+	if err := newRelay(&scriptedClient{}).Answer(context.Background(), ex, newAnswer(200, &fakeBody{text: large, err: errBroken})); err != nil {
 		t.Fatal(err)
 	}
 	got, err := io.ReadAll(ex.AnswerStream)
-	if len(got) != len(large) || !errors.Is(err, errCut) {
+	if len(got) != len(large) || !errors.Is(err, errBroken) {
 		t.Errorf("read %d bytes, %v", len(got), err)
 	}
 }
