--- a/filters/events/events.go
+++ b/filters/events/events.go
@@ -1,6 +1,6 @@
-// Package events relays event streams. It hands whole events to the caller as
-// they arrive, and where the route allows it goes on at another target, behind
-// the last whole event, when a target breaks off:
+// Package events relays event streams. It passes complete events to the caller as
+// they arrive. If a target breaks off and the route allows it, the stream resumes on
+// another target after the last complete event:
 //
 //	[routes.rewrite]
 //	kind = "stream"
@@ -23,40 +23,42 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// bufferBytes is the first size of the buffer for events that have not arrived
-// whole; maxEventBytes is its last.
+// The buffer for events that have not arrived completely has minBufferBytes at first
+// and grows; from maxEventBytes on, its content is relayed even if it is not a
+// complete event.
 const (
-	bufferBytes   = 4 << 10
-	maxEventBytes = 1 << 20
+	minBufferBytes = 4 << 10
+	maxEventBytes  = 1 << 20
 )
 
 var (
-	resumed   = metrics.GetOrCreateCounter(`walnut_events_resumes_total{result="resumed"}`)
-	notResume = metrics.GetOrCreateCounter(`walnut_events_resumes_total{result="failed"}`)
-	whole     = metrics.GetOrCreateCounter(`walnut_events_streams_total{result="whole"}`)
-	broken    = metrics.GetOrCreateCounter(`walnut_events_streams_total{result="broken"}`)
-	gone      = metrics.GetOrCreateCounter(`walnut_events_streams_total{result="caller_gone"}`)
+	resumedCount      = metrics.GetOrCreateCounter(`walnut_events_resumes_total{result="resumed"}`)
+	resumeFailedCount = metrics.GetOrCreateCounter(`walnut_events_resumes_total{result="failed"}`)
+	wholeCount        = metrics.GetOrCreateCounter(`walnut_events_streams_total{result="whole"}`)
+	brokenCount       = metrics.GetOrCreateCounter(`walnut_events_streams_total{result="broken"}`)
+	callerGoneCount   = metrics.GetOrCreateCounter(`walnut_events_streams_total{result="caller_gone"}`)
 )
 
-// Reopen runs the exchange again on another target, from behind ex.AfterEvent.
-// It sets ex.Run. An error says why it cannot.
+// Reopen runs the exchange again on another target, starting after ex.LastEventID.
+// It sets ex.Run.
 type Reopen func(ctx context.Context, ex *pipeline.Exchange) (*targets.Response, error)
 
-// Relay takes event streams over.
+// Relay relays the event streams of targets to callers.
 type Relay struct {
-	// Reopen continues broken streams; nil: they are not continued.
+	// Reopen resumes broken streams; nil means that they are not resumed.
 	Reopen Reopen
-	// Lag returns how late this process runs; nil: never. See gather.
+	// Lag returns by how much this process lags behind; nil means that it never lags.
+	// See gather.
 	Lag func() time.Duration
-	// Log gets a line for each stream that breaks.
+	// Log gets a warning for each stream that breaks and may be resumed.
 	Log *slog.Logger
 }
 
 // Answer waits for the first event and makes the stream the exchange's answer.
-// An error means that the caller has seen nothing, so that the request may be
-// run again if its route allows it.
+// If it returns an error, the caller has received nothing, so the request may be
+// run again if its route allows that.
 func (r *Relay) Answer(ctx context.Context, ex *pipeline.Exchange, answer *targets.Response) error {
-	s := &stream{ctx: ctx, relay: r, ex: ex, run: ex.Run, source: answer.Body, buffer: make([]byte, 0, bufferBytes)}
+	s := &stream{ctx: ctx, relay: r, ex: ex, run: ex.Run, source: answer.Body, buffer: make([]byte, 0, minBufferBytes)}
 	if err := s.fill(); err != nil && err != io.EOF {
 		s.source.Close()
 		s.end(err)
@@ -70,134 +72,136 @@
 	return nil
 }
 
-// stream is an event stream on its way to the caller. Read and Close may be
-// called from different goroutines; Read from one at a time.
+// stream is an event stream that is being relayed to the caller. Read and Close may
+// be called from different goroutines; Read from one at a time.
 type stream struct {
 	ctx    context.Context
 	relay  *Relay
 	ex     *pipeline.Exchange
 	run    pipeline.Run
 	source io.ReadCloser
-	// buffer holds what has arrived and is not handed on; the first ready bytes
-	// of it are whole events.
-	buffer []byte
-	ready  int
-	// handedAt is when events were handed on last; zero before the first.
-	handedAt time.Time
-	// sticky is why the source ended; nil while it goes on.
-	sticky error
-	ended  sync.Once
+	// buffer holds the bytes that have arrived and were not returned by Read yet. Its
+	// first readyBytes bytes may be returned: they are complete events.
+	buffer     []byte
+	readyBytes int
+	// deliveredAt is when Read last returned events; zero before the first.
+	deliveredAt time.Time
+	// sourceErr is why the source ended; nil while it is open.
+	sourceErr error
+	endOnce   sync.Once
 }
 
-// Read hands on whole events. It returns io.EOF only behind the last event of a
-// stream that ended as its target framed it.
+// Read returns complete events. It returns io.EOF only after the last event of a
+// stream that its target ended properly, by the HTTP framing.
 func (s *stream) Read(p []byte) (int, error) {
 	s.gather()
-	for s.ready == 0 {
+	for s.readyBytes == 0 {
 		err := s.fill()
-		if err == nil || s.ready > 0 {
+		if err == nil || s.readyBytes > 0 {
 			continue
 		}
 		if err == io.EOF || !s.resume(err) {
 			return 0, s.end(err)
 		}
 	}
-	n := copy(p, s.buffer[:s.ready])
-	s.noteEvent(s.buffer[:n])
-	s.handedAt = time.Now()
-	s.ready -= n
+	n := copy(p, s.buffer[:s.readyBytes])
+	s.recordLastID(s.buffer[:n])
+	s.deliveredAt = time.Now()
+	s.readyBytes -= n
 	s.buffer = s.buffer[:copy(s.buffer, s.buffer[n:])]
 	return n, nil
 }
 
-// fill reads until a whole event is there or the source has ended.
+// fill reads until a complete event is in the buffer or the source has ended.
 func (s *stream) fill() error {
-	for s.ready == 0 {
-		if s.sticky != nil {
-			return s.sticky
+	for s.readyBytes == 0 {
+		if s.sourceErr != nil {
+			return s.sourceErr
 		}
 		if len(s.buffer) == cap(s.buffer) {
 			s.buffer = append(s.buffer, 0)[:len(s.buffer)]
 		}
-		from := len(s.buffer)
-		n, err := s.source.Read(s.buffer[from:cap(s.buffer)])
-		s.buffer = s.buffer[:from+n]
-		s.sticky = err
+		length := len(s.buffer)
+		n, err := s.source.Read(s.buffer[length:cap(s.buffer)])
+		s.buffer = s.buffer[:length+n]
+		s.sourceErr = err
 		s.markReady(err == io.EOF)
 	}
 	return nil
 }
 
-// markReady counts the bytes that may be handed on: up to the end of the last
-// whole event, or all where nothing could continue the stream anyway.
-func (s *stream) markReady(atEnd bool) {
-	if atEnd || !s.resumes() || len(s.buffer) >= maxEventBytes {
-		s.ready = len(s.buffer)
+// markReady sets readyBytes: up to the end of the last complete event, or all bytes if
+// the stream has ended, cannot be resumed anyway or has filled the buffer.
+func (s *stream) markReady(atEOF bool) {
+	if atEOF || !s.canResume() || len(s.buffer) >= maxEventBytes {
+		s.readyBytes = len(s.buffer)
 		return
 	}
-	s.ready = wholeEvents(s.buffer)
+	s.readyBytes = wholeEvents(s.buffer)
 }
 
-func (s *stream) resumes() bool { return s.ex.Route.Resumes && s.relay.Reopen != nil }
+func (s *stream) canResume() bool { return s.ex.Route.Resumes && s.relay.Reopen != nil }
 
-// wholeEvents returns the length of the whole events at the beginning.
+// wholeEvents returns the length of the complete events at the beginning of text.
 func wholeEvents(text []byte) int {
 	lf := bytes.LastIndex(text, []byte("\n\n")) + len("\n\n")
 	crlf := bytes.LastIndex(text, []byte("\r\n\r\n")) + len("\r\n\r\n")
-	return max(0, max(absent(lf, len("\n\n")), absent(crlf, len("\r\n\r\n"))))
+	return max(0, max(zeroIfAbsent(lf, len("\n\n")), zeroIfAbsent(crlf, len("\r\n\r\n"))))
 }
 
-// absent turns the end of a separator that was not found into zero.
-func absent(end, length int) int {
+// zeroIfAbsent returns end, or zero if it lies within the first length bytes, which
+// means that the separator of that length was not found.
+func zeroIfAbsent(end, length int) int {
 	if end < length {
 		return 0
 	}
 	return end
 }
 
-// noteEvent keeps the id of the last event handed on.
-func (s *stream) noteEvent(handed []byte) {
-	if id := lastID(handed); id != "" {
+// recordLastID records the id of the last event in delivered.
+func (s *stream) recordLastID(delivered []byte) {
+	if id := lastID(delivered); id != "" {
 		s.ex.AfterEvent = id
 	}
 }
 
 // lastID returns the value of the last "id" line.
 func lastID(text []byte) string {
-	at := bytes.LastIndex(text, []byte("\nid:"))
+	start := bytes.LastIndex(text, []byte("\nid:"))
 	switch {
-	case at >= 0:
-		at++
+	case start >= 0:
+		start++
 	case bytes.HasPrefix(text, []byte("id:")):
-		at = 0
+		start = 0
 	default:
 		return ""
 	}
-	line, _, _ := bytes.Cut(text[at+len("id:"):], []byte("\n"))
+	line, _, _ := bytes.Cut(text[start+len("id:"):], []byte("\n"))
 	return string(bytes.TrimSpace(line))
 }
 
-// resume goes on at another target behind the last whole event. The part of an
-// event that arrived is dropped: the other target sends that event whole.
+// resume continues the stream on another target after the last complete event, and
+// reports whether that succeeded. A partly received event is discarded, because the
+// other target sends it completely.
 func (s *stream) resume(cause error) bool {
-	if !s.resumes() || s.ex.AfterEvent == "" || s.ctx.Err() != nil {
+	if !s.canResume() || s.ex.AfterEvent == "" || s.ctx.Err() != nil {
 		return false
 	}
 	s.source.Close()
 	s.run.End(control.OutcomeLost)
 	answer, err := s.relay.Reopen(s.ctx, s.ex)
 	if err != nil {
-		notResume.Inc()
-		s.log("events: Stream broke and could not go on elsewhere.", slog.Any("cause", cause), slog.Any("error", err))
+		resumeFailedCount.Inc()
+		s.log("events: Stream broke and could not be resumed on another target.", slog.Any("cause", cause), slog.Any("error", err))
 		return false
 	}
 	s.run = s.ex.Run
 	s.run.Begin()
 	s.source = answer.Body
-	s.sticky = nil
+	s.sourceErr = nil
 	s.buffer = s.buffer[:0]
-	resumed.Inc()
-	s.log("events: Stream broke and goes on elsewhere.", slog.Any("cause", cause))
+	resumedCount.Inc()
+	s.log("events: Stream broke and was resumed on another target.", slog.Any("cause", cause))
 	return true
 }
 
@@ -206,29 +210,29 @@
 	pipeline.Log(s.ctx, s.relay.Log, slog.LevelWarn, s.ex, message, attrs...)
 }
 
-// end ends the run by how its stream ended, once, and returns the cause.
+// end ends the run with the outcome that follows from cause, once, and returns cause.
 func (s *stream) end(cause error) error {
-	s.ended.Do(func() {
+	s.endOnce.Do(func() {
 		switch {
 		case cause == io.EOF:
-			whole.Inc()
+			wholeCount.Inc()
 			s.run.End(control.OutcomeAnswered)
 		case s.ex.IsAbandoned() || s.ctx.Err() != nil:
-			gone.Inc()
+			callerGoneCount.Inc()
 			s.run.End(control.OutcomeCancelled)
 		default:
-			broken.Inc()
+			brokenCount.Inc()
 			s.run.End(control.OutcomeLost)
 		}
 	})
 	return cause
 }
 
-// Close ends the run; before the stream's end it cancels it.
+// Close ends the run. If the stream has not ended, the run is cancelled.
 func (s *stream) Close() error {
 	err := s.source.Close()
-	s.ended.Do(func() {
-		gone.Inc()
+	s.endOnce.Do(func() {
+		callerGoneCount.Inc()
 		s.run.End(control.OutcomeCancelled)
 	})
 	return err
--- a/filters/events/gather.go
+++ b/filters/events/gather.go
@@ -7,41 +7,43 @@
 )
 
 const (
-	// gatherFrom is the lag from which a router gathers events: below it, each is
-	// handed on as it comes.
-	gatherFrom = 5 * time.Millisecond
-	// gatherLags is how long events are gathered, in lags, and mostGather the longest:
-	// engines send an event each 10 to 40 ms, so a read and a write then serve several.
-	gatherLags = 4
-	mostGather = 100 * time.Millisecond
-	// pausePart is the part of the pause that is still on time for callers which
-	// gathering may use.
-	pausePart = 4
+	// minGatherLag is the lag from which on a router gathers events. Below it, each
+	// event is relayed as it arrives.
+	minGatherLag = 5 * time.Millisecond
+	// Events are gathered for gatherLagFactor times the lag, but at most for
+	// maxGatherTime. Engines send an event every 10 to 40 ms, so one read and one write
+	// then handle several events.
+	gatherLagFactor = 4
+	maxGatherTime   = 100 * time.Millisecond
+	// gatherPauseDivisor limits gathering to this fraction (1/gatherPauseDivisor) of the
+	// longest pause between events that still counts as on time for callers.
+	gatherPauseDivisor = 4
 )
 
-// gather lets events come together on a router that runs late, before the next are
-// read: what it saves serves requests that would be late, or refused, otherwise. The
-// first event is never held, nor what was read already. A stream of 40 events 10 ms
-// apart takes 5 reads in place of 40.
+// gather waits before the next read on a router that lags behind, so that several
+// events arrive and are relayed together. The processor time that this saves serves
+// requests that would otherwise be late or refused. Neither the first event nor events
+// that have already been read are delayed. A stream of 40 events 10 ms apart takes 5
+// reads instead of 40.
 func (s *stream) gather() {
-	if s.handedAt.IsZero() || s.ready > 0 || s.relay.Lag == nil {
+	if s.deliveredAt.IsZero() || s.readyBytes > 0 || s.relay.Lag == nil {
 		return
 	}
 	pause := gatherTime(s.relay.Lag(), time.Duration(s.ex.Route.PauseMillis)*time.Millisecond)
-	if left := pause - time.Since(s.handedAt); left > 0 {
+	if left := pause - time.Since(s.deliveredAt); left > 0 {
 		wait.For(s.ctx, left)
 	}
 }
 
-// gatherTime is how long a router that runs late gathers the events of a stream whose
-// caller bears pauses of a length; zero: not told.
-func gatherTime(lag, bears time.Duration) time.Duration {
-	if lag < gatherFrom {
+// gatherTime returns how long a router with the given lag gathers the events of a
+// stream. maxPause is the longest pause that the caller accepts; zero if unknown.
+func gatherTime(lag, maxPause time.Duration) time.Duration {
+	if lag < minGatherLag {
 		return 0
 	}
-	most := mostGather
-	if bears > 0 {
-		most = min(most, bears/pausePart)
+	limit := maxGatherTime
+	if maxPause > 0 {
+		limit = min(limit, maxPause/gatherPauseDivisor)
 	}
-	return min(most, gatherLags*lag)
+	return min(limit, gatherLagFactor*lag)
 }
--- a/filters/events/gather_test.go
+++ b/filters/events/gather_test.go
@@ -17,70 +17,72 @@
 )
 
 const (
-	eventEvery = 10 * time.Millisecond
-	eventCount = 40
+	eventInterval = 10 * time.Millisecond
+	eventCount    = 40
 )
 
-// paced is a source that has an event ready each eventEvery, and gives all that are.
-type paced struct {
+// pacedSource is a source that produces an event every eventInterval; a read returns
+// all events produced so far.
+type pacedSource struct {
 	began time.Time
-	given int
+	sent  int
 }
 
 // Read implements io.Reader.
-func (p *paced) Read(into []byte) (int, error) {
-	if p.given == eventCount {
+func (p *pacedSource) Read(into []byte) (int, error) {
+	if p.sent == eventCount {
 		return 0, io.EOF
 	}
-	if next := p.began.Add(time.Duration(p.given+1) * eventEvery); time.Now().Before(next) {
+	if next := p.began.Add(time.Duration(p.sent+1) * eventInterval); time.Now().Before(next) {
 		time.Sleep(time.Until(next))
 	}
 	n := 0
-	for ; p.given < eventCount && !time.Now().Before(p.began.Add(time.Duration(p.given+1)*eventEvery)); p.given++ {
-		n += copy(into[n:], fmt.Sprintf("id: %d\ndata: x\n\n", p.given+1))
+	for ; p.sent < eventCount && !time.Now().Before(p.began.Add(time.Duration(p.sent+1)*eventInterval)); p.sent++ {
+		n += copy(into[n:], fmt.Sprintf("id: %d\ndata: x\n\n", p.sent+1))
 	}
 	return n, nil
 }
 
 // Close implements io.Closer.
-func (p *paced) Close() error { return nil }
+func (p *pacedSource) Close() error { return nil }
 
-// noRun is a run that nobody schedules.
-type noRun struct{}
+// nopRun is a run that ignores all calls.
+type nopRun struct{}
 
-func (noRun) Begin()              {}
-func (noRun) End(control.Outcome) {}
+func (nopRun) Begin()              {}
+func (nopRun) End(control.Outcome) {}
 
-// relayed relays a stream at a lag. It returns the reads that it took, when the first
-// event was handed on, and the longest pause.
-func relayed(t *testing.T, lag, bears time.Duration) (reads int, first, longest time.Duration, body string) {
+// relayAll relays a stream at the given lag. It returns the number of reads, the time
+// to the first event, the longest pause between reads, and the text relayed.
+func relayAll(t *testing.T, lag, maxPause time.Duration) (reads int, firstAt, longestPause time.Duration, body string) {
 	t.Helper()
 	relay := &Relay{Lag: func() time.Duration { return lag }, Log: slog.New(slog.DiscardHandler)}
-	ex := &pipeline.Exchange{Run: noRun{}, Route: &config.NamedRoute{Route: config.Route{PauseMillis: int(bears.Milliseconds())}}}
+	ex := &pipeline.Exchange{Run: nopRun{}, Route: &config.NamedRoute{Route: config.Route{PauseMillis: int(maxPause.Milliseconds())}}}
 	began := time.Now()
-	source := &paced{began: began}
+	source := &pacedSource{began: began}
 	if err := relay.Answer(context.Background(), ex, &targets.Response{Status: http.StatusOK, Body: source}); err != nil {
 		t.Fatal(err)
 	}
 	buffer := make([]byte, 4<<10)
-	last := began
+	lastRead := began
 	for {
 		n, err := ex.AnswerStream.Read(buffer)
 		body += string(buffer[:n])
 		if err == io.EOF {
-			return reads, first, longest, body
+			return reads, firstAt, longestPause, body
 		}
 		if reads == 0 {
-			first = time.Since(began)
+			firstAt = time.Since(began)
 		}
-		longest = max(longest, time.Since(last))
-		last = time.Now()
+		longestPause = max(longestPause, time.Since(lastRead))
+		lastRead = time.Now()
 		reads++
 	}
 }
 
-// TestLateRouterGathersEvents: a router that runs late hands events on together, one
-// in time each by itself, and neither holds the first, loses one, or pauses for long.
+// TestLateRouterGathersEvents checks that a router that lags relays several events
+// together and one that does not lag each by itself, and that neither delays the first
+// event, loses one or pauses for too long.
 func TestLateRouterGathersEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		want := ""
@@ -88,34 +90,34 @@
 			want += fmt.Sprintf("id: %d\ndata: x\n\n", n+1)
 		}
 		for _, c := range []struct {
-			lag, bears   time.Duration
-			least, most  int
-			longestPause time.Duration
+			lag, maxPause      time.Duration
+			minReads, maxReads int
+			longestPause       time.Duration
 		}{
-			{0, time.Second, eventCount, eventCount, eventEvery},
-			{gatherFrom - 1, time.Second, eventCount, eventCount, eventEvery},
-			{30 * time.Millisecond, 400 * time.Millisecond, 4, 6, mostGather + eventEvery},
-			{time.Second, 0, 4, 6, mostGather + eventEvery},
-			{time.Second, 80 * time.Millisecond, 20, 21, 20*time.Millisecond + eventEvery},
+			{0, time.Second, eventCount, eventCount, eventInterval},
+			{minGatherLag - 1, time.Second, eventCount, eventCount, eventInterval},
+			{30 * time.Millisecond, 400 * time.Millisecond, 4, 6, maxGatherTime + eventInterval},
+			{time.Second, 0, 4, 6, maxGatherTime + eventInterval},
+			{time.Second, 80 * time.Millisecond, 20, 21, 20*time.Millisecond + eventInterval},
 		} {
-			reads, first, longest, body := relayed(t, c.lag, c.bears)
-			if reads < c.least || reads > c.most || longest > c.longestPause {
-				t.Errorf("lag %s: %d reads, a pause of %s", c.lag, reads, longest)
+			reads, first, longestPause, body := relayAll(t, c.lag, c.maxPause)
+			if reads < c.minReads || reads > c.maxReads || longestPause > c.longestPause {
+				t.Errorf("lag %s: %d reads, a pause of %s", c.lag, reads, longestPause)
 			}
-			if first != eventEvery || body != want {
+			if first != eventInterval || body != want {
 				t.Errorf("lag %s: first event after %s, %d bytes of %d", c.lag, first, len(body), len(want))
 			}
 		}
 	})
 }
 
-// TestWhatWasReadIsHandedOn: events that were read together go on without a pause,
-// also if the caller's buffer holds only some of them.
-func TestWhatWasReadIsHandedOn(t *testing.T) {
+// TestReadEventsAreDeliveredAtOnce checks that events that were read together are relayed
+// without a pause, even if the caller's buffer holds only some of them.
+func TestReadEventsAreDeliveredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		relay := &Relay{Lag: func() time.Duration { return time.Second }, Log: slog.New(slog.DiscardHandler)}
-		ex := &pipeline.Exchange{Run: noRun{}, Route: &config.NamedRoute{}}
-		source := &paced{began: time.Now().Add(-time.Hour)} // all events are there
+		ex := &pipeline.Exchange{Run: nopRun{}, Route: &config.NamedRoute{}}
+		source := &pacedSource{began: time.Now().Add(-time.Hour)} // all events have been produced
 		if err := relay.Answer(context.Background(), ex, &targets.Response{Status: http.StatusOK, Body: source}); err != nil {
 			t.Fatal(err)
 		}
@@ -126,8 +128,8 @@
 				break
 			}
 		}
-		if took := time.Since(began); took > mostGather {
-			t.Errorf("%s for events that were all there", took)
+		if took := time.Since(began); took > maxGatherTime {
+			t.Errorf("took %s for events that had all been produced", took)
 		}
 	})
 }
