--- a/filters/classify/call.go
+++ b/filters/classify/call.go
@@ -10,56 +10,55 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// call is what the router reads of an engine call's body.
-type call struct {
+// engineCall holds the fields that the router reads from the body of an engine call.
+type engineCall struct {
 	model  string
 	stream bool
-	// messages and prompt are JSON values as they stand in the body; nil if
-	// absent.
+	// messages and prompt are raw JSON values from the body; nil if absent.
 	messages jsontext.Value
 	prompt   jsontext.Value
 }
 
-// parseCall reads the body's top-level members. Names are compared exactly, and
-// a name that stands twice in an object is refused, so that the router and the
-// target cannot read two different models out of one body.
-func parseCall(body []byte) (call, *result.Error) {
+// parseCall reads the body's top-level members. Names are compared case-sensitively
+// and duplicate names in an object are refused, so that the router and the target
+// cannot read different models from the same body.
+func parseCall(body []byte) (engineCall, *result.Error) {
 	c, err := decodeCall(body)
 	if err != nil {
-		return call{}, result.Wrap(result.BadRequest, err, "The body must be one JSON object without doubled names, in which model is a string and stream a boolean.")
+		return engineCall{}, result.Wrap(result.BadRequest, err, "The body must be one JSON object without doubled names, in which model is a string and stream a boolean.")
 	}
 	if c.model == "" {
-		return call{}, result.New(result.BadRequest, "The body names no model.")
+		return engineCall{}, result.New(result.BadRequest, "The body names no model.")
 	}
 	return c, nil
 }
 
-func decodeCall(body []byte) (call, error) {
+func decodeCall(body []byte) (engineCall, error) {
 	// The decoder reads a bytes.Buffer in place.
 	decoder := jsontext.NewDecoder(bytes.NewBuffer(body))
 	if decoder.PeekKind() != jsontext.KindBeginObject {
-		return call{}, errors.New("not an object")
+		return engineCall{}, errors.New("the body is not a JSON object")
 	}
 	if _, err := decoder.ReadToken(); err != nil {
-		return call{}, err
+		return engineCall{}, err
 	}
-	var c call
+	var c engineCall
 	for decoder.PeekKind() == jsontext.KindString {
 		if err := c.readMember(decoder); err != nil {
-			return call{}, err
+			return engineCall{}, err
 		}
 	}
 	if _, err := decoder.ReadToken(); err != nil {
-		return call{}, err
+		return engineCall{}, err
 	}
 	if _, err := decoder.ReadToken(); err != io.EOF {
-		return call{}, errors.Join(err, errors.New("text after the object"))
+		return engineCall{}, errors.Join(err, errors.New("unexpected text after the JSON object"))
 	}
 	return c, nil
 }
 
-// readMember reads a name and its value.
-func (c *call) readMember(decoder *jsontext.Decoder) error {
+// readMember reads one name and its value.
+func (c *engineCall) readMember(decoder *jsontext.Decoder) error {
 	name, err := decoder.ReadToken()
 	if err != nil {
 		return err
@@ -85,12 +84,12 @@
 		return "", err
 	}
 	if token.Kind() != jsontext.KindString {
-		return "", errors.New("not a string")
+		return "", errors.New("the value is not a string")
 	}
 	return token.String(), nil
 }
 
-// readBool reads a boolean; null stands for false.
+// readBool reads a boolean; null counts as false.
 func readBool(decoder *jsontext.Decoder) (bool, error) {
 	token, err := decoder.ReadToken()
 	if err != nil {
@@ -102,5 +101,5 @@
 	case jsontext.KindFalse, jsontext.KindNull:
 		return false, nil
 	}
-	return false, errors.New("not a boolean")
+	return false, errors.New("the value is not a boolean")
 }
--- a/filters/classify/classify.go
+++ b/filters/classify/classify.go
@@ -1,6 +1,6 @@
-// Package classify is the filter that finds out what a request is: the pool
-// that serves it, whether it is idempotent, its deadline, its rough cost, and
-// the hashes that cache affinity and quarantine go by.
+// Package classify is the filter that determines the properties of a request: the
+// pool that serves it, whether it is idempotent, its deadline, its estimated cost,
+// and the hashes used for cache affinity and quarantine.
 package classify
 
 import (
@@ -22,7 +22,7 @@
 	pathCompletions = "/v1/completions"
 )
 
-// serviceMethods are the methods that service pools take.
+// serviceMethods are the HTTP methods that service pools accept.
 var serviceMethods = []string{
 	http.MethodGet,
 	http.MethodHead,
@@ -33,8 +33,7 @@
 	http.MethodOptions,
 }
 
-// idempotentMethods are the service methods that are idempotent by their
-// definition in HTTP.
+// idempotentMethods are the service methods that HTTP defines as idempotent.
 var idempotentMethods = []string{
 	http.MethodGet,
 	http.MethodHead,
@@ -43,13 +42,13 @@
 	http.MethodOptions,
 }
 
-// DefaultDeadline is the time to dispatch if the caller sets none.
+// DefaultDeadline is the time allowed until dispatch if the caller sets no deadline.
 const DefaultDeadline = 30 * time.Second
 
-// Options configure a Filter. Zero values take the stated defaults.
+// Options configure a Filter. Zero values select the stated defaults.
 type Options struct {
-	// DefaultDeadline is the time to dispatch if the caller sets none.
-	// Default 30 s.
+	// DefaultDeadline is the time allowed until dispatch if the caller sets no
+	// deadline. Default 30 s.
 	DefaultDeadline time.Duration
 }
 
@@ -79,7 +78,7 @@
 }
 
 func (f *Filter) classify(ex *pipeline.Exchange) *result.Error {
-	if refusal := f.findPool(ex); refusal != nil {
+	if refusal := f.setPool(ex); refusal != nil {
 		return refusal
 	}
 	if refusal := f.readHeaders(ex); refusal != nil {
@@ -89,9 +88,9 @@
 	return nil
 }
 
-// findPool sets the pool and what the body says.
-func (f *Filter) findPool(ex *pipeline.Exchange) *result.Error {
-	name, refusal := f.lookUpPool(ex)
+// setPool sets the pool, and the fields that the body of an engine call gives.
+func (f *Filter) setPool(ex *pipeline.Exchange) *result.Error {
+	name, refusal := f.findPool(ex)
 	if refusal != nil {
 		return refusal
 	}
@@ -103,7 +102,8 @@
 	return nil
 }
 
-func (f *Filter) lookUpPool(ex *pipeline.Exchange) (string, *result.Error) {
+// findPool returns the name of the pool that serves the request.
+func (f *Filter) findPool(ex *pipeline.Exchange) (string, *result.Error) {
 	path, _, _ := strings.Cut(ex.Path, "?")
 	if path == pathChat || path == pathCompletions {
 		return findEnginePool(ex, path)
@@ -145,9 +145,9 @@
 	return name, nil
 }
 
-// idempotentByDefault says whether a request is idempotent if its caller does
-// not say: engine calls are, as a generation changes nothing, and service calls
-// are by the definition of their HTTP method.
-func idempotentByDefault(ex *pipeline.Exchange) bool {
+// isIdempotentByDefault reports whether a request is idempotent if its caller does not
+// state it: engine calls are, because generating text changes no state; service calls
+// are if HTTP defines their method as idempotent.
+func isIdempotentByDefault(ex *pipeline.Exchange) bool {
 	return ex.Pool.Kind == config.KindEngine || slices.Contains(idempotentMethods, ex.Method)
 }
--- a/filters/classify/classify_test.go
+++ b/filters/classify/classify_test.go
@@ -28,8 +28,8 @@
 	}}
 }
 
-// request reads "METHOD PATH", headers, an empty line and the body.
-func request(input string) *pipeline.Exchange {
+// parseRequest parses "METHOD PATH", header lines, an empty line and the body.
+func parseRequest(input string) *pipeline.Exchange {
 	head, body, _ := strings.Cut(input, "\n\n")
 	lines := strings.Split(head, "\n")
 	snapshot := testSnapshot()
@@ -52,7 +52,7 @@
 func TestClassify(t *testing.T) {
 	filter := New(Options{})
 	datadriven.RunTest(t, "testdata/classify", func(t *testing.T, d *datadriven.TestData) string {
-		ex := request(d.Input)
+		ex := parseRequest(d.Input)
 		called := false
 		err := filter.Serve(context.Background(), ex, func(context.Context, *pipeline.Exchange) error {
 			called = true
@@ -75,7 +75,7 @@
 
 func TestHashes(t *testing.T) {
 	hashes := func(workspace, path, body string) (prefix, fingerprint uint64) {
-		ex := request("POST " + path + "\n\n" + body)
+		ex := parseRequest("POST " + path + "\n\n" + body)
 		ex.WorkspaceName = workspace
 		if refusal := New(Options{}).classify(ex); refusal != nil {
 			t.Fatal(refusal)
--- a/filters/classify/headers.go
+++ b/filters/classify/headers.go
@@ -16,20 +16,21 @@
 	headerDeadline       = "Walnut-Deadline"
 	headerCostHint       = "Walnut-Cost-Hint"
 
-	// headerPrefix begins every header with a meaning to the router.
+	// headerPrefix begins the name of every header that is specific to walnutcove.
 	headerPrefix = "Walnut-"
 )
 
-// Bounds of header values.
+// Limits of header values.
 const (
 	maxKeyLength = 255
 	maxDeadline  = 24 * time.Hour
 	maxCostHint  = 24 * time.Hour
 )
 
-// readHeaders sets what the caller's headers say.
+// readHeaders sets the deadline, the cost hint and the idempotency of the request from
+// its headers.
 func (f *Filter) readHeaders(ex *pipeline.Exchange) *result.Error {
-	if refusal := checkNames(ex.Header); refusal != nil {
+	if refusal := checkHeaderNames(ex.Header); refusal != nil {
 		return refusal
 	}
 	deadline, refusal := readDuration(ex, headerDeadline, f.options.DefaultDeadline, maxDeadline)
@@ -44,10 +45,10 @@
 	return readIdempotency(ex)
 }
 
-// checkNames refuses unknown headers of the router's own prefix. A misspelt one
-// must not pass for absent, and those that the router sends to targets, such as
-// fencing numbers, must not come from a caller.
-func checkNames(header map[string]string) *result.Error {
+// checkHeaderNames refuses unknown headers that begin with headerPrefix. A misspelt
+// header must not be treated as absent, and headers that the router sends to targets,
+// such as fencing numbers, must not come from a caller.
+func checkHeaderNames(header map[string]string) *result.Error {
 	for name := range header {
 		if !strings.HasPrefix(name, headerPrefix) {
 			continue
@@ -62,13 +63,13 @@
 }
 
 // readIdempotency sets whether the request may run more than once. A pool that
-// is marked non-idempotent overrules the caller.
+// is marked non-idempotent takes precedence over the caller's header.
 func readIdempotency(ex *pipeline.Exchange) *result.Error {
 	ex.IdempotencyKey = ex.Header[headerIdempotencyKey]
-	if !validKey(ex.IdempotencyKey) {
+	if !isValidKey(ex.IdempotencyKey) {
 		return result.New(result.BadHeader, "%s must be 1 to %d printable ASCII characters.", headerIdempotencyKey, maxKeyLength)
 	}
-	ex.Idempotent = idempotentByDefault(ex)
+	ex.Idempotent = isIdempotentByDefault(ex)
 	switch value := ex.Header[headerIdempotent]; value {
 	case "":
 	case "true":
@@ -87,7 +88,7 @@
 	return nil
 }
 
-func validKey(key string) bool {
+func isValidKey(key string) bool {
 	if len(key) > maxKeyLength {
 		return false
 	}
@@ -99,16 +100,16 @@
 	return true
 }
 
-// readDuration reads a header that holds a duration such as "1.5s", or a whole
-// number of milliseconds. A missing header yields standard.
-func readDuration(ex *pipeline.Exchange, name string, standard, most time.Duration) (time.Duration, *result.Error) {
+// readDuration reads a header that holds a duration such as "1.5s", or an integer
+// number of milliseconds. It returns defaultValue if the header is missing.
+func readDuration(ex *pipeline.Exchange, name string, defaultValue, maxValue time.Duration) (time.Duration, *result.Error) {
 	text := ex.Header[name]
 	if text == "" {
-		return standard, nil
+		return defaultValue, nil
 	}
 	value, err := parseDuration(text)
-	if err != nil || value <= 0 || value > most {
-		return 0, result.New(result.BadHeader, "%s must be a duration such as 1.5s, or milliseconds, over 0 and up to %s.", name, most)
+	if err != nil || value <= 0 || value > maxValue {
+		return 0, result.New(result.BadHeader, "%s must be a duration such as 1.5s, or milliseconds, over 0 and up to %s.", name, maxValue)
 	}
 	return value, nil
 }
