--- a/filters/quarantine/quarantine.go
+++ b/filters/quarantine/quarantine.go
@@ -13,19 +13,19 @@
 
 var refusals = codecounter.New("walnut_quarantine_refusals_total", result.Quarantined)
 
-// Set is the set of quarantined fingerprints. The control loop changes it;
-// traffic goroutines read it. The zero value is empty.
+// Set is the set of quarantined fingerprints. The control loop changes it; the
+// goroutines that serve requests read it. The zero value is an empty set.
 type Set struct {
 	mu           sync.RWMutex
 	fingerprints map[uint64]struct{}
 }
 
-// Change adds or removes a fingerprint and says whether that changed the set; see
+// Change adds or removes a fingerprint and reports whether that changed the set; see
 // control.QuarantineChanged.
 func (s *Set) Change(fingerprint uint64, quarantined bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, was := s.fingerprints[fingerprint]; was == quarantined {
+	if _, wasQuarantined := s.fingerprints[fingerprint]; wasQuarantined == quarantined {
 		return false
 	}
 	if !quarantined {
@@ -39,7 +39,7 @@
 	return true
 }
 
-// Contains says whether a fingerprint is quarantined.
+// Contains reports whether a fingerprint is quarantined.
 func (s *Set) Contains(fingerprint uint64) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -47,8 +47,8 @@
 	return ok
 }
 
-// Filter refuses quarantined requests. It also checks right before each
-// dispatch, for a request that was quarantined while it waited or was retried.
+// Filter refuses quarantined requests. It checks again right before each dispatch,
+// because a request may be quarantined while it waits or is retried.
 type Filter struct {
 	// Set holds the quarantined fingerprints.
 	Set *Set
@@ -68,7 +68,7 @@
 }
 
 // check refuses a quarantined request. On a retry an earlier attempt may have
-// run, so the refusal does not say "not run".
+// run, so the refusal does not report the request as not run.
 func (f *Filter) check(ex *pipeline.Exchange) error {
 	if !f.Set.Contains(ex.Fingerprint) {
 		return nil
--- a/filters/quarantine/quarantine_test.go
+++ b/filters/quarantine/quarantine_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestChecksAgainBeforeDispatch(t *testing.T) {
+func TestChecksAgainBeforeEachDispatch(t *testing.T) {
 	set := &Set{}
 	ex := &pipeline.Exchange{Fingerprint: 7, Attempt: 1}
 	if err := pipeline.Chain(&Filter{Set: set})(context.Background(), ex); err != nil {
