--- a/filters/runrecord/capture.go
+++ b/filters/runrecord/capture.go
@@ -7,60 +7,62 @@
 	"github.com/walnutcove/walnutcove/runrecord"
 )
 
-// drainBytes is the size of the reads of an answer that no caller takes.
+// drainBytes is the size of the reads with which an answer is drained after its
+// caller has disconnected.
 const drainBytes = 16 << 10
 
-// capture is a streamed answer on its way to the caller. It keeps a copy of a
-// small answer and ends the claim as answered once the stream ends cleanly. If
-// the caller goes away, it reads the rest all the same.
-type capture struct {
+// capturedStream is a streamed answer that is being relayed to the caller. It keeps
+// a copy of a small answer and ends the claim as answered once the stream ends
+// cleanly. If the caller disconnects, it still reads the rest.
+type capturedStream struct {
 	io.ReadCloser
-	ex    *pipeline.Exchange
-	claim *runrecord.Claim
-	limit int
-	kept  []byte
-	over  bool // the answer is larger than limit
-	ended bool
+	ex           *pipeline.Exchange
+	claim        *runrecord.Claim
+	maxKeptBytes int
+	kept         []byte
+	isTooLarge   bool // the answer is larger than maxKeptBytes
+	hasEnded     bool
 }
 
-func newCapture(ex *pipeline.Exchange, claim *runrecord.Claim, limit int) *capture {
-	return &capture{ReadCloser: ex.AnswerStream, ex: ex, claim: claim, limit: limit}
+func newCapturedStream(ex *pipeline.Exchange, claim *runrecord.Claim, maxKeptBytes int) *capturedStream {
+	return &capturedStream{ReadCloser: ex.AnswerStream, ex: ex, claim: claim, maxKeptBytes: maxKeptBytes}
 }
 
 // Read implements io.Reader.
-func (c *capture) Read(p []byte) (int, error) {
+func (c *capturedStream) Read(p []byte) (int, error) {
 	n, err := c.ReadCloser.Read(p)
 	c.keep(p[:n])
-	c.ended = c.ended || err != nil
+	c.hasEnded = c.hasEnded || err != nil
 	if err == io.EOF {
-		outcome := outcomeOf(c.ex, c.kept)
-		outcome.BodyOmitted = c.over
+		outcome := newOutcome(c.ex, c.kept)
+		outcome.BodyOmitted = c.isTooLarge
 		c.claim.Answered(outcome)
 	}
 	return n, err
 }
 
-func (c *capture) keep(part []byte) {
-	if c.over || len(c.kept)+len(part) > c.limit {
-		c.over = true
+// keep adds part to the kept copy, or drops the copy if the answer is too large.
+func (c *capturedStream) keep(part []byte) {
+	if c.isTooLarge || len(c.kept)+len(part) > c.maxKeptBytes {
+		c.isTooLarge = true
 		c.kept = nil
 		return
 	}
 	c.kept = append(c.kept, part...)
 }
 
-// Close implements io.Closer. It reads what is left of the answer first, unless
-// the run is not to outlive its caller; the target's time limits bound the wait.
-func (c *capture) Close() error {
+// Close implements io.Closer. It first reads the rest of the answer if the run
+// outlives its caller; the time limits of the call to the target bound that wait.
+func (c *capturedStream) Close() error {
 	if c.ex.OutlivesCaller() {
 		c.drain()
 	}
 	return c.ReadCloser.Close()
 }
 
-func (c *capture) drain() {
+func (c *capturedStream) drain() {
 	buffer := make([]byte, drainBytes)
-	for !c.ended {
+	for !c.hasEnded {
 		_, _ = c.Read(buffer)
 	}
 }
--- a/filters/runrecord/runrecord.go
+++ b/filters/runrecord/runrecord.go
@@ -1,7 +1,7 @@
-// Package runrecord is the guard filter that makes a non-idempotent request
-// run at most once. It claims a run record before the rest of the pipeline
-// runs, answers a resend from the record, and ends the record with the run.
-// Idempotent requests pass straight through.
+// Package runrecord is the guard filter that ensures that a non-idempotent
+// request runs at most once. It claims a run record before the rest of the pipeline
+// runs, answers a resend from the record, and ends the claim with the run's outcome.
+// Idempotent requests pass through unchanged.
 package runrecord
 
 import (
@@ -49,26 +49,26 @@
 	return f.run(ctx, ex, next, decision.Claim)
 }
 
-// run runs the rest of the pipeline under the claim and sees that it is ended,
-// at the latest with the exchange.
+// run runs the rest of the pipeline under the claim and ensures that the claim is
+// ended, at the latest when the exchange ends.
 func (f *Filter) run(ctx context.Context, ex *pipeline.Exchange, next pipeline.Handler, claim *runrecord.Claim) error {
 	ex.BeforeDispatch = append(ex.BeforeDispatch, claim.BeginDispatch)
-	ex.OnEnd(func(err error) { endFailed(claim, err) })
+	ex.OnEnd(func(err error) { endClaimFailed(claim, err) })
 	err := next(ctx, ex)
 	switch {
 	case err != nil:
-		endFailed(claim, err)
+		endClaimFailed(claim, err)
 	case ex.AnswerStream != nil:
-		ex.AnswerStream = newCapture(ex, claim, f.Keeper.MaxStoredBytes())
+		ex.AnswerStream = newCapturedStream(ex, claim, f.Keeper.MaxStoredBytes())
 	default:
-		claim.Answered(outcomeOf(ex, ex.AnswerBody))
+		claim.Answered(newOutcome(ex, ex.AnswerBody))
 	}
 	return err
 }
 
-// endFailed ends the claim of a request that was not answered whole. It has no
-// effect on a claim that has ended.
-func endFailed(claim *runrecord.Claim, err error) {
+// endClaimFailed ends the claim of a request that was not answered completely. It
+// has no effect on a claim that has ended.
+func endClaimFailed(claim *runrecord.Claim, err error) {
 	var refusal *result.Error
 	if !errors.As(err, &refusal) {
 		claim.Unknown(result.StreamBroken)
@@ -81,8 +81,8 @@
 	claim.Unknown(refusal.Code)
 }
 
-// outcomeOf is the answer as it is kept.
-func outcomeOf(ex *pipeline.Exchange, body []byte) runrecord.Outcome {
+// newOutcome returns the exchange's answer in the form stored in the run record.
+func newOutcome(ex *pipeline.Exchange, body []byte) runrecord.Outcome {
 	return runrecord.Outcome{Status: ex.Status, Header: maps.Clone(ex.AnswerHeader), Body: body}
 }
 
--- a/filters/runrecord/runrecord_test.go
+++ b/filters/runrecord/runrecord_test.go
@@ -17,8 +17,8 @@
 	"github.com/walnutcove/walnutcove/store/memory"
 )
 
-// bench is the filter before a target that is played by answer.
-type bench struct {
+// harness runs the filter in front of a fake target whose answers come from answer.
+type harness struct {
 	t       *testing.T
 	store   *memory.Store
 	handler pipeline.Handler
@@ -26,8 +26,8 @@
 	runs    int
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, store: memory.New(memory.Options{})}
+func newHarness(t *testing.T) *harness {
+	b := &harness{t: t, store: memory.New(memory.Options{})}
 	keeper := runrecord.New(runrecord.Options{
 		Table: b.store, Node: "a", Incarnation: 1, MaxStoredBytes: 100, Metrics: metrics.NewSet(),
 	})
@@ -43,10 +43,10 @@
 }
 
 // Name implements pipeline.Filter.
-func (b *bench) Name() string { return "bench" }
+func (b *harness) Name() string { return "bench" }
 
-// Serve implements pipeline.Filter: it stands for the rest of the pipeline.
-func (b *bench) Serve(_ context.Context, ex *pipeline.Exchange, _ pipeline.Handler) error {
+// Serve implements pipeline.Filter in place of the rest of the pipeline.
+func (b *harness) Serve(_ context.Context, ex *pipeline.Exchange, _ pipeline.Handler) error {
 	for _, check := range ex.BeforeDispatch {
 		if err := check(); err != nil {
 			return err
@@ -58,9 +58,9 @@
 	return b.answer(ex)
 }
 
-// send sends the request with the key "k" as the caller's connection does: it
-// reads the answer, and ends the exchange.
-func (b *bench) send() (*pipeline.Exchange, string, error) {
+// send sends the request with the key "k", reads the answer and ends the exchange, as
+// the caller's connection does.
+func (b *harness) send() (*pipeline.Exchange, string, error) {
 	ex := &pipeline.Exchange{WorkspaceName: "w", IdempotencyKey: "k", Fingerprint: 9}
 	err := b.handler(context.Background(), ex)
 	body := ex.AnswerBody
@@ -71,8 +71,8 @@
 	return ex, string(body), err
 }
 
-// wantRefused sends the request and requires a refusal without a run.
-func (b *bench) wantRefused(code result.Code, ran result.Ran) {
+// wantRefused sends the request and requires a refusal without another run.
+func (b *harness) wantRefused(code result.Code, ran result.Ran) {
 	b.t.Helper()
 	runs := b.runs
 	_, body, err := b.send()
@@ -86,7 +86,7 @@
 }
 
 // wantAnswer sends the request and requires the answer "done".
-func (b *bench) wantAnswer(replayed string, runs int) {
+func (b *harness) wantAnswer(replayed string, runs int) {
 	b.t.Helper()
 	ex, body, err := b.send()
 	if err != nil || body != "done" || ex.Status != 201 || ex.AnswerHeader["Content-Type"] != "text/plain" {
@@ -97,12 +97,12 @@
 	}
 }
 
-func whole(ex *pipeline.Exchange) error {
+func answerWhole(ex *pipeline.Exchange) error {
 	ex.AnswerBody = []byte("done")
 	return nil
 }
 
-func stream(readers ...io.Reader) func(*pipeline.Exchange) error {
+func answerStream(readers ...io.Reader) func(*pipeline.Exchange) error {
 	return func(ex *pipeline.Exchange) error {
 		ex.AnswerStream = io.NopCloser(iotest.OneByteReader(io.MultiReader(readers...)))
 		return nil
@@ -110,8 +110,8 @@
 }
 
 func TestResendGetsTheSameAnswer(t *testing.T) {
-	for _, answer := range []func(*pipeline.Exchange) error{whole, stream(strings.NewReader("done"))} {
-		b := newBench(t)
+	for _, answer := range []func(*pipeline.Exchange) error{answerWhole, answerStream(strings.NewReader("done"))} {
+		b := newHarness(t)
 		b.answer = answer
 		b.wantAnswer("", 1)
 		b.wantAnswer("true", 1)
@@ -119,18 +119,19 @@
 }
 
 func TestResendOfBrokenStreamIsNotRun(t *testing.T) {
-	b := newBench(t)
-	b.answer = stream(strings.NewReader("do"), iotest.ErrReader(errors.New("reset")))
+	b := newHarness(t)
+	b.answer = answerStream(strings.NewReader("do"), iotest.ErrReader(errors.New("reset")))
 	if _, body, err := b.send(); err == nil || body != "do" {
 		t.Fatalf("got %q, %v", body, err)
 	}
 	b.wantRefused(result.RecordUnknown, result.RanUnknown)
 }
 
-// The caller of a stream goes away: the rest is read, and a resend gets it all.
-func TestStreamIsFinishedWithoutItsCaller(t *testing.T) {
-	b := newBench(t)
-	b.answer = stream(strings.NewReader("done"))
+// TestStreamIsReadToEndAfterCallerLeft checks that the rest of a stream is read after its
+// caller disconnects, and that a resend gets the complete answer.
+func TestStreamIsReadToEndAfterCallerLeft(t *testing.T) {
+	b := newHarness(t)
+	b.answer = answerStream(strings.NewReader("done"))
 	ex := &pipeline.Exchange{WorkspaceName: "w", IdempotencyKey: "k", Fingerprint: 9, Serving: context.Background()}
 	if err := b.handler(context.Background(), ex); err != nil {
 		t.Fatal(err)
@@ -146,8 +147,8 @@
 }
 
 func TestLargeStreamIsNotKept(t *testing.T) {
-	b := newBench(t)
-	b.answer = stream(strings.NewReader(strings.Repeat("x", 101)))
+	b := newHarness(t)
+	b.answer = answerStream(strings.NewReader(strings.Repeat("x", 101)))
 	if _, body, err := b.send(); err != nil || len(body) != 101 {
 		t.Fatalf("got %d bytes, %v", len(body), err)
 	}
@@ -155,21 +156,21 @@
 }
 
 func TestResendOfFailure(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.answer = func(*pipeline.Exchange) error { return result.New(result.TargetRefused, "Busy.") }
 	if _, _, err := b.send(); err == nil {
 		t.Fatal("no error")
 	}
 	b.answer = func(*pipeline.Exchange) error { return result.New(result.TargetLostRequest, "Reset.") }
 	if _, _, err := b.send(); err == nil || b.runs != 2 {
-		t.Fatalf("a request that surely did not run was not run on resend: %v", err)
+		t.Fatalf("a request that is known not to have run was not run on resend: %v", err)
 	}
 	b.wantRefused(result.RecordUnknown, result.RanUnknown)
 }
 
-func TestOnlyMarkedRequestsAreRecorded(t *testing.T) {
-	b := newBench(t)
-	b.answer = whole
+func TestOnlyNonIdempotentRequestsAreRecorded(t *testing.T) {
+	b := newHarness(t)
+	b.answer = answerWhole
 	ex := &pipeline.Exchange{WorkspaceName: "w", IdempotencyKey: "k", Idempotent: true}
 	if err := b.handler(context.Background(), ex); err != nil || b.runs != 1 || len(ex.BeforeDispatch) != 0 {
 		t.Fatalf("%d runs, %v", b.runs, err)
