--- a/filters/route/route.go
+++ b/filters/route/route.go
@@ -1,8 +1,7 @@
-// Package route is the filter that finds the route of a request by host and
+// Package route is the filter that determines the route of a request by host and
 // path, its workspace by key, its pool by the route's split, and its deadline.
-// It fixes the configuration version that the request is served by. It takes
-// the place of authenticate and classify in a fleet whose configuration has
-// routes:
+// It also selects the configuration version that the request is served by. It
+// replaces authenticate and classify in a fleet whose configuration has routes:
 //
 //	[routes.deploy]
 //	host = "hooks.example"
@@ -26,10 +25,10 @@
 )
 
 const (
-	// maxDeadline bounds the time that a caller may ask for.
+	// maxDeadline bounds the time that a caller may request.
 	maxDeadline = 24 * time.Hour
-	// The advice while no configuration is known lies between these, at random.
-	// A router usually has one within half a second of its start.
+	// While no configuration is in force, callers are told to retry after a random
+	// time between these. A router usually has one within half a second of its start.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 600 * time.Millisecond
 )
@@ -37,25 +36,26 @@
 var refusals = codecounter.New("walnut_route_refusals_total",
 	result.NotReady, result.UnknownPath, result.KeyMissing, result.KeyWrong, result.BadHeader)
 
-// Source gives the configuration in force.
+// Source provides the configuration in force.
 type Source interface {
-	// InForce returns the snapshot in force; nil before there is one.
+	// InForce returns the snapshot in force, or nil if there is none yet.
 	InForce() *config.Snapshot
 }
 
 // Options configure a Filter.
 type Options struct {
-	// Source gives the configuration. Required.
+	// Source provides the configuration. Required.
 	Source Source
 	// Dialect names the headers. Required.
 	Dialect *dialect.Dialect
-	// DefaultDeadline is the time of a request whose caller and route set none.
+	// DefaultDeadline is the time allowed for a request if its route sets no time limit.
 	DefaultDeadline time.Duration
-	// Lag returns how late this process takes in what arrives; nil: never.
+	// Lag returns by how much this process lags behind in reading arriving requests;
+	// nil means that it never lags.
 	Lag func() time.Duration
 }
 
-// Filter finds routes.
+// Filter determines the route of each request, and what follows from it.
 type Filter struct{ options Options }
 
 // New returns a filter.
@@ -64,10 +64,10 @@
 // Name implements pipeline.Filter.
 func (f *Filter) Name() string { return "route" }
 
-// Serve implements pipeline.Filter. The context of what follows ends at the
-// request's deadline.
+// Serve implements pipeline.Filter. The context passed to next ends at the request's
+// deadline.
 func (f *Filter) Serve(ctx context.Context, ex *pipeline.Exchange, next pipeline.Handler) error {
-	if refusal := f.find(ex); refusal != nil {
+	if refusal := f.resolve(ex); refusal != nil {
 		refusals.Inc(refusal.Code)
 		return refusal
 	}
@@ -76,7 +76,8 @@
 	return next(ctx, ex)
 }
 
-func (f *Filter) find(ex *pipeline.Exchange) *result.Error {
+// resolve sets the snapshot, the route and all fields that follow from them.
+func (f *Filter) resolve(ex *pipeline.Exchange) *result.Error {
 	ex.Snapshot = f.options.Source.InForce()
 	if ex.Snapshot == nil {
 		after := minRetryAfter + rand.N(maxRetryAfter-minRetryAfter)
@@ -86,19 +87,19 @@
 	if ex.Route == nil {
 		return result.New(result.UnknownPath, "No route serves this host and path.")
 	}
-	if refusal := f.findWorkspace(ex); refusal != nil {
+	if refusal := f.setWorkspace(ex); refusal != nil {
 		return refusal
 	}
-	if refusal := f.findDeadline(ex); refusal != nil {
+	if refusal := f.setDeadline(ex); refusal != nil {
 		return refusal
 	}
-	f.describe(ex)
+	f.setRouteFields(ex)
 	return nil
 }
 
-// findWorkspace finds the workspace by its key. Requests on public routes belong
-// to none.
-func (f *Filter) findWorkspace(ex *pipeline.Exchange) *result.Error {
+// setWorkspace sets the workspace by the key in the headers. Requests on public routes
+// belong to no workspace.
+func (f *Filter) setWorkspace(ex *pipeline.Exchange) *result.Error {
 	if ex.Route.Public {
 		return nil
 	}
@@ -115,35 +116,36 @@
 	return nil
 }
 
-// mostLagPart is the part of a request's time that may count as spent before it was read:
-// lateness is an average, and no request is given up for it alone.
-const mostLagPart = 2
+// lagShareDivisor limits the fraction (1/lagShareDivisor) of a request's time that may
+// count as spent before the request was read: the lag is an average, and must not be the
+// only reason to give up a request.
+const lagShareDivisor = 2
 
-// findDeadline takes the sooner of the caller's deadline and the route's time limit. Both
-// began when the request was sent, so what a late router took to read it has passed:
-// targets worked on for callers that had left for as long.
-func (f *Filter) findDeadline(ex *pipeline.Exchange) *result.Error {
-	wait := f.options.DefaultDeadline
+// setDeadline sets the earlier of the caller's deadline and the route's time limit. Both
+// times begin when the request is sent, so the router's lag in reading it is subtracted:
+// without that, targets kept working for the length of the lag after callers had left.
+func (f *Filter) setDeadline(ex *pipeline.Exchange) *result.Error {
+	allowed := f.options.DefaultDeadline
 	if limit := ex.Route.Timeout(); limit > 0 {
-		wait = limit
+		allowed = limit
 	}
 	if text := ex.Header[f.options.Dialect.Deadline]; text != "" {
 		millis, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(millis >= 0) {
 			return result.New(result.BadHeader, "The deadline is not a number of milliseconds.")
 		}
-		asked := time.Duration(min(millis, float64(maxDeadline.Milliseconds()))) * time.Millisecond
-		wait = min(wait, asked)
+		requested := time.Duration(min(millis, float64(maxDeadline.Milliseconds()))) * time.Millisecond
+		allowed = min(allowed, requested)
 	}
 	if f.options.Lag != nil {
-		wait -= min(f.options.Lag(), wait/mostLagPart)
+		allowed -= min(f.options.Lag(), allowed/lagShareDivisor)
 	}
-	ex.Deadline = ex.Arrived.Add(wait)
+	ex.Deadline = ex.Arrived.Add(allowed)
 	return nil
 }
 
-// describe sets what follows from the route and the headers.
-func (f *Filter) describe(ex *pipeline.Exchange) {
+// setRouteFields sets the fields that follow from the route and the headers.
+func (f *Filter) setRouteFields(ex *pipeline.Exchange) {
 	ex.PoolName = ex.Route.Pick(rand.Float64())
 	ex.Pool = ex.Snapshot.Declarations.Pools[ex.PoolName]
 	ex.Stream = ex.Route.Kind == config.RouteStream
--- a/filters/route/route_test.go
+++ b/filters/route/route_test.go
@@ -10,15 +10,15 @@
 	"github.com/walnutcove/walnutcove/pipeline"
 )
 
-// inForce gives one configuration with a public route.
-type inForce struct{ snapshot *config.Snapshot }
+// staticSource is a Source with a fixed snapshot.
+type staticSource struct{ snapshot *config.Snapshot }
 
-func (s inForce) InForce() *config.Snapshot { return s.snapshot }
+func (s staticSource) InForce() *config.Snapshot { return s.snapshot }
 
-// TestLatenessHasPassed: a late router counts the time in which a request lay unread as
-// spent, up to half of what the request has.
-func TestLatenessHasPassed(t *testing.T) {
-	source := inForce{&config.Snapshot{Version: 1, Declarations: config.Declarations{
+// TestLagCountsAgainstDeadline checks that a router that lags subtracts the time in which
+// a request waited to be read from the request's time, up to half of that time.
+func TestLagCountsAgainstDeadline(t *testing.T) {
+	source := staticSource{&config.Snapshot{Version: 1, Declarations: config.Declarations{
 		Pools: map[string]config.Pool{"p": {Kind: config.KindService}},
 		Routes: map[string]config.Route{"r": {
 			Host: "h", Prefix: "/", Kind: config.RouteIdempotent, Public: true, TimeoutMillis: 4000,
