--- a/filters/detach/detach_test.go
+++ b/filters/detach/detach_test.go
@@ -11,16 +11,17 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// ender is what an exchange has of its server: at most one of refusal and answer is taken.
-type ender struct {
+// fakeServer stands in for the server that sets Exchange.EndBy: the caller gets either the
+// refusal or the answer, never both.
+type fakeServer struct {
 	at     time.Time
 	refuse func() error
 	ended  bool
 }
 
-// exchange returns a non-idempotent exchange.
-func exchange() (*pipeline.Exchange, *ender) {
-	e := &ender{}
+// newExchange returns a non-idempotent exchange and the server behind its EndBy.
+func newExchange() (*pipeline.Exchange, *fakeServer) {
+	e := &fakeServer{}
 	return &pipeline.Exchange{
 		Deadline: time.Now().Add(time.Second),
 		Serving:  context.Background(),
@@ -31,9 +32,9 @@
 	}, e
 }
 
-// TestEndByTheDeadline guards against a caller's end that comes late, or tells wrongly whether
-// the request ran.
-func TestEndByTheDeadline(t *testing.T) {
+// TestCallerIsRefusedAtDeadline guards against a refusal that comes late or reports wrongly
+// whether the request ran.
+func TestCallerIsRefusedAtDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
 		before func(ex *pipeline.Exchange)
 		code   result.Code
@@ -47,8 +48,8 @@
 		}, result.AnswerTooSlow, result.RanUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ex, e := exchange()
-			answeredBefore := answered.Get()
+			ex, e := newExchange()
+			answeredBefore := answeredCount.Get()
 			err := New(slog.New(slog.DiscardHandler)).Serve(t.Context(), ex, func(_ context.Context, ex *pipeline.Exchange) error {
 				c.before(ex)
 				var refusal *result.Error
@@ -59,19 +60,19 @@
 				return nil
 			})
 			if late := e.at.Sub(ex.Deadline); late < 0 || late > answerGrace {
-				t.Errorf("the end is %s after the deadline", late)
+				t.Errorf("the refusal is %s after the deadline", late)
 			}
-			if err != nil || answered.Get() != answeredBefore+1 {
-				t.Errorf("%v; %d runs were answered behind their callers' end", err, answered.Get()-answeredBefore)
+			if err != nil || answeredCount.Get() != answeredBefore+1 {
+				t.Errorf("%v; %d runs were answered after their callers were refused", err, answeredCount.Get()-answeredBefore)
 			}
 		})
 	}
 }
 
-// TestWhatEndsWithItsCallerHasNoTimer guards against a second end of a request whose run ends
-// by its deadline.
-func TestWhatEndsWithItsCallerHasNoTimer(t *testing.T) {
-	ex, e := exchange()
+// TestIdempotentRequestHasNoTimer guards against a second refusal of a request whose run
+// ends at its deadline anyway.
+func TestIdempotentRequestHasNoTimer(t *testing.T) {
+	ex, e := newExchange()
 	ex.Idempotent = true
 	err := New(slog.New(slog.DiscardHandler)).Serve(t.Context(), ex, func(context.Context, *pipeline.Exchange) error { return nil })
 	if err != nil || e.refuse != nil {
