--- a/filters/ready/ready.go
+++ b/filters/ready/ready.go
@@ -12,8 +12,8 @@
 	"github.com/walnutcove/walnutcove/result/codecounter"
 )
 
-// The advice given with a refusal lies between these, at random, so that the
-// refused do not come back together.
+// Refused callers are told to retry after a random time between these, so that they
+// do not all come back at the same time.
 const (
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 1500 * time.Millisecond
@@ -21,21 +21,21 @@
 
 var refusals = codecounter.New("walnut_ready_refusals_total", result.NotReady, result.Draining)
 
-// State says whether the router takes new work. Its methods must be safe for
-// concurrent use.
+// State provides the state of the router. Its methods must be safe for concurrent
+// use.
 type State interface {
-	// Ready says that a configuration version is in force.
+	// Ready reports whether a configuration version is in force.
 	Ready() bool
-	// Draining says that the router is leaving.
+	// Draining reports whether the router is leaving.
 	Draining() bool
 }
 
-// Filter refuses new work by the state of the router.
+// Filter refuses new work depending on the state of the router.
 type Filter struct {
 	state State
 }
 
-// New returns a filter that asks state for each request.
+// New returns a filter that consults state for each request.
 func New(state State) *Filter { return &Filter{state: state} }
 
 // Name implements pipeline.Filter.
