--- a/filters/requestlog/requestlog.go
+++ b/filters/requestlog/requestlog.go
@@ -1,6 +1,7 @@
-// Package requestlog is the filter that logs how each request ended: answers
-// and refusals at info, failures of the router, a target or the platform at
-// warn. It is the first filter, so that it sees every other's outcome.
+// Package requestlog is the filter that logs how each request ended: answers and
+// refusals at level info, failures of a target or the platform at warn, and internal
+// failures of the router at error. It is the first filter, so that it sees the outcome
+// of all others.
 package requestlog
 
 import (
@@ -17,16 +18,16 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// Bounds of the warnings. What is over them is logged at debug and counted, so
-// that a pool that is down does not drown the log.
+// Rate limits of warnings. Warnings over the limits are logged at level debug and
+// counted, so that a failing pool does not flood the log.
 const (
 	warningsPerSecond = 100
 	warningsBurst     = 500
 )
 
-var demoted = metrics.NewCounter("walnut_requestlog_demoted_total")
+var demotedCount = metrics.NewCounter("walnut_requestlog_demoted_total")
 
-// Filter logs the ends of requests.
+// Filter logs the arrival and the outcome of each request.
 type Filter struct {
 	log      *slog.Logger
 	warnings *rate.Limiter
@@ -42,14 +43,15 @@
 
 // Serve implements pipeline.Filter.
 func (f *Filter) Serve(ctx context.Context, ex *pipeline.Exchange, next pipeline.Handler) error {
-	path, _, _ := strings.Cut(ex.Path, "?") // a query may hold what is secret
+	path, _, _ := strings.Cut(ex.Path, "?") // a query may contain secrets
 	pipeline.Log(ctx, f.log, slog.LevelDebug, ex, "request: Arrived.",
 		slog.String("method", ex.Method), slog.String("path", path), slog.Int("bytes", len(ex.Body)))
 	ex.OnEnd(func(err error) { f.logEnd(ex, err) })
 	return next(ctx, ex)
 }
 
-// logEnd logs how the exchange ended. The request's own context may be over.
+// logEnd logs how the exchange ended. It uses a context of its own because the
+// request's context may have ended.
 func (f *Filter) logEnd(ex *pipeline.Exchange, err error) {
 	ctx := context.Background()
 	took := slog.Duration("took", time.Since(ex.Arrived))
@@ -57,27 +59,27 @@
 		pipeline.Log(ctx, f.log, slog.LevelInfo, ex, "request: Answered.", slog.Int("status", ex.Status), slog.Duration("began", ex.Began()), took)
 		return
 	}
-	var numbered *result.Error
-	if !errors.As(err, &numbered) {
+	var refusal *result.Error
+	if !errors.As(err, &refusal) {
 		pipeline.Log(ctx, f.log, slog.LevelInfo, ex, "request: Answer did not reach the caller.", took, slog.Any("error", err))
 		return
 	}
-	level, message := judge(numbered.Code)
+	level, message := levelAndMessage(refusal.Code)
 	if level >= slog.LevelWarn && !f.warnings.Allow() {
-		demoted.Inc()
+		demotedCount.Inc()
 		level = slog.LevelDebug
 	}
 	pipeline.Log(ctx, f.log, level, ex, message,
-		slog.Int("code", int(numbered.Code)),
-		slog.String("reason", numbered.Code.Info().Name),
-		slog.String("ran", numbered.Ran.String()),
+		slog.Int("code", int(refusal.Code)),
+		slog.String("reason", refusal.Code.Info().Name),
+		slog.String("ran", refusal.Ran.String()),
 		took,
 		slog.Any("error", err))
 }
 
-// judge says whether a code is a failure here, or a refusal for which the
-// caller or the load is the cause.
-func judge(code result.Code) (slog.Level, string) {
+// levelAndMessage returns the log level and message for a result code: failures of the
+// system are logged at warn or error, refusals caused by the caller or the load at info.
+func levelAndMessage(code result.Code) (slog.Level, string) {
 	switch code {
 	case result.Internal:
 		return slog.LevelError, "request: Failed."
--- a/filters/requestlog/requestlog_test.go
+++ b/filters/requestlog/requestlog_test.go
@@ -13,8 +13,8 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// lines runs one exchange to its end and returns its log lines.
-func lines(t *testing.T, f *Filter, out *bytes.Buffer, end error) []map[string]any {
+// logLines runs one exchange to its end and returns its log lines.
+func logLines(t *testing.T, f *Filter, out *bytes.Buffer, end error) []map[string]any {
 	t.Helper()
 	out.Reset()
 	ex := &pipeline.Exchange{ID: "r-1", Method: "POST", Path: "/x?token=y", Body: []byte("body")}
@@ -42,7 +42,7 @@
 	return New(slog.New(slog.NewJSONHandler(&out, &slog.HandlerOptions{Level: level}))), &out
 }
 
-func TestEachEndIsLogged(t *testing.T) {
+func TestEachOutcomeIsLogged(t *testing.T) {
 	f, out := newFilter(slog.LevelDebug)
 	for _, c := range []struct {
 		end            error
@@ -57,7 +57,7 @@
 		{result.New(result.Internal, "Fault."), "ERROR", "request: Failed.", 901.0},
 		{errors.New("connection reset"), "INFO", "request: Answer did not reach the caller.", nil},
 	} {
-		all := lines(t, f, out, c.end)
+		all := logLines(t, f, out, c.end)
 		if len(all) != 2 || all[0]["msg"] != "request: Arrived." || all[0]["request"] != "r-1" || all[0]["path"] != "/x" {
 			t.Fatalf("%v: got %v", c.end, all)
 		}
@@ -74,13 +74,13 @@
 func TestWarningsAreBounded(t *testing.T) {
 	f, out := newFilter(slog.LevelWarn)
 	lost := result.New(result.TargetLostRequest, "Lost.")
-	f.warnings.SetLimit(0) // no time passes in this test
-	before := demoted.Get()
+	f.warnings.SetLimit(0) // no tokens are refilled during the test
+	before := demotedCount.Get()
 	warned := 0
 	for range warningsBurst + 7 {
-		warned += len(lines(t, f, out, lost))
+		warned += len(logLines(t, f, out, lost))
 	}
-	if warned != warningsBurst || demoted.Get()-before != 7 {
-		t.Errorf("%d warnings, %d demoted", warned, demoted.Get()-before)
+	if warned != warningsBurst || demotedCount.Get()-before != 7 {
+		t.Errorf("%d warnings, %d demoted", warned, demotedCount.Get()-before)
 	}
 }
