--- a/filters/grant/grant.go
+++ b/filters/grant/grant.go
@@ -1,5 +1,5 @@
-// Package grant is the filter that waits for a slot of a target. It asks the
-// control goroutine through a Source and goes on once a slot is granted.
+// Package grant is the filter that waits for a slot of a target. It requests one
+// from the control goroutine through a Source and continues once a slot is granted.
 package grant
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/walnutcove/walnutcove/pipeline"
 )
 
-// Source gives slots. The router's control loop implements it.
+// Source provides slots. The router implements it with its control loop.
 type Source interface {
 	// Acquire waits for a slot for the exchange's current attempt and sets
 	// ex.Target, ex.Address and ex.Run. Its errors are *result.Error.
@@ -19,14 +19,14 @@
 
 // Filter waits for a grant before the rest of the pipeline runs.
 type Filter struct {
-	// Source gives the slots.
+	// Source provides the slots.
 	Source Source
-	// Log gets a line at debug for each grant.
+	// Log gets an info line for each grant.
 	Log *slog.Logger
 }
 
-// reasons says what the grant went by.
-func reasons(ex *pipeline.Exchange, asked time.Time) []slog.Attr {
+// placementAttrs returns log attributes that explain why the target was chosen.
+func placementAttrs(ex *pipeline.Exchange, asked time.Time) []slog.Attr {
 	attrs := []slog.Attr{
 		slog.Duration("waited", time.Since(asked)),
 		slog.String("as_of", ex.Snapshot.Order().String()),
@@ -49,6 +49,6 @@
 	if err := f.Source.Acquire(ctx, ex); err != nil {
 		return err
 	}
-	pipeline.Log(ctx, f.Log, slog.LevelInfo, ex, "grant: Slot granted.", reasons(ex, asked)...)
+	pipeline.Log(ctx, f.Log, slog.LevelInfo, ex, "grant: Slot granted.", placementAttrs(ex, asked)...)
 	return next(ctx, ex)
 }
