--- a/filters/authenticate/authenticate.go
+++ b/filters/authenticate/authenticate.go
@@ -1,5 +1,5 @@
-// Package authenticate is the filter that turns a workspace key into a
-// workspace. It fixes the configuration version that the request is served by.
+// Package authenticate is the filter that finds the workspace of a request by its
+// key. It also selects the configuration version that the request is served by.
 package authenticate
 
 import (
@@ -22,9 +22,9 @@
 var refusals = codecounter.New("walnut_authenticate_refusals_total",
 	result.KeyMissing, result.KeyWrong, result.NotReady)
 
-// Source gives the configuration in force.
+// Source provides the configuration in force.
 type Source interface {
-	// InForce returns the snapshot in force; nil before there is one.
+	// InForce returns the snapshot in force, or nil if there is none yet.
 	InForce() *config.Snapshot
 }
 
@@ -33,7 +33,7 @@
 	source Source
 }
 
-// New returns a filter that reads keys from the source's snapshot.
+// New returns a filter that looks up keys in the source's snapshot.
 func New(source Source) *Filter { return &Filter{source: source} }
 
 // Name implements pipeline.Filter.
@@ -41,11 +41,11 @@
 
 // Serve implements pipeline.Filter.
 func (f *Filter) Serve(ctx context.Context, ex *pipeline.Exchange, next pipeline.Handler) error {
-	key := keyIn(func(name string) string { return ex.Header[name] })
-	// The key must reach no target.
+	key := keyFromHeaders(func(name string) string { return ex.Header[name] })
+	// The key must not be forwarded to a target.
 	delete(ex.Header, headerKey)
 	delete(ex.Header, headerAuthorization)
-	snapshot, name, refusal := f.find(key)
+	snapshot, name, refusal := f.findWorkspace(key)
 	if refusal != nil {
 		return refusal
 	}
@@ -56,15 +56,16 @@
 }
 
 // Check finds the workspace of a request by its headers alone, so that no body
-// is read for a caller without a key. header returns a value by its canonical
-// name.
+// is read for a caller without a valid key. header returns the value of a header by
+// its canonical name.
 func (f *Filter) Check(header func(name string) string) (workspace string, refusal *result.Error) {
-	_, workspace, refusal = f.find(keyIn(header))
+	_, workspace, refusal = f.findWorkspace(keyFromHeaders(header))
 	return workspace, refusal
 }
 
-// find returns the configuration in force and the key's workspace in it.
-func (f *Filter) find(key string) (*config.Snapshot, string, *result.Error) {
+// findWorkspace returns the configuration in force and the name of the key's workspace
+// in it.
+func (f *Filter) findWorkspace(key string) (*config.Snapshot, string, *result.Error) {
 	if key == "" {
 		return nil, "", refuse(result.KeyMissing, "Send the workspace key as Authorization: Bearer KEY or Walnut-Key: KEY.")
 	}
@@ -72,8 +73,8 @@
 	if snapshot == nil {
 		return nil, "", refuse(result.NotReady, "No configuration version is in force yet.")
 	}
-	// The lookup is by the digest of the key, so its time says nothing about
-	// how much of a guessed key is right.
+	// The lookup uses the digest of the key, so its duration does not reveal how much
+	// of a guessed key is correct.
 	name, ok := snapshot.Index().WorkspaceByKey([]byte(key))
 	if !ok {
 		return nil, "", refuse(result.KeyWrong, "The workspace key is not known.")
@@ -87,8 +88,8 @@
 	return result.New(code, "%s", detail)
 }
 
-// keyIn returns the key in the headers, or "".
-func keyIn(header func(name string) string) string {
+// keyFromHeaders returns the key in the headers, or "" if there is none.
+func keyFromHeaders(header func(name string) string) string {
 	if key := header(headerKey); key != "" {
 		return key
 	}
--- a/filters/authenticate/authenticate_test.go
+++ b/filters/authenticate/authenticate_test.go
@@ -12,9 +12,9 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-type source struct{ snapshot *config.Snapshot }
+type staticSource struct{ snapshot *config.Snapshot }
 
-func (s source) InForce() *config.Snapshot { return s.snapshot }
+func (s staticSource) InForce() *config.Snapshot { return s.snapshot }
 
 func TestAuthenticate(t *testing.T) {
 	hash := config.HashKey([]byte("secret"))
@@ -40,7 +40,7 @@
 			given := maps.Clone(c.header)
 			ex := &pipeline.Exchange{Header: c.header}
 			called := false
-			err := New(source{c.snapshot}).Serve(context.Background(), ex, func(context.Context, *pipeline.Exchange) error {
+			err := New(staticSource{c.snapshot}).Serve(context.Background(), ex, func(context.Context, *pipeline.Exchange) error {
 				called = true
 				return nil
 			})
@@ -55,7 +55,7 @@
 			if called && (ex.WorkspaceName != "bakery" || ex.Workspace.Share != 3 || ex.Snapshot != snapshot) {
 				t.Errorf("got workspace %q %v", ex.WorkspaceName, ex.Workspace)
 			}
-			workspace, early := New(source{c.snapshot}).Check(func(name string) string { return given[name] })
+			workspace, early := New(staticSource{c.snapshot}).Check(func(name string) string { return given[name] })
 			if (early == nil) != called || early != nil && early.Code != c.code || workspace != ex.WorkspaceName {
 				t.Errorf("by the headers alone: %q, %v", workspace, early)
 			}
