--- a/result/codecounter/codecounter.go
+++ b/result/codecounter/codecounter.go
@@ -12,31 +12,31 @@
 
 // Counter counts codes. It is safe for concurrent use.
 type Counter struct {
-	name  string
-	known map[result.Code]*metrics.Counter
+	name       string
+	registered map[result.Code]*metrics.Counter
 }
 
-// New returns a counter that exports name{reason="<code's name>"} from the
-// process's own set. The given codes are there from the start with zero; any
-// other appears with its first count.
+// New returns a counter that exports name{reason="<code's name>"} in the process's
+// default metric set. The given codes are exported from the start, with zero; any
+// other code appears when it is first counted.
 func New(name string, codes ...result.Code) *Counter {
-	c := &Counter{name: name, known: make(map[result.Code]*metrics.Counter, len(codes))}
+	c := &Counter{name: name, registered: make(map[result.Code]*metrics.Counter, len(codes))}
 	for _, code := range codes {
-		c.known[code] = c.counter(code)
+		c.registered[code] = c.counter(code)
 	}
 	return c
 }
 
-// Inc counts a code.
+// Inc adds one to the count of a code.
 func (c *Counter) Inc(code result.Code) {
-	counter, ok := c.known[code]
+	counter, ok := c.registered[code]
 	if !ok {
 		counter = c.counter(code)
 	}
 	counter.Inc()
 }
 
-// Get returns how often a code was counted.
+// Get returns the count of a code.
 func (c *Counter) Get(code result.Code) uint64 { return c.counter(code).Get() }
 
 func (c *Counter) counter(code result.Code) *metrics.Counter {
--- a/result/codes.go
+++ b/result/codes.go
@@ -1,8 +1,8 @@
 package result
 
-// Codes by filter. A code's meaning never changes once released.
+// Codes by filter. The meaning of a code never changes once it is released.
 const (
-	// OK means that the request was answered whole.
+	// OK means that the request was answered completely.
 	OK Code = 0
 
 	// accept: 100-199.
@@ -62,10 +62,10 @@
 	TargetError   Code = 802
 	AnswerTooSlow Code = 803
 
-	// any part: 900-999.
+	// any filter: 900-999.
 	Internal Code = 901
 
-	// operators: 1000-1099.
+	// operators' API: 1000-1099.
 	VersionConflict     Code = 1001
 	InvalidPatch        Code = 1002
 	InvalidDeclaration  Code = 1003
@@ -82,9 +82,9 @@
 type Info struct {
 	// Code is the number.
 	Code Code
-	// Name is the reason as it stands in metric labels and logs.
+	// Name is the reason as written in metric labels and logs.
 	Name string
-	// Filter is the part that gives the code.
+	// Filter names the filter, or other part, that returns the code.
 	Filter string
 	// Status is the HTTP status sent with it.
 	Status int
@@ -92,11 +92,11 @@
 	Ran Ran
 	// Retry says whether the caller may send the same request again.
 	Retry bool
-	// Meaning is one sentence for the table.
+	// Meaning explains the code in one sentence.
 	Meaning string
 }
 
-var table = []Info{
+var infoTable = []Info{
 	{OK, "ok", "settle", 200, RanYes, false, "The request was answered whole."},
 	{BadRequest, "bad_request", "accept", 400, RanNo, false, "The request is not valid HTTP or JSON."},
 	{BodyTooLarge, "body_too_large", "accept", 413, RanNo, false, "The body is over the size limit."},
@@ -153,20 +153,20 @@
 }
 
 var byCode = func() map[Code]Info {
-	m := make(map[Code]Info, len(table))
-	for _, row := range table {
+	m := make(map[Code]Info, len(infoTable))
+	for _, row := range infoTable {
 		m[row.Code] = row
 	}
 	return m
 }()
 
-// Table returns a copy of every code's row, in numeric order.
+// Table returns a copy of the rows of all codes, in numeric order.
 func Table() []Info {
-	return append([]Info(nil), table...)
+	return append([]Info(nil), infoTable...)
 }
 
-// Info returns the row of c. An unknown code yields a row named "unknown_code"
-// with status 500 and an unknown outcome.
+// Info returns the row of c. For an unknown code it returns a row named "unknown_code"
+// with status 500 and RanUnknown.
 func (c Code) Info() Info {
 	if row, ok := byCode[c]; ok {
 		return row
--- a/result/result.go
+++ b/result/result.go
@@ -1,6 +1,6 @@
-// Package result holds the numbered result codes that walnutcove gives to
-// callers and operators. Each code belongs to the filter that gives it: the
-// hundreds digit names the filter. docs/RESULTS.md is the same table as prose,
+// Package result defines the numbered result codes that walnutcove returns to
+// callers and operators. Each code belongs to the filter that returns it: the
+// hundreds identify the filter. docs/RESULTS.md documents the same table,
 // and a test keeps the two equal.
 package result
 
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// Code is a numbered result. Zero means "answered".
+// Code is a numbered result. Zero means that the request was answered.
 type Code int
 
-// Ran says whether the request may have run on a target.
+// Ran tells whether the request may have run on a target. A greater value means
+// that a run is more certain.
 type Ran int
 
-// The three outcomes of a request.
+// The values of Ran.
 const (
-	// RanNo means that the request truly did not run: no byte of it was
-	// written to a target connection, or the target refused it before running.
+	// RanNo means that the request certainly did not run: no byte of it was
+	// written to a target connection, or the target refused it before running it.
 	RanNo Ran = iota
 	// RanUnknown means that the request may have run.
 	RanUnknown
@@ -26,7 +27,7 @@
 	RanYes
 )
 
-// String returns the outcome as it stands in the Walnut-Ran response header.
+// String returns the value as written in the Walnut-Ran response header.
 func (r Ran) String() string {
 	switch r {
 	case RanNo:
@@ -43,10 +44,10 @@
 type Error struct {
 	// Code is the numbered result.
 	Code Code
-	// Ran says whether the request may have run. It defaults to the code's
-	// own value; see New.
+	// Ran tells whether the request may have run. New sets it to the code's default.
 	Ran Ran
-	// RetryAfter is when the caller should come back; zero means no advice.
+	// RetryAfter is how long the caller should wait before it retries; zero means that
+	// no advice is given.
 	RetryAfter time.Duration
 	// Detail is one short sentence for the caller. It never names another
 	// workspace, a key or a target address.
@@ -55,7 +56,7 @@
 	Cause error
 }
 
-// New returns an Error for code with the code's own Ran value.
+// New returns an Error for code with the code's default Ran value.
 func New(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Ran: code.Info().Ran, Detail: fmt.Sprintf(format, args...)}
 }
@@ -67,7 +68,7 @@
 	return e
 }
 
-// After sets the advice when to come back and returns e.
+// WithRetryAfter sets how long the caller should wait before it retries, and returns e.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -18,22 +18,22 @@
 	tableEnd   = "<!-- table: end -->\n"
 )
 
-var rewrite = flag.Bool("rewrite", false, "write the table of docs/RESULTS.md anew")
+var rewrite = flag.Bool("rewrite", false, "rewrite the table in docs/RESULTS.md")
 
-// TestPageHoldsTheTable keeps docs/RESULTS.md and Table equal. After a change of
-// the table: go test ./result -rewrite.
-func TestPageHoldsTheTable(t *testing.T) {
+// TestPageMatchesTable keeps docs/RESULTS.md and Table equal. After a change of
+// the table run: go test ./result -rewrite
+func TestPageMatchesTable(t *testing.T) {
 	page, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	before, rest, ok := strings.Cut(string(page), tableBegin)
-	held, after, ended := strings.Cut(rest, tableEnd)
+	current, after, ended := strings.Cut(rest, tableEnd)
 	if !ok || !ended {
-		t.Fatalf("%s has no table marks", pagePath)
+		t.Fatalf("%s has no table markers", pagePath)
 	}
 	want := renderTable()
-	if held == want {
+	if current == want {
 		return
 	}
 	if !*rewrite {
@@ -59,7 +59,7 @@
 	return b.String()
 }
 
-func TestTableIsSound(t *testing.T) {
+func TestTableIsConsistent(t *testing.T) {
 	filters := map[int]string{
 		0: "settle", 1: "accept", 2: "authenticate", 3: "classify", 4: "guard",
 		5: "admit", 6: "grant", 7: "dispatch", 8: "relay", 9: "any", 10: "operators",
@@ -68,14 +68,14 @@
 	last := Code(-1)
 	for _, row := range Table() {
 		if row.Code <= last || names[row.Name] {
-			t.Errorf("%d %s: out of order, or the name stands twice", row.Code, row.Name)
+			t.Errorf("%d %s: out of order, or a duplicate name", row.Code, row.Name)
 		}
 		last = row.Code
 		names[row.Name] = true
 		if row.Filter != filters[int(row.Code)/100] {
 			t.Errorf("%d is given by %s", row.Code, row.Filter)
 		}
-		const clientClosedRequest = 499 // in wide use, but in no standard
+		const clientClosedRequest = 499 // widely used, but not standardised
 		if http.StatusText(row.Status) == "" && row.Status != clientClosedRequest {
 			t.Errorf("%d has HTTP status %d", row.Code, row.Status)
 		}
