--- a/wait/wait.go
+++ b/wait/wait.go
@@ -1,4 +1,5 @@
-// Package wait holds the one pause that the rest of the product uses.
+// Package wait provides the pause that all other packages use. It ends early with its
+// context.
 package wait
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// For waits for a time. It reports false if ctx ended first.
+// For waits for d. It returns false if ctx ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
