--- a/filters/events/events.go
+++ b/filters/events/events.go
@@ -140,6 +140,7 @@
 	s.readyBytes = wholeEvents(s.buffer)
 }
 
+// canResume reports whether a broken stream may be resumed on another target.
 func (s *stream) canResume() bool { return s.ex.Route.Resumes && s.relay.Reopen != nil }
 
 // wholeEvents returns the length of the complete events at the beginning of text.
--- a/filters/events/gather.go
+++ b/filters/events/gather.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// minGatherLag is the lag from which on a router gathers events. Below it, each
+	// minGatherLag is the smallest lag at which a router gathers events. Below it, each
 	// event is relayed as it arrives.
 	minGatherLag = 5 * time.Millisecond
 	// Events are gathered for gatherLagFactor times the lag, but at most for
--- a/filters/events/gather_test.go
+++ b/filters/events/gather_test.go
@@ -54,7 +54,7 @@
 
 // relayAll relays a stream at the given lag. It returns the number of reads, the time
 // to the first event, the longest pause between reads, and the text relayed.
-func relayAll(t *testing.T, lag, maxPause time.Duration) (reads int, firstAt, longestPause time.Duration, body string) {
+func relayAll(t *testing.T, lag, maxPause time.Duration) (reads int, timeToFirst, longestPause time.Duration, body string) {
 	t.Helper()
 	relay := &Relay{Lag: func() time.Duration { return lag }, Log: slog.New(slog.DiscardHandler)}
 	ex := &pipeline.Exchange{Run: nopRun{}, Route: &config.NamedRoute{Route: config.Route{PauseMillis: int(maxPause.Milliseconds())}}}
@@ -69,10 +69,10 @@
 		n, err := ex.AnswerStream.Read(buffer)
 		body += string(buffer[:n])
 		if err == io.EOF {
-			return reads, firstAt, longestPause, body
+			return reads, timeToFirst, longestPause, body
 		}
 		if reads == 0 {
-			firstAt = time.Since(began)
+			timeToFirst = time.Since(began)
 		}
 		longestPause = max(longestPause, time.Since(lastRead))
 		lastRead = time.Now()
--- a/filters/retry/retry.go
+++ b/filters/retry/retry.go
@@ -93,7 +93,7 @@
 		if ex.Attempt >= maxAttempts || possibleRuns >= maxRuns(ex) || !time.Now().Before(ex.Deadline) {
 			return finalError(err)
 		}
-		// An attempt that was never sent put no load on any target, so the next one is free.
+		// An attempt that was never sent put no load on any target, so its retry is free.
 		if refusal.Code != result.TargetLeft && !f.budget.takeRetry(ex.PoolName, ex.WorkspaceName) {
 			return budgetExhausted(err, refusal)
 		}
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -87,7 +87,8 @@
 	Target   string
 	Address  string
 	Excluded []string // targets that failed this request
-	// Placement holds the scheduler's reasons for choosing the target, for logs.
+	// Placement holds what the scheduler predicted for the target, for logs and for
+	// the limit of a target's silence.
 	Placed Placement
 	// FetchAddress is the address of the target that caches shared parts of the
 	// prompt, if the granted target is to fetch them; empty otherwise.
