--- a/filters/detach/detach.go
+++ b/filters/detach/detach.go
@@ -52,12 +52,12 @@
 // refuse returns the refusal for a caller at its deadline. The run continues, or is never
 // begun if the request has not been sent. The exchange's own goroutine keeps running.
 func (f *Filter) refuse(ex *pipeline.Exchange) error {
-	if ex.EndUnsent() {
+	if ex.CancelSend() {
 		refusals.Inc(result.DeadlineBeforeGrant)
 		return result.New(result.DeadlineBeforeGrant, "The deadline passed before the request was sent.")
 	}
 	refusal := result.New(result.FirstByteTimeout, "The target did not answer by the deadline.")
-	if ex.Began() > 0 {
+	if ex.TimeToAnswer() > 0 {
 		refusal = result.New(result.AnswerTooSlow, "The answer was not whole by the deadline.")
 	}
 	refusals.Inc(refusal.Code)
--- a/filters/detach/detach_test.go
+++ b/filters/detach/detach_test.go
@@ -23,8 +23,8 @@
 func newExchange() (*pipeline.Exchange, *fakeServer) {
 	e := &fakeServer{}
 	return &pipeline.Exchange{
-		Deadline: time.Now().Add(time.Second),
-		Serving:  context.Background(),
+		Deadline:       time.Now().Add(time.Second),
+		ServingContext: context.Background(),
 		EndBy: func(at time.Time, refuse func() error) func() bool {
 			e.at, e.refuse = at, refuse
 			return func() bool { return !e.ended }
@@ -44,7 +44,7 @@
 		"sent":               {func(ex *pipeline.Exchange) { ex.BeginSend() }, result.FirstByteTimeout, result.RanUnknown},
 		"answer has begun": {func(ex *pipeline.Exchange) {
 			ex.BeginSend()
-			ex.MarkBegan()
+			ex.MarkAnswerBegan()
 		}, result.AnswerTooSlow, result.RanUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/filters/dispatch/dispatch.go
+++ b/filters/dispatch/dispatch.go
@@ -77,7 +77,7 @@
 func (f *Filter) send(ctx context.Context, ex *pipeline.Exchange) (*targets.Response, error) {
 	// On a busy router the request may have waited longer than its caller did. Probing
 	// the connection is cheap compared with a run that nobody waits for.
-	if ex.HasCallerLeft() {
+	if ex.IsCallerGoneNow() {
 		return nil, result.New(result.CallerGone, "The caller went away.")
 	}
 	callCtx, cancel := context.WithCancel(ctx)
@@ -121,9 +121,9 @@
 		request.Workspace = ex.WorkspaceName
 		request.Target = ex.Target
 		request.Deadline = ex.Deadline
-		request.AfterEvent = ex.AfterEvent
+		request.AfterEvent = ex.LastEventID
 		request.FetchAddress = ex.FetchAddress
-		request.CallerLeft = ex.HasCallerLeft
+		request.CallerLeft = ex.IsCallerGoneNow
 		request.TargetServes = ex.TargetServes
 		if !ex.OutlivesCaller() {
 			request.OnCallerGone = ex.OnCallerGone
@@ -152,7 +152,7 @@
 // moved to another one.
 func stallLimit(ex *pipeline.Exchange) time.Duration {
 	pauses := stallPauseFactor * time.Duration(ex.Route.PauseMillis) * time.Millisecond
-	return max(minStallLimit+stallStartFactor*ex.Placed.Start, pauses)
+	return max(minStallLimit+stallStartFactor*ex.Placement.PredictedStart, pauses)
 }
 
 // firstByteTimeout returns the limit of the wait for the answer's header. A request
--- a/filters/dispatch/dispatch_test.go
+++ b/filters/dispatch/dispatch_test.go
@@ -153,7 +153,7 @@
 			<-call.Done()
 			return nil, result.New(result.TargetLostRequest, "Cut.")
 		}}}
-		ex := &pipeline.Exchange{CallerGone: gone, Serving: serving, Idempotent: idempotent}
+		ex := &pipeline.Exchange{CallerGone: gone, ServingContext: serving, Idempotent: idempotent}
 		refusal, run := serve(ctx, f, ex)
 		code, outcome := result.TargetLostRequest, control.OutcomeLost
 		if idempotent {
@@ -171,7 +171,7 @@
 	gone := make(chan struct{})
 	close(gone)
 	client := &fakeTarget{}
-	ex := &pipeline.Exchange{CallerGone: gone, Serving: context.Background()}
+	ex := &pipeline.Exchange{CallerGone: gone, ServingContext: context.Background()}
 	refusal, run := serve(context.Background(), &Filter{Client: client}, ex)
 	if refusal == nil || refusal.Code != result.CallerGone || refusal.Ran != result.RanNo || len(client.calls) != 0 || len(run.outcomes) != 1 {
 		t.Errorf("got %v after %d calls, outcomes %v", refusal, len(client.calls), run.outcomes)
@@ -224,7 +224,7 @@
 	f := &fakeTarget{do: func(context.Context) (*targets.Response, error) {
 		return nil, errors.New("called")
 	}}
-	ex := &pipeline.Exchange{CallerGone: make(chan struct{}), LookForCaller: func() bool { return true }}
+	ex := &pipeline.Exchange{CallerGone: make(chan struct{}), ProbeCallerGone: func() bool { return true }}
 	refusal, run := serve(context.Background(), &Filter{Client: f}, ex)
 	if len(f.calls) != 0 || refusal == nil || refusal.Code != result.CallerGone || refusal.Ran != result.RanNo {
 		t.Errorf("%d calls, %v", len(f.calls), refusal)
--- a/filters/events/events.go
+++ b/filters/events/events.go
@@ -65,7 +65,7 @@
 		return err
 	}
 	ex.Run.Begin()
-	ex.MarkBegan()
+	ex.MarkAnswerBegan()
 	ex.Status = answer.Status
 	ex.AnswerHeader = answer.Header
 	ex.AnswerStream = s
@@ -162,7 +162,7 @@
 // recordLastID records the id of the last event in delivered.
 func (s *stream) recordLastID(delivered []byte) {
 	if id := lastID(delivered); id != "" {
-		s.ex.AfterEvent = id
+		s.ex.LastEventID = id
 	}
 }
 
@@ -185,7 +185,7 @@
 // reports whether that succeeded. A partly received event is discarded, because the
 // other target sends it completely.
 func (s *stream) resume(cause error) bool {
-	if !s.canResume() || s.ex.AfterEvent == "" || s.ctx.Err() != nil {
+	if !s.canResume() || s.ex.LastEventID == "" || s.ctx.Err() != nil {
 		return false
 	}
 	s.source.Close()
@@ -207,7 +207,7 @@
 }
 
 func (s *stream) log(message string, attrs ...slog.Attr) {
-	attrs = append(attrs, slog.String("after_event", s.ex.AfterEvent))
+	attrs = append(attrs, slog.String("after_event", s.ex.LastEventID))
 	pipeline.Log(s.ctx, s.relay.Log, slog.LevelWarn, s.ex, message, attrs...)
 }
 
--- a/filters/grant/grant.go
+++ b/filters/grant/grant.go
@@ -31,11 +31,11 @@
 		slog.Duration("waited", time.Since(asked)),
 		slog.String("as_of", ex.Snapshot.Order().String()),
 	}
-	if ex.Placed.Reads > 0 {
-		attrs = append(attrs, slog.Duration("start_predicted", ex.Placed.Start), slog.Int("reads", ex.Placed.Reads), slog.Int("prompt", ex.Work.PromptTokens))
+	if ex.Placement.UncachedTokens > 0 {
+		attrs = append(attrs, slog.Duration("start_predicted", ex.Placement.PredictedStart), slog.Int("reads", ex.Placement.UncachedTokens), slog.Int("prompt", ex.Work.PromptTokens))
 	}
-	if ex.Placed.FetchFrom != "" {
-		attrs = append(attrs, slog.String("fetch_from", ex.Placed.FetchFrom))
+	if ex.Placement.FetchFrom != "" {
+		attrs = append(attrs, slog.String("fetch_from", ex.Placement.FetchFrom))
 	}
 	return attrs
 }
--- a/filters/ready/ready.go
+++ b/filters/ready/ready.go
@@ -55,7 +55,7 @@
 // refuse counts and returns a refusal.
 func refuse(code result.Code, detail string) error {
 	refusals.Inc(code)
-	return result.New(code, "%s", detail).After(retryAfter())
+	return result.New(code, "%s", detail).WithRetryAfter(retryAfter())
 }
 
 func retryAfter() time.Duration {
--- a/filters/relay/relay.go
+++ b/filters/relay/relay.go
@@ -53,7 +53,7 @@
 // Answer sets the exchange's answer from the target's. If it returns an error, the
 // caller has received no part of the answer, so an idempotent request may be retried.
 func (r *Relay) Answer(ctx context.Context, ex *pipeline.Exchange, answer *targets.Response) error {
-	ex.MarkBegan()
+	ex.MarkAnswerBegan()
 	ex.Status = answer.Status
 	ex.AnswerHeader = answer.Header
 	start := time.Now()
--- a/filters/requestlog/requestlog.go
+++ b/filters/requestlog/requestlog.go
@@ -56,7 +56,7 @@
 	ctx := context.Background()
 	took := slog.Duration("took", time.Since(ex.Arrived))
 	if err == nil {
-		pipeline.Log(ctx, f.log, slog.LevelInfo, ex, "request: Answered.", slog.Int("status", ex.Status), slog.Duration("began", ex.Began()), took)
+		pipeline.Log(ctx, f.log, slog.LevelInfo, ex, "request: Answered.", slog.Int("status", ex.Status), slog.Duration("began", ex.TimeToAnswer()), took)
 		return
 	}
 	var refusal *result.Error
--- a/filters/retry/retry.go
+++ b/filters/retry/retry.go
@@ -58,7 +58,7 @@
 
 // NewWindowed returns a filter whose retries are bounded in a sliding window. limits
 // is called for each request and each retry.
-func NewWindowed(log *slog.Logger, limits func() Rules) *Filter {
+func NewWindowed(log *slog.Logger, limits func() Limits) *Filter {
 	return &Filter{log: log, budget: newWindowBudget(limits, time.Now)}
 }
 
@@ -119,7 +119,7 @@
 // CheckAnswer returns an error if the exchange holds a target's error answer and the
 // request is idempotent by its route, so that another target may succeed. If the
 // request is not retried, the error answer is delivered after all.
-func FailedAnswer(ex *pipeline.Exchange) error {
+func CheckAnswer(ex *pipeline.Exchange) error {
 	if ex.Status < minServerErrorStatus || ex.Route == nil || ex.Route.Kind != config.RouteIdempotent || ex.AnswerStream != nil {
 		return nil
 	}
@@ -149,7 +149,7 @@
 
 // TakeRetry takes a retry for a stream that is to resume on another target. It
 // returns false if none is left.
-func (f *Filter) Spend(ex *pipeline.Exchange) bool {
+func (f *Filter) TakeRetry(ex *pipeline.Exchange) bool {
 	if f.budget.takeRetry(ex.PoolName, ex.WorkspaceName) {
 		return true
 	}
@@ -211,5 +211,5 @@
 	}
 	refusal := result.Wrap(result.RetryBudgetEmpty, failure, "The request failed and too many others are being retried.")
 	refusal.Ran = failure.Ran
-	return refusal.After(minRetryAfter + rand.N(maxRetryAfter-minRetryAfter))
+	return refusal.WithRetryAfter(minRetryAfter + rand.N(maxRetryAfter-minRetryAfter))
 }
--- a/filters/retry/retry_test.go
+++ b/filters/retry/retry_test.go
@@ -198,11 +198,11 @@
 // ended half a window earlier, also after a quiet time and a flood. Routers use four
 // fifths of the fleet's budget; the rest covers windows that begin between those two.
 func TestWindowBudgetHoldsInEveryWindow(t *testing.T) {
-	fleetLimits := Rules{Ratio: 0.2, Slack: 8, Window: 10 * time.Second}
-	routerLimits := Rules{Ratio: 0.8 * fleetLimits.Ratio, Slack: 0.8 * fleetLimits.Slack, Window: fleetLimits.Window}
+	fleetLimits := Limits{Ratio: 0.2, Slack: 8, Window: 10 * time.Second}
+	routerLimits := Limits{Ratio: 0.8 * fleetLimits.Ratio, Slack: 0.8 * fleetLimits.Slack, Window: fleetLimits.Window}
 	begin := time.Now()
 	now := begin
-	b := newWindowBudget(func() Rules { return routerLimits }, func() time.Time { return now })
+	b := newWindowBudget(func() Limits { return routerLimits }, func() time.Time { return now })
 	var requests, retries []time.Duration
 	for n := range 4000 {
 		step := 10 * time.Millisecond
@@ -241,7 +241,7 @@
 // workspace gets at most half of them.
 func TestWindowBudgetAllowsBurst(t *testing.T) {
 	now := time.Now()
-	b := newWindowBudget(func() Rules { return Rules{Ratio: 0.2, Window: 10 * time.Second} }, func() time.Time { return now })
+	b := newWindowBudget(func() Limits { return Limits{Ratio: 0.2, Window: 10 * time.Second} }, func() time.Time { return now })
 	for range 500 {
 		now = now.Add(10 * time.Millisecond)
 		b.recordRequest("pool", "a")
@@ -266,7 +266,7 @@
 // with an error is retried, and gets that answer if no retry is left.
 func TestFailedAnswerIsDelivered(t *testing.T) {
 	for _, slack := range []float64{0, 5} {
-		f := NewWindowed(slog.New(slog.DiscardHandler), func() Rules { return Rules{Slack: slack, Window: time.Second} })
+		f := NewWindowed(slog.New(slog.DiscardHandler), func() Limits { return Limits{Slack: slack, Window: time.Second} })
 		ex := newRoutedExchange(config.RouteIdempotent, 2)
 		calls := 0
 		err := f.Serve(context.Background(), ex, func(_ context.Context, ex *pipeline.Exchange) error {
@@ -276,7 +276,7 @@
 				ex.Status, ex.AnswerBody = 200, []byte("fine")
 				return nil
 			}
-			return FailedAnswer(ex)
+			return CheckAnswer(ex)
 		})
 		wantCalls, wantStatus := 1, 500
 		if slack > 0 {
@@ -291,7 +291,7 @@
 // TestNonIdempotentErrorIsNotRetried checks that an error answer to a non-idempotent
 // request, which ran, does not lead to another run.
 func TestNonIdempotentErrorIsNotRetried(t *testing.T) {
-	if err := FailedAnswer(newRoutedExchange(config.RouteNonIdempotent, 3)); err != nil {
+	if err := CheckAnswer(newRoutedExchange(config.RouteNonIdempotent, 3)); err != nil {
 		t.Errorf("got %v", err)
 	}
 }
--- a/filters/retry/window.go
+++ b/filters/retry/window.go
@@ -20,14 +20,14 @@
 
 // Limits bound the retries of a pool at this router: any window may hold Slack retries
 // plus Ratio for each request in the window.
-type Rules struct {
+type Limits struct {
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
 // windowBudget is a budget that counts requests and retries in a sliding window.
 type windowBudget struct {
-	limits func() Rules
+	limits func() Limits
 	now    func() time.Time
 
 	mu    sync.Mutex
@@ -47,7 +47,7 @@
 	retriesByWorkspace map[string]float64
 }
 
-func newWindowBudget(limits func() Rules, now func() time.Time) *windowBudget {
+func newWindowBudget(limits func() Limits, now func() time.Time) *windowBudget {
 	return &windowBudget{limits: limits, now: now, pools: make(map[string]*poolWindow)}
 }
 
--- a/filters/route/route.go
+++ b/filters/route/route.go
@@ -81,7 +81,7 @@
 	ex.Snapshot = f.options.Source.InForce()
 	if ex.Snapshot == nil {
 		after := minRetryAfter + rand.N(maxRetryAfter-minRetryAfter)
-		return result.New(result.NotReady, "No configuration version is in force yet.").After(after)
+		return result.New(result.NotReady, "No configuration version is in force yet.").WithRetryAfter(after)
 	}
 	ex.Route = ex.Snapshot.Index().RouteOf(ex.Host, ex.Path)
 	if ex.Route == nil {
--- a/filters/runrecord/runrecord_test.go
+++ b/filters/runrecord/runrecord_test.go
@@ -132,7 +132,7 @@
 func TestStreamIsReadToEndAfterCallerLeft(t *testing.T) {
 	b := newHarness(t)
 	b.answer = answerStream(strings.NewReader("done"))
-	ex := &pipeline.Exchange{WorkspaceName: "w", IdempotencyKey: "k", Fingerprint: 9, Serving: context.Background()}
+	ex := &pipeline.Exchange{WorkspaceName: "w", IdempotencyKey: "k", Fingerprint: 9, ServingContext: context.Background()}
 	if err := b.handler(context.Background(), ex); err != nil {
 		t.Fatal(err)
 	}
--- a/front/header.go
+++ b/front/header.go
@@ -49,7 +49,7 @@
 		}
 		refusals.Inc(result.HeldBytesFull)
 		refusal = result.New(result.HeldBytesFull, "This router holds too many bytes of requests.")
-		refusal = refusal.After(minRetryAfter + rand.N(maxRetryAfter-minRetryAfter))
+		refusal = refusal.WithRetryAfter(minRetryAfter + rand.N(maxRetryAfter-minRetryAfter))
 	}
 	header.SetContentLength(0)
 	header.Del(fasthttp.HeaderExpect)
--- a/front/request.go
+++ b/front/request.go
@@ -44,7 +44,7 @@
 	callersGone.Inc()
 	close(r.gone)
 	r.cancel(result.New(result.CallerGone, "The caller went away."))
-	r.ex.CallerWentAway()
+	r.ex.NotifyCallerGone()
 }
 
 // newExchange copies a request out of fasthttp's buffers, which are reused, and
--- a/front/serve.go
+++ b/front/serve.go
@@ -118,7 +118,7 @@
 func tooBusy() error {
 	refusals.Inc(result.Overloaded)
 	after := time.Millisecond + rand.N(elsewhereAfter-time.Millisecond)
-	return result.New(result.Overloaded, "This router is too busy.").After(after)
+	return result.New(result.Overloaded, "This router is too busy.").WithRetryAfter(after)
 }
 
 // begin counts a new exchange and ties it to its connection.
@@ -132,9 +132,9 @@
 		server:  s,
 	}
 	r.arrival.keep(int64(len(r.ex.Body)))
-	r.ex.LookForCaller = conn.isClosedByCaller
-	r.ex.Serving, r.endServing = context.WithCancel(s.ctx)
-	r.ctx, r.cancel = context.WithCancelCause(r.ex.Serving)
+	r.ex.ProbeCallerGone = conn.isClosedByCaller
+	r.ex.ServingContext, r.endServing = context.WithCancel(s.ctx)
+	r.ctx, r.cancel = context.WithCancelCause(r.ex.ServingContext)
 	r.ex.EndBy = r.endBy
 	conn.request = r
 	conn.writeErr = nil
--- a/front/serve_test.go
+++ b/front/serve_test.go
@@ -202,7 +202,7 @@
 		case "/plain":
 			return errors.New("no code")
 		}
-		return result.New(result.QueueFull, "Too many.").After(1500 * time.Millisecond)
+		return result.New(result.QueueFull, "Too many.").WithRetryAfter(1500 * time.Millisecond)
 	})
 	for _, c := range []struct {
 		path, code, ran, seconds, millis string
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -45,14 +45,14 @@
 	CallerGone <-chan struct{}
 	// ProbeCallerGone, if set, checks the caller's connection and reports whether it is
 	// closed. CallerGone is closed later, at the next check of all connections.
-	LookForCaller func() bool
+	ProbeCallerGone func() bool
 	// TargetServes, set with a grant, reports whether the granted target is still listed
 	// as one that accepts work.
 	TargetServes func() bool
 
 	// ServingContext ends when the exchange has ended or the router is stopped by
 	// force, but not when the caller disconnects. See RunContext.
-	Serving context.Context
+	ServingContext context.Context
 	// EndBy, if set, answers the caller with the refusal that refuse returns if the
 	// exchange has no answer at the given time. The exchange continues and its answer is
 	// discarded. stop cancels the timer; it returns false if the caller has already been
@@ -89,13 +89,13 @@
 	Excluded []string // targets that failed this request
 	// Placement holds what the scheduler predicted for the target, for logs and for
 	// the limit of a target's silence.
-	Placed Placement
+	Placement Placement
 	// FetchAddress is the address of the target that caches shared parts of the
 	// prompt, if the granted target is to fetch them; empty otherwise.
 	FetchAddress string
 	// LastEventID is the id of the last event that the caller received; empty before
 	// the first one. A stream resumed on another target continues after it.
-	AfterEvent string
+	LastEventID string
 	// Run is the granted slot. Set by grant; dispatch and relay end it.
 	Run Run
 
@@ -125,9 +125,9 @@
 // Placement holds a scheduler's predictions for the target that it chose.
 type Placement struct {
 	// PredictedStart is the predicted time from the grant to the beginning of the answer.
-	Start time.Duration
+	PredictedStart time.Duration
 	// UncachedTokens is the number of prompt tokens that the target had to read.
-	Reads int
+	UncachedTokens int
 	// FetchFrom names the target to fetch shared parts of the prompt from.
 	FetchFrom string
 }
@@ -149,13 +149,13 @@
 }
 
 // MarkAnswerBegan records that the answer has begun. Only the first call has an effect.
-func (ex *Exchange) MarkBegan() {
+func (ex *Exchange) MarkAnswerBegan() {
 	ex.timeToAnswer.CompareAndSwap(0, int64(max(1, time.Since(ex.Arrived))))
 }
 
 // TimeToAnswer returns the time from the request's arrival to the beginning of its
 // answer; zero if no answer has begun.
-func (ex *Exchange) Began() time.Duration { return time.Duration(ex.timeToAnswer.Load()) }
+func (ex *Exchange) TimeToAnswer() time.Duration { return time.Duration(ex.timeToAnswer.Load()) }
 
 // OnEnd adds a function that runs once, when the answer has been sent completely
 // (nil error), has broken off, or the request was refused. Functions run in reverse
@@ -191,7 +191,7 @@
 
 // NotifyCallerGone runs the functions added with OnCallerGone. It holds the mutex, so
 // that no function runs after its stop has returned.
-func (ex *Exchange) CallerWentAway() {
+func (ex *Exchange) NotifyCallerGone() {
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
 	for _, entry := range ex.onCallerGone {
@@ -202,8 +202,8 @@
 
 // IsCallerGoneNow is like IsCallerGone but also checks the connection itself, at the
 // cost of a system call.
-func (ex *Exchange) HasCallerLeft() bool {
-	return ex.IsCallerGone() || ex.LookForCaller != nil && ex.LookForCaller()
+func (ex *Exchange) IsCallerGoneNow() bool {
+	return ex.IsCallerGone() || ex.ProbeCallerGone != nil && ex.ProbeCallerGone()
 }
 
 // IsCallerGone reports whether the caller's connection was found closed.
@@ -224,13 +224,13 @@
 	if ex.Route != nil && ex.Route.Kind != config.RouteNonIdempotent {
 		return false
 	}
-	return !ex.Idempotent && ex.Serving != nil
+	return !ex.Idempotent && ex.ServingContext != nil
 }
 
 // RunContext returns the context for a dispatched run; ctx is the calling filter's.
 func (ex *Exchange) RunContext(ctx context.Context) context.Context {
 	if ex.OutlivesCaller() {
-		return ex.Serving
+		return ex.ServingContext
 	}
 	return ctx
 }
--- a/pipeline/exchange_test.go
+++ b/pipeline/exchange_test.go
@@ -21,15 +21,15 @@
 		{config.Route{Kind: config.RouteStream, Resumes: true}, false},
 	} {
 		ex := &Exchange{
-			Serving:    context.Background(),
-			Route:      &config.NamedRoute{Route: c.route},
-			Idempotent: c.route.IsIdempotent(),
+			ServingContext: context.Background(),
+			Route:          &config.NamedRoute{Route: c.route},
+			Idempotent:     c.route.IsIdempotent(),
 		}
 		if got := ex.OutlivesCaller(); got != c.want {
 			t.Errorf("%+v: %v", c.route, got)
 		}
 	}
-	if ex := (&Exchange{Serving: context.Background()}); !ex.OutlivesCaller() {
+	if ex := (&Exchange{ServingContext: context.Background()}); !ex.OutlivesCaller() {
 		t.Error("a non-idempotent run without a route ends with its caller")
 	}
 }
--- a/pipeline/gone_test.go
+++ b/pipeline/gone_test.go
@@ -14,8 +14,8 @@
 	if !stopSecond() || stopSecond() {
 		t.Error("stop does not report whether the function was still registered")
 	}
-	ex.CallerWentAway()
-	ex.CallerWentAway()
+	ex.NotifyCallerGone()
+	ex.NotifyCallerGone()
 	if len(ran) != 2 || ran[0] != 1 || ran[1] != 3 {
 		t.Errorf("ran %v", ran)
 	}
--- a/pipeline/sent.go
+++ b/pipeline/sent.go
@@ -16,6 +16,6 @@
 
 // CancelSend prevents the request from being sent. It returns false if it may already
 // have been sent.
-func (ex *Exchange) EndUnsent() bool {
+func (ex *Exchange) CancelSend() bool {
 	return ex.sendState.CompareAndSwap(sendUndecided, sendCancelled)
 }
--- a/result/result.go
+++ b/result/result.go
@@ -69,7 +69,7 @@
 }
 
 // WithRetryAfter sets how long the caller should wait before it retries, and returns e.
-func (e *Error) After(d time.Duration) *Error {
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
--- a/result/result_test.go
+++ b/result/result_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestError(t *testing.T) {
-	err := fmt.Errorf("while relaying: %w", Wrap(StreamBroken, io.ErrUnexpectedEOF, "After %d bytes.", 7).After(time.Second))
+	err := fmt.Errorf("while relaying: %w", Wrap(StreamBroken, io.ErrUnexpectedEOF, "After %d bytes.", 7).WithRetryAfter(time.Second))
 	var refusal *Error
 	if !errors.As(err, &refusal) || refusal.Ran != RanUnknown || refusal.RetryAfter != time.Second {
 		t.Fatalf("got %+v", refusal)
--- a/router/acquire.go
+++ b/router/acquire.go
@@ -105,7 +105,7 @@
 		if answer.refuse.Scheduler != "" {
 			refusal.Cause = &refusedBy{*answer.refuse}
 		}
-		return countRefusal(refusal.After(answer.refuse.RetryAfter))
+		return countRefusal(refusal.WithRetryAfter(answer.refuse.RetryAfter))
 	}
 	run := &run{loop: g.loop, granted: *answer.dispatch, started: time.Now()}
 	// Whatever becomes of the exchange, its slot is not held beyond its end.
@@ -122,7 +122,7 @@
 	ex.Address = declared.Address
 	ex.TargetServes = func() bool { return g.serves(ex, answer.dispatch.Target, declared.Address) }
 	ex.FetchAddress = g.inForce().Declarations.Targets[answer.dispatch.FetchFrom].Address
-	ex.Placed = pipeline.Placement{Start: answer.dispatch.Start, Reads: answer.dispatch.Reads, FetchFrom: answer.dispatch.FetchFrom}
+	ex.Placement = pipeline.Placement{PredictedStart: answer.dispatch.Start, UncachedTokens: answer.dispatch.Reads, FetchFrom: answer.dispatch.FetchFrom}
 	return nil
 }
 
--- a/router/routed.go
+++ b/router/routed.go
@@ -55,10 +55,10 @@
 
 // retryRules is this router's part of the fleet's retry budget: what requests earn
 // counts where they entered, the slack is shared alike.
-func (r *Router) retryRules() retry.Rules {
+func (r *Router) retryRules() retry.Limits {
 	limits := r.retries.Load()
 	members := max(1, r.members.Load())
-	return retry.Rules{
+	return retry.Limits{
 		Ratio:  safePart * limits.Ratio,
 		Slack:  safePart * limits.Slack / float64(members),
 		Window: time.Duration(limits.Window),
@@ -98,7 +98,7 @@
 	if err := a.whole.Answer(ctx, ex, answer); err != nil {
 		return err
 	}
-	return retry.FailedAnswer(ex)
+	return retry.CheckAnswer(ex)
 }
 
 // firstFailure is the first HTTP status of an answer that is no success.
@@ -111,7 +111,7 @@
 		if ex.Attempt >= ex.Route.Attempts {
 			return nil, result.New(result.StreamBroken, "The request has used up its attempts.")
 		}
-		if !retries.Spend(ex) {
+		if !retries.TakeRetry(ex) {
 			return nil, result.New(result.RetryBudgetEmpty, "Too many other requests are being retried.")
 		}
 		ex.Attempt++
--- a/runrecord/refuse.go
+++ b/runrecord/refuse.go
@@ -62,7 +62,7 @@
 	k.metrics.refusals[code].Inc()
 	refusal := result.New(code, "%s", detail)
 	if code.Info().Retry {
-		refusal = refusal.After(retryAfterBase + rand.N(retryAfterSpread))
+		refusal = refusal.WithRetryAfter(retryAfterBase + rand.N(retryAfterSpread))
 	}
 	return refusal
 }
--- a/targets/exchange.go
+++ b/targets/exchange.go
@@ -144,7 +144,7 @@
 		ex.counters.countFailure(reasonNotRun)
 		refused := result.New(result.TargetRefused, "%s", result.TargetRefused.Info().Meaning)
 		ex.drainRefusal(req, header)
-		return nil, refused.After(dialect.RetryAfter(resp.header))
+		return nil, refused.WithRetryAfter(dialect.RetryAfter(resp.header))
 	}
 	if req.ID != "" && !ex.isSealed(resp) {
 		return nil, ex.counters.newError(reasonUnsealed, result.TargetLostRequest, result.RanUnknown, errUnsealed)
