--- a/control/accounting.go
+++ b/control/accounting.go
@@ -12,130 +12,131 @@
 )
 
 const (
-	// interestEvery is the longest time between two reports on an active
-	// workspace: they also ask for its total.
-	interestEvery = time.Second
-	// rebaseAfter is how long a workspace may go without a report before its
-	// level counts as not known.
-	rebaseAfter = 3 * time.Second
-	// pushPart sends levels this many times in a period, so that they lag
-	// little behind the reports.
-	pushPart = 2
-	// exchangeEach is the part of the exchange period for each node of the
-	// fleet; minExchange and maxExchange bound the period.
-	exchangeEach = 10 * time.Millisecond
-	minExchange  = 60 * time.Millisecond
-	maxExchange  = time.Second
-	// betweenRequests is how long a workspace may have nothing waiting before
-	// it counts as idle: its next request is on the way while others run.
-	betweenRequests = 50 * time.Millisecond
+	// maxReportInterval is the longest time between two reports on an active workspace; a
+	// report also requests its total.
+	maxReportInterval = time.Second
+	// levelUnknownAfter is how long a workspace may go without a report before its level
+	// counts as unknown.
+	levelUnknownAfter = 3 * time.Second
+	// pushesPerExchange is how many times levels are sent in an exchange period, so that
+	// they lag little behind the reports.
+	pushesPerExchange = 2
+	// exchangePerNode is the contribution of each node of the fleet to the exchange period;
+	// minExchangeInterval and maxExchangeInterval bound the period.
+	exchangePerNode     = 10 * time.Millisecond
+	minExchangeInterval = 60 * time.Millisecond
+	maxExchangeInterval = time.Second
+	// idleAfter is how long a workspace may have nothing waiting before it counts as idle:
+	// its next request may be in transit while others run.
+	idleAfter = 50 * time.Millisecond
 	// maxCredit bounds the slot time that a workspace may be credited with when it begins
 	// to wait in one more shard.
 	maxCredit = 5 * time.Second
-	// maxCounts bounds the counts in one message.
-	maxCounts = 100
+	// maxCountsPerMessage bounds the service counts in one message.
+	maxCountsPerMessage = 100
 )
 
-// workspace is what a scheduler keeps of one workspace.
+// workspace is a scheduler's state of one workspace.
 type workspace struct {
-	name  string
-	share float64
-	hash  uint64
-	entry *account.Entry
-	// flows are the workspace's places in the queues here.
+	name    string
+	share   float64
+	hash    uint64
+	account *account.Entry
+	// flows holds the workspace's flow in the queue of each shard here.
 	flows     map[ShardID]*sched.Flow[*queuedTicket]
 	estimates map[string]*sched.Estimate
 	// waiting and running count its tickets and grants here.
 	waiting, running int
-	// waitedAt is when its last ticket here left the queue.
-	waitedAt   Instant
-	reportedAt Instant
-	// reportedWaiting is what the last report said of waiting tickets.
+	// lastWaitingAt is when its last ticket here left the queue.
+	lastWaitingAt Instant
+	reportedAt    Instant
+	// reportedWaiting is whether the last report said that tickets wait.
 	reportedWaiting bool
-	// accountedBy is its accounting node in version asOf of the view.
-	accountedBy NodeID
-	asOf        uint64
+	// accountingNode is the node that adds up its service, as of version accountingVersion
+	// of the view.
+	accountingNode    NodeID
+	accountingVersion uint64
 }
 
-// books is the exchange of service counts with the rest of the fleet.
-type books struct {
+// serviceExchange is the exchange of service counts with the rest of the fleet.
+type serviceExchange struct {
 	// active holds the workspaces to report on.
-	active map[string]*workspace
-	totals *account.Totals
-	nextAt Instant
-	// nextPush is when changed totals are sent next.
-	nextPush Instant
+	active       map[string]*workspace
+	totals       *account.Totals
+	nextReportAt Instant
+	// nextPushAt is when changed totals are sent next.
+	nextPushAt Instant
 }
 
-func newBooks() books {
-	return books{active: make(map[string]*workspace), totals: account.NewTotals()}
+func newServiceExchange() serviceExchange {
+	return serviceExchange{active: make(map[string]*workspace), totals: account.NewTotals()}
 }
 
-// workspaceHere returns the scheduler's record of a workspace, marked active.
-func (m *Machine) workspaceHere(name string) *workspace {
+// activeWorkspace returns the scheduler's record of a workspace and marks it as active.
+func (m *Machine) activeWorkspace(name string) *workspace {
 	w := m.sched.workspaces[name]
 	if w == nil {
-		share := m.topo.share(name)
+		share := m.topo.shareOf(name)
 		w = &workspace{
 			name:      name,
 			share:     share,
 			hash:      member.HashOf("workspace\x00" + name),
-			entry:     account.NewEntry(share),
+			account:   account.NewEntry(share),
 			flows:     make(map[ShardID]*sched.Flow[*queuedTicket]),
 			estimates: make(map[string]*sched.Estimate),
 		}
 		m.sched.workspaces[name] = w
 	}
-	if _, active := m.books.active[name]; !active && m.now-w.reportedAt > rebaseAfter {
-		w.entry.Unlearn()
+	if _, active := m.exchange.active[name]; !active && m.now-w.reportedAt > levelUnknownAfter {
+		w.account.Unlearn()
 	}
-	m.books.active[name] = w
+	m.exchange.active[name] = w
 	return w
 }
 
-// creditOf returns how far below the others a workspace may start to wait: it is
-// credited only if it waits elsewhere too, or waited just now.
-func (m *Machine) creditOf(w *workspace) float64 {
-	justNow := w.waitedAt > 0 && m.now-w.waitedAt <= betweenRequests
-	if w.waiting > 0 || w.entry.WaitsElsewhere() || justNow {
-		return maxCredit.Seconds() * w.entry.Weight()
+// startCredit returns how far below the others a workspace's level may be when it begins to
+// wait: credit is given only if it waits elsewhere too, or did very recently.
+func (m *Machine) startCredit(w *workspace) float64 {
+	justNow := w.lastWaitingAt > 0 && m.now-w.lastWaitingAt <= idleAfter
+	if w.waiting > 0 || w.account.WaitsElsewhere() || justNow {
+		return maxCredit.Seconds() * w.account.Weight()
 	}
 	return 0
 }
 
-// alone says that nobody else gives service.
-func (m *Machine) alone() bool {
+// isOnlyScheduler reports whether no other node gives service.
+func (m *Machine) isOnlyScheduler() bool {
 	return m.opts.Policy == PolicyAlone || m.view.Others() == 0
 }
 
-// settleLift makes a flow's lift part of the workspace's level. While the
-// fleet's level is not known the lift stays with the flow: told to others, it
-// would erase what the workspace has as credit.
-func (m *Machine) settleLift(w *workspace, flow *sched.Flow[*queuedTicket]) {
-	if !m.alone() && !w.entry.Known() {
+// commitLift makes a flow's lift part of the workspace's level. While the fleet-wide level
+// is unknown, the lift stays with the flow: if it were reported to others, it would erase
+// the workspace's credit.
+func (m *Machine) commitLift(w *workspace, flow *sched.Flow[*queuedTicket]) {
+	if !m.isOnlyScheduler() && !w.account.Known() {
 		return
 	}
 	if lift := flow.TakeLift(); lift != 0 {
-		w.entry.Lift(lift)
-		w.moved(nil, 0)
+		w.account.Lift(lift)
+		w.updateFlows(nil, 0)
 	}
 }
 
-// follow takes a change of the configuration in.
-func (w *workspace) follow(m *Machine) {
-	if _, declared := m.topo.decl.Workspaces[w.name]; !declared && w.idle() && len(w.flows) == 0 {
+// applyConfig applies a change of the configuration.
+func (w *workspace) applyConfig(m *Machine) {
+	if _, declared := m.topo.decl.Workspaces[w.name]; !declared && w.isIdle() && len(w.flows) == 0 {
 		delete(m.sched.workspaces, w.name)
-		delete(m.books.active, w.name)
+		delete(m.exchange.active, w.name)
 		return
 	}
-	w.accountedBy, w.asOf = "", 0 // the groups may have changed
-	if share := m.topo.share(w.name); share != w.share {
+	w.accountingNode, w.accountingVersion = "", 0 // the account groups may have changed
+	if share := m.topo.shareOf(w.name); share != w.share {
 		w.share = share
-		w.entry.SetShare(share)
+		w.account.SetShare(share)
 	}
 }
 
-func (w *workspace) idle() bool { return w.waiting == 0 && w.running == 0 }
+func (w *workspace) isIdle() bool { return w.waiting == 0 && w.running == 0 }
 
 // estimate returns the cost estimate of the workspace's requests in a pool.
 func (w *workspace) estimate(pool string) *sched.Estimate {
@@ -147,10 +148,10 @@
 	return e
 }
 
-// moved gives the queues the workspace's new total, of which the shard gave
-// amount.
-func (w *workspace) moved(s *shard, amount float64) {
-	total := w.entry.Total()
+// updateFlows passes the workspace's new total to its flows, of which the given shard
+// contributed amount.
+func (w *workspace) updateFlows(s *shard, amount float64) {
+	total := w.account.Total()
 	for id, f := range w.flows {
 		if s != nil && id == s.id {
 			f.SetTotal(total, amount)
@@ -160,65 +161,67 @@
 	}
 }
 
-// booksTick reports on the active workspaces and tells their totals.
-func (m *Machine) booksTick() {
-	if m.topo != nil && m.now >= m.books.nextPush {
-		m.books.nextPush = m.now + m.exchangeEvery()/pushPart
+// exchangeTick reports on the active workspaces and sends totals.
+func (m *Machine) exchangeTick() {
+	if m.topo != nil && m.now >= m.exchange.nextPushAt {
+		m.exchange.nextPushAt = m.now + m.exchangeEvery()/pushesPerExchange
 		m.pushTotals()
 	}
-	if m.now < m.books.nextAt || m.topo == nil {
+	if m.now < m.exchange.nextReportAt || m.topo == nil {
 		return
 	}
-	m.books.nextAt = m.now + m.exchangeEvery()
+	m.exchange.nextReportAt = m.now + m.exchangeEvery()
 	if m.opts.Policy == PolicyAlone || m.view.Others() == 0 {
-		m.sweepActive()
+		m.dropIdleWorkspaces()
 		return
 	}
 	m.reportService()
 }
 
-// booksWake returns when the exchange has something to send, at the latest other.
-func (m *Machine) booksWake(other Instant) Instant {
-	if m.books.totals.Changed() {
-		other = min(other, m.books.nextPush)
+// exchangeWake returns when the exchange next has something to send, but not later than
+// latest.
+func (m *Machine) exchangeWake(latest Instant) Instant {
+	if m.exchange.totals.Changed() {
+		latest = min(latest, m.exchange.nextPushAt)
 	}
-	if len(m.books.active) > 0 {
-		other = min(other, m.books.nextAt)
+	if len(m.exchange.active) > 0 {
+		latest = min(latest, m.exchange.nextReportAt)
 	}
-	return other
+	return latest
 }
 
-// exchangeEvery grows with the fleet, so that the accounting nodes get about as
-// many messages in any fleet.
+// exchangeEvery returns the exchange period. It grows with the fleet, so that the
+// accounting nodes get about as many messages in a fleet of any size.
 func (m *Machine) exchangeEvery() time.Duration {
 	if m.opts.ExchangeEvery > 0 {
 		return m.opts.ExchangeEvery
 	}
-	return min(max(time.Duration(m.view.Others()+1)*exchangeEach, minExchange), maxExchange)
+	return min(max(time.Duration(m.view.Others()+1)*exchangePerNode, minExchangeInterval), maxExchangeInterval)
 }
 
-// sweepActive drops the workspaces with nothing waiting or running.
-func (m *Machine) sweepActive() {
-	for name, w := range m.books.active {
-		if w.idle() {
-			delete(m.books.active, name)
+// dropIdleWorkspaces removes the workspaces with nothing waiting or running from the active
+// ones.
+func (m *Machine) dropIdleWorkspaces() {
+	for name, w := range m.exchange.active {
+		if w.isIdle() {
+			delete(m.exchange.active, name)
 		}
 	}
 }
 
 func (m *Machine) reportService() {
 	reports := make(map[NodeID][]ServiceCount)
-	for name, w := range m.books.active {
-		if w.entry.Expire(m.now) {
-			w.moved(nil, 0)
+	for name, w := range m.exchange.active {
+		if w.account.Expire(m.now) {
+			w.updateFlows(nil, 0)
 		}
-		report, changed := w.entry.Report(w.waiting > 0)
+		report, changed := w.account.Report(w.waiting > 0)
 		changed = changed || w.running > 0 || w.waiting > 0 != w.reportedWaiting
-		if !changed && w.idle() {
-			delete(m.books.active, name)
+		if !changed && w.isIdle() {
+			delete(m.exchange.active, name)
 			continue
 		}
-		if !changed && m.now-w.reportedAt < interestEvery {
+		if !changed && m.now-w.reportedAt < maxReportInterval {
 			continue
 		}
 		w.reportedAt = m.now
@@ -229,13 +232,13 @@
 			Own:       toDuration(report.Own),
 			Total:     toDuration(report.Level),
 			Pending:   toDuration(report.Pending),
-			Waiting:   count(report.Waiting),
+			Waiting:   boolToInt(report.Waiting),
 		})
 	}
 	for _, to := range sortedKeys(reports) {
 		counts := reports[to]
 		slices.SortFunc(counts, func(a, b ServiceCount) int { return cmp.Compare(a.Workspace, b.Workspace) })
-		for part := range slices.Chunk(counts, maxCounts) {
+		for part := range slices.Chunk(counts, maxCountsPerMessage) {
 			m.send(to, ServiceReport{Counts: part})
 		}
 	}
@@ -243,33 +246,33 @@
 
 // accountingNode returns the node that adds up the workspace's service.
 func (m *Machine) accountingNode(w *workspace) NodeID {
-	if w.asOf != m.view.Version() {
-		w.accountedBy = m.accountant(w.hash % m.topo.groups)
-		w.asOf = m.view.Version()
+	if w.accountingVersion != m.view.Version() {
+		w.accountingNode = m.accountingNodeOf(w.hash % m.topo.groups)
+		w.accountingVersion = m.view.Version()
 	}
-	return w.accountedBy
+	return w.accountingNode
 }
 
-// accountant returns the node that accounts for a group of workspaces.
-func (m *Machine) accountant(group uint64) NodeID {
+// accountingNodeOf returns the node that accounts for a group of workspaces.
+func (m *Machine) accountingNodeOf(group uint64) NodeID {
 	key := member.HashOf("accounts\x00" + strconv.FormatUint(group, 10))
 	return NodeID(m.view.Owner(key, ""))
 }
 
-func (m *Machine) serviceReported(from NodeID, inc Incarnation, msg ServiceReport) {
+func (m *Machine) serviceReportReceived(from NodeID, inc Incarnation, msg ServiceReport) {
 	source := account.Source{Node: string(from), Incarnation: uint64(inc)}
-	for _, c := range msg.Counts {
-		m.books.totals.Report(m.now, source, c.Workspace, account.Report{
-			Own:     c.Own.Seconds(),
-			Level:   c.Total.Seconds(),
-			Pending: c.Pending.Seconds(),
-			Waiting: c.Waiting > 0,
+	for _, count := range msg.Counts {
+		m.exchange.totals.Report(m.now, source, count.Workspace, account.Report{
+			Own:     count.Own.Seconds(),
+			Level:   count.Total.Seconds(),
+			Pending: count.Pending.Seconds(),
+			Waiting: count.Waiting > 0,
 		})
 	}
 }
 
 func (m *Machine) pushTotals() {
-	pushes := m.books.totals.Push(m.now)
+	pushes := m.exchange.totals.Push(m.now)
 	sources := make([]account.Source, 0, len(pushes))
 	for source := range pushes {
 		sources = append(sources, source)
@@ -279,58 +282,58 @@
 	})
 	for _, source := range sources {
 		counts := make([]ServiceCount, 0, len(pushes[source]))
-		for _, c := range pushes[source] {
+		for _, count := range pushes[source] {
 			counts = append(counts, ServiceCount{
-				Workspace: c.Workspace,
-				Own:       toDuration(c.Own),
-				Total:     toDuration(c.Level),
-				Pending:   toDuration(c.Elsewhere.Pending),
-				Waiting:   c.Elsewhere.Waiting,
+				Workspace: count.Workspace,
+				Own:       toDuration(count.Own),
+				Total:     toDuration(count.Level),
+				Pending:   toDuration(count.Elsewhere.Pending),
+				Waiting:   count.Elsewhere.Waiting,
 			})
 		}
-		for part := range slices.Chunk(counts, maxCounts) {
+		for part := range slices.Chunk(counts, maxCountsPerMessage) {
 			m.send(NodeID(source.Node), ServiceTotals{Counts: part})
 		}
 	}
 }
 
-func (m *Machine) totalsReceived(msg ServiceTotals) {
-	for _, c := range msg.Counts {
-		if w := m.sched.workspaces[c.Workspace]; w != nil {
-			m.learn(w, c)
+func (m *Machine) serviceTotalsReceived(msg ServiceTotals) {
+	for _, count := range msg.Counts {
+		if w := m.sched.workspaces[count.Workspace]; w != nil {
+			m.applyTotals(w, count)
 		}
 	}
 }
 
-// learn takes in the fleet's level of a workspace. If it was not known, the
-// lifts of what waits here are worked out anew.
-func (m *Machine) learn(w *workspace, c ServiceCount) {
-	was := w.entry.Known()
-	elsewhere := account.Elsewhere{Pending: c.Pending.Seconds(), Waiting: c.Waiting}
-	w.entry.Learn(m.now, c.Total.Seconds(), c.Own.Seconds(), elsewhere)
-	w.moved(nil, 0)
-	if was {
+// applyTotals applies the fleet-wide level of a workspace. If the level was unknown before,
+// the lifts of its waiting flows here are recomputed.
+func (m *Machine) applyTotals(w *workspace, count ServiceCount) {
+	wasKnown := w.account.Known()
+	elsewhere := account.Elsewhere{Pending: count.Pending.Seconds(), Waiting: count.Waiting}
+	w.account.Learn(m.now, count.Total.Seconds(), count.Own.Seconds(), elsewhere)
+	w.updateFlows(nil, 0)
+	if wasKnown {
 		return
 	}
 	for _, s := range m.sched.sortedShards() {
 		if flow := w.flows[s.id]; flow != nil {
-			m.relift(w, flow)
+			m.recomputeLift(w, flow)
 		}
 	}
-	w.moved(nil, 0)
+	w.updateFlows(nil, 0)
 }
 
-func (m *Machine) relift(w *workspace, flow *sched.Flow[*queuedTicket]) {
+func (m *Machine) recomputeLift(w *workspace, flow *sched.Flow[*queuedTicket]) {
 	if flow.Waiting() == 0 {
 		flow.TakeLift()
 		return
 	}
-	flow.Relift(m.creditOf(w))
-	m.settleLift(w, flow)
+	flow.Relift(m.startCredit(w))
+	m.commitLift(w, flow)
 }
 
-func count(one bool) int {
-	if one {
+func boolToInt(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
--- a/control/alive.go
+++ b/control/alive.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// AliveVersion changes whenever AliveNodes does.
+// AliveVersion changes whenever the result of AliveNodes does.
 func (m *Machine) AliveVersion() uint64 { return m.view.Version() }
 
-// AliveNodes returns the nodes that may be given work in this node's view, in
-// order of name. This node is among them unless it is leaving.
+// AliveNodes returns the nodes that may be given work according to this node's view, sorted
+// by name. This node is included unless it is leaving.
 func (m *Machine) AliveNodes() []NodeID {
 	var alive []NodeID
 	for _, n := range m.view.Nodes() {
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -150,7 +150,7 @@
 			id = shard
 		}
 	}
-	target := m.topo.shards[id].open[0]
+	target := m.topo.shards[id].accepting[0]
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -209,17 +209,17 @@
 				now += m.exchangeEvery()
 				for i := range counts {
 					w := m.sched.workspaces[benchWorkspace(i)]
-					w.entry.Charge(time.Millisecond)
-					w.entry.Start()
-					w.entry.End(time.Millisecond)
+					w.account.Charge(time.Millisecond)
+					w.account.Start()
+					w.account.End(time.Millisecond)
 					counts[i] = ServiceCount{Workspace: w.name, Total: time.Duration(n) * time.Millisecond}
 				}
 				before := m.counters.MessagesSent
 				m.reportService()
 				messages += int(m.counters.MessagesSent - before)
-				m.totalsReceived(ServiceTotals{Counts: counts})
+				m.serviceTotalsReceived(ServiceTotals{Counts: counts})
 				m.out = nil
-				m.loop = nil
+				m.loopback = nil
 			}
 			b.ReportMetric(float64(messages)/float64(b.N), "messages/op")
 		})
--- a/control/cold.go
+++ b/control/cold.go
@@ -45,14 +45,14 @@
 	}
 }
 
-// room returns how many more grants the limit allows now.
+// room returns how many more grants the limit currently allows.
 func (l *coldLimit) room(now Instant) int {
 	l.prune(now)
 	return max(0, l.limit-len(l.grants))
 }
 
-// coldRoom returns how many more grants a cold target may get from this node now. It is zero
-// for the first coldWindow of ownership, as the previous owner's grants are not known.
+// coldRoom returns how many more grants this node may currently give a cold target. It is
+// zero for the first coldWindow of ownership, as the previous owner's grants are unknown.
 func (t *target) coldRoom(now Instant) int {
 	if !t.shard.owned || now < t.shard.ownedAt+coldWindow {
 		return 0
@@ -72,10 +72,10 @@
 	return time.Duration(pool.ColdStartMillis) * time.Millisecond
 }
 
-// noteColdTargets updates m.coldUntil from the next configuration. It covers targets that report
-// that they are cold, and those whose data centre's evacuation has ended, as they may have become
-// cold in the meantime. Expired entries are removed.
-func (m *Machine) noteColdTargets(next *topology) {
+// updateColdTargets updates m.coldUntil from the next configuration. It covers targets that
+// report that they are cold, and those whose data centre's evacuation has ended, as they
+// may have become cold in the meantime. Expired entries are removed.
+func (m *Machine) updateColdTargets(next *topology) {
 	for name, until := range m.coldUntil {
 		if until <= m.now {
 			delete(m.coldUntil, name)
@@ -151,7 +151,8 @@
 	}
 }
 
-// armCold sets the timer of a cold target that may not be granted now to when it may be.
+// armCold sets the timer of a cold target that may not be granted now to the time at which
+// it may be.
 func (m *Machine) armCold(t *target) {
 	if !t.isCold(m.now) || m.now < t.downUntil || t.coldRoom(m.now) > 0 {
 		return
--- a/control/commands.go
+++ b/control/commands.go
@@ -7,44 +7,45 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// Send sends a message to another node. Delivery is best effort: the machine
-// bears loss, delay, doubling and reordering.
+// Send sends a message to another node. Delivery is best effort: the machine tolerates
+// loss, delay, duplication and reordering.
 type Send struct {
 	To      NodeID
 	Message Message
 }
 
-// Dispatch tells the entry's traffic goroutine to run the request on a target.
+// Dispatch tells the goroutine that handles the request to run it on a target.
 type Dispatch struct {
 	Request RequestID
 	Attempt uint32
 	Grant   GrantID
 	Target  string
-	// Start, Reads and FetchFrom are as in the Grant.
+	// Start, Reads and FetchFrom have the same meaning as in Grant.
 	Start     time.Duration
 	Reads     int
 	FetchFrom string
 }
 
-// Refuse ends a waiting request with a numbered code.
+// Refuse ends a waiting request with a result code.
 type Refuse struct {
 	Request    RequestID
 	Attempt    uint32
 	Code       result.Code
 	RetryAfter time.Duration
-	// Scheduler is the node that refused; empty if this one did before asking.
-	// Excess and Ahead are as in its Refusal.
+	// Scheduler is the node that refused; empty if this node refused without asking a
+	// scheduler. Excess and Ahead have the same meaning as in Refusal.
 	Scheduler NodeID
 	Excess    bool
 	Ahead     int
 }
 
-// TargetJudged tells that this node, as a scheduler, has changed its mind about
-// a target.
+// TargetHealthChanged reports that this node, as a scheduler, changed its assessment of a
+// target's health.
 type TargetJudged struct {
 	Target string
-	// Failing says that it is passed over for Pause, after so many Failures in a
-	// row; else it serves again. Cause is what spoke last.
+	// Failing reports that the target gets no grants for Backoff, after Failures
+	// consecutive failures; otherwise it serves again. Cause is the latest event that led
+	// to the change.
 	Failing  bool
 	Failures int
 	Pause    time.Duration
@@ -57,8 +58,8 @@
 	For    time.Duration
 }
 
-// SchedulerAvoided tells that a scheduler left a ticket unanswered for Silent, and
-// that this node grants by itself for a while.
+// SchedulerAvoided reports that a scheduler left a ticket unanswered, that nothing was
+// received from it for SilentFor, and that this node grants locally for a while.
 type SchedulerAvoided struct {
 	Node   NodeID
 	Pool   string
@@ -68,15 +69,15 @@
 // WatchTargets replaces the set of targets whose load this node polls.
 type WatchTargets struct{ Targets []string }
 
-// QuarantineChanged tells the guard filter that a fingerprint is or is no
-// longer quarantined.
+// QuarantineChanged tells the guard filter that a fingerprint became quarantined, or is no
+// longer.
 type QuarantineChanged struct {
 	Fingerprint uint64
 	Quarantined bool
 }
 
-// VersionSeen says that a member announced a configuration version newer than
-// the one in force here: the follower fetches it from that member.
+// VersionSeen reports that a member announced a configuration version newer than the one in
+// force here; the follower fetches it from that member.
 type VersionSeen struct {
 	From    NodeID
 	Version uint64
@@ -84,22 +85,23 @@
 	TargetsRevision config.Revision
 }
 
-// FeedTurn says whether this node has to follow the platform's feeds itself. Others
-// of its data centre tell it what they learn otherwise.
+// FeedRole tells this node whether it has to follow the platform's feeds itself. Otherwise
+// other nodes of its data centre forward what they learn.
 type FeedTurn struct {
 	Wanted bool
-	// Proves says that no other node proves, by calls of its own, that the platform takes
-	// the calls that wait for changes.
+	// Probe reports that no other node verifies, by calls of its own, that the platform
+	// still accepts calls that wait for changes; this node has to.
 	Proves bool
-	// Ahead counts the nodes that would follow before this one and do not yet.
+	// Ahead counts the nodes that rank before this one to follow the feeds and do not
+	// follow yet.
 	Ahead int
 }
 
-// FeedsDoubted says that the platform was silent to another node: calls of this one that
-// wait for changes may have been lost.
+// RecheckFeeds reports that the platform stopped answering another node: this node's own
+// calls that wait for changes may have been lost.
 type FeedsDoubted struct{}
 
-// Drained says that, after DrainStarted, no shard and no request is left here.
+// Drained reports that no shard and no request is left here after DrainStarted.
 type Drained struct{}
 
 func (Send) isCommand()              {}
--- a/control/deferred.go
+++ b/control/deferred.go
@@ -9,68 +9,72 @@
 )
 
 // Requests of pools that count in slots wait in the order of arrival, but only for as long
-// as their answer can be in time. One that waited longer is deferred: of its workspace's
-// requests, those that can still be in time go first. Without that, a pool that is a little
-// short answers everybody late, as each request waits behind others that are late already.
+// as their answers can be in time. A request that waited longer is deferred: those of its
+// workspace that can still be in time go first. Without that, a pool with slightly too
+// little capacity answers everybody late, as each request waits behind others that are late
+// already.
 
 const (
-	// timelyPart is the part of the time for which a request could wait and be in time that
-	// it may wait for. The rest is for the way there and back, and for runs that are longer
-	// than the mean.
-	timelyPart = 0.7
-	// leastAveraged and averagedRuns say over what time the service of requests in time is
-	// averaged: long enough to count some runs, and short against callers' deadlines.
-	leastAveraged = 250 * time.Millisecond
-	averagedRuns  = 5
+	// timelyWaitFraction is the fraction of the longest wait with which an answer could
+	// still be in time that a request may wait. The rest is reserved for the round trip and
+	// for runs longer than the mean.
+	timelyWaitFraction = 0.7
+	// minAveragingTime and averagingRuns set the time over which the rate of grants to
+	// requests in time is averaged: long enough to include several runs, and short compared
+	// with callers' deadlines.
+	minAveragingTime = 250 * time.Millisecond
+	averagingRuns    = 5
 )
 
-// deferral follows the deferred requests of a shard.
+// deferral tracks the deferred requests of a shard.
 type deferral struct {
 	waiting int
 	// served counts the deferred requests that were granted.
 	served int
-	// timely is the rate of grants to other requests, a second, when it was last counted.
-	timely    float64
-	countedAt Instant
+	// lastTimelyRate is the rate of grants to other requests, per second, as of
+	// lastTimelyAt.
+	lastTimelyRate float64
+	lastTimelyAt   Instant
 }
 
-// granted counts a grant at a pool whose runs take so long.
-func (d *deferral) granted(now Instant, of rank, service time.Duration) {
-	if of == rankDeferred {
+// recordGrant counts a grant at a pool with the given mean service time.
+func (d *deferral) recordGrant(now Instant, r rank, service time.Duration) {
+	if r == rankDeferred {
 		d.served++
 		return
 	}
-	d.timely = d.timelyPerSecond(now, service) + 1/averagedOver(service).Seconds()
-	d.countedAt = now
+	d.lastTimelyRate = d.timelyRate(now, service) + 1/averagingTime(service).Seconds()
+	d.lastTimelyAt = now
 }
 
-// timelyPerSecond is the rate of grants to requests that are in time.
-func (d *deferral) timelyPerSecond(now Instant, service time.Duration) float64 {
-	age := now - d.countedAt
-	return d.timely * math.Exp(-age.Seconds()/averagedOver(service).Seconds())
+// timelyRate returns the rate of grants to requests that are in time, per second.
+func (d *deferral) timelyRate(now Instant, service time.Duration) float64 {
+	age := now - d.lastTimelyAt
+	return d.lastTimelyRate * math.Exp(-age.Seconds()/averagingTime(service).Seconds())
 }
 
-// averagedOver is the time over which the rate of grants is averaged: that of several runs.
-func averagedOver(service time.Duration) time.Duration {
-	return max(leastAveraged, averagedRuns*service)
+// averagingTime returns the time over which the rate of grants is averaged: that of several
+// runs.
+func averagingTime(service time.Duration) time.Duration {
+	return max(minAveragingTime, averagingRuns*service)
 }
 
-// boundWait sets how long a ticket of a pool that counts in slots may wait.
-func (m *Machine) boundWait(q *queuedTicket) {
-	answer := time.Duration(0) // Objectives of streams are about the first event.
+// setWaitLimits sets how long a ticket of a pool that counts in slots may wait.
+func (m *Machine) setWaitLimits(q *queuedTicket) {
+	answer := time.Duration(0) // objectives of streams apply to the first event
 	if m.topo.decl.Pools[q.shard.id.Pool].Kind == config.KindService {
-		answer = q.shard.usualService()
+		answer = q.shard.meanService()
 	}
-	q.lastStart = max(m.now, q.deadline-answer)
-	q.latest = q.lastStart
+	q.latestStart = max(m.now, q.deadline-answer)
+	q.waitUntil = q.latestStart
 	if objective := q.ticket.Objective; objective > answer {
-		q.latest = min(q.latest, m.now+times(timelyPart, objective-answer))
+		q.waitUntil = min(q.waitUntil, m.now+scale(timelyWaitFraction, objective-answer))
 	}
 }
 
-// usualService is how long a run takes at the shard's targets, in the mean; zero before one
-// has ended.
-func (s *shard) usualService() time.Duration {
+// meanService returns the mean service time of runs at the shard's targets; zero before any
+// run has ended.
+func (s *shard) meanService() time.Duration {
 	var sum time.Duration
 	known := 0
 	for _, t := range s.targets {
@@ -85,12 +89,13 @@
 	return sum / time.Duration(known)
 }
 
-// waitExpired takes in that a ticket's wait has come to its bound. At pools that count in
-// slots it is deferred if it can be expected to be served before its deadline, and looked at
-// again while it waits; otherwise it is refused, while its caller has time to come back.
+// waitExpired handles a ticket that has waited for as long as it may. At pools that count
+// in slots it is deferred if it can be expected to be served before its deadline, and
+// checked again while it waits; otherwise it is refused while its caller still has time to
+// retry.
 func (m *Machine) waitExpired(q *queuedTicket) {
 	s := q.shard
-	if m.countsTokens(s) || m.now >= q.lastStart || !m.mayWaitOn(q) {
+	if m.countsTokens(s) || m.now >= q.latestStart || !m.mayKeepWaiting(q) {
 		m.refuseOverloaded(q)
 		return
 	}
@@ -101,31 +106,32 @@
 		s.queue.Defer(q.item, q.class)
 		s.deferral.waiting++
 	}
-	q.servedSeen = s.deferral.served
-	q.latest = q.lastStart
-	if service := s.usualService(); service > 0 {
-		q.latest = min(q.latest, m.now+averagedOver(service))
+	q.deferredServedSeen = s.deferral.served
+	q.waitUntil = q.latestStart
+	if service := s.meanService(); service > 0 {
+		q.waitUntil = min(q.waitUntil, m.now+averagingTime(service))
 	}
 	q.arm(m)
 }
 
-// mayWaitOn says whether a ticket that is late can be expected to be served before its
-// deadline: by what requests that are in time leave of the pool's capacity, and once it is
-// deferred, by whether any deferred request was served meanwhile.
-func (m *Machine) mayWaitOn(q *queuedTicket) bool {
+// mayKeepWaiting reports whether a late ticket can be expected to be served before its
+// deadline. Before it is deferred, this follows from the capacity that requests in time
+// leave in the pool; afterwards, from whether any deferred request was served since the
+// last check.
+func (m *Machine) mayKeepWaiting(q *queuedTicket) bool {
 	d := &q.shard.deferral
 	if q.rank == rankDeferred {
-		return d.served > q.servedSeen
+		return d.served > q.deferredServedSeen
 	}
-	service := q.shard.usualService()
+	service := q.shard.meanService()
 	if service == 0 {
 		return true
 	}
-	spare := float64(q.shard.slots())/service.Seconds() - d.timelyPerSecond(m.now, service)
-	return float64(d.waiting) < spare*(q.lastStart-m.now).Seconds()
+	spare := float64(q.shard.slots())/service.Seconds() - d.timelyRate(m.now, service)
+	return float64(d.waiting) < spare*(q.latestStart-m.now).Seconds()
 }
 
-// slots is how many runs the shard's targets serve at once.
+// slots returns how many runs the shard's targets serve at once.
 func (s *shard) slots() int {
 	sum := 0
 	for _, t := range s.targets {
@@ -138,14 +144,14 @@
 func (m *Machine) refuseOverloaded(q *queuedTicket) {
 	m.counters.TicketsOverloaded++
 	if m.countsTokens(q.shard) {
-		m.noteTurnedAway(q)
+		m.recordRefusal(q)
 	}
-	m.unqueue(q)
+	m.removeTicket(q)
 	m.send(q.from, Refusal{
 		Ticket:     q.ticket.ID,
 		Shard:      q.shard.id,
 		Code:       result.Overloaded,
-		RetryAfter: m.jitter(overloadPause),
+		RetryAfter: m.jitter(overloadRetryAfter),
 		Excess:     q.rank.isExcess(),
 		Ahead:      q.shard.queue.Len(),
 	})
--- a/control/entry.go
+++ b/control/entry.go
@@ -8,54 +8,55 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// Bounds of the queue of a workspace at one router, where the configuration
-// gives none.
+// Default limits of the queue of a workspace at one router.
 const (
 	defaultMaxQueued            = 256
 	defaultMaxQueuedBytes int64 = 64 << 20
 )
 
-// Bounds of the advice when to come back.
+// Limits of the time after which refused callers are asked to retry.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
 )
 
-// entry holds the requests that entered here.
+// entry holds the requests that this node received.
 type entry struct {
 	requests map[RequestID]*request
 	runs     map[GrantID]*run
-	// granted finds the latest run of a request.
-	granted map[RequestID]*run
-	ended   map[endedKey]*endedRun
-	// workspaces counts what waits here.
-	workspaces map[string]*entryWorkspace
-	// pools holds the requests that wait here, oldest first.
-	pools map[string]*list.List
-	hints map[ShardID]*shardHint
-	// fullAt is when another node's scheduler last refused a request for want of capacity.
-	fullAt map[ShardID]Instant
-	// beyondShare is when another node's scheduler last refused a request of a workspace as beyond
-	// its share.
-	beyondShare map[workspaceAt]Instant
-	// avoid holds until when a scheduler is not asked; see Machine.grantHere.
-	avoid map[NodeID]Instant
-	// nextAttempt numbers the tickets of this node.
-	nextAttempt uint32
-	nextProbe   Instant
+	// latestRun maps a request to its latest run.
+	latestRun map[RequestID]*run
+	ended     map[endedKey]*endedRun
+	// workspaces counts the waiting requests here by workspace.
+	workspaces map[string]*workspaceBacklog
+	// waitingByPool holds the requests that wait here, oldest first.
+	waitingByPool map[string]*list.List
+	hints         map[ShardID]*shardHint
+	// overloadedAt is when another node's scheduler last refused a request for lack of
+	// capacity.
+	overloadedAt map[ShardID]Instant
+	// beyondShareAt is when another node's scheduler last refused a request of a workspace
+	// as beyond its share.
+	beyondShareAt map[shardWorkspace]Instant
+	// avoidUntil is the time until which a scheduler is not asked; see
+	// Machine.grantLocally.
+	avoidUntil map[NodeID]Instant
+	// lastAttempt is the number of the latest ticket of this node.
+	lastAttempt uint32
+	nextProbeAt Instant
 }
 
-// workspaceAt is a workspace at a shard.
-type workspaceAt struct {
+// shardWorkspace identifies a workspace at a shard.
+type shardWorkspace struct {
 	shard     ShardID
 	workspace string
 }
 
-// entryWorkspace counts what waits here for a workspace.
-type entryWorkspace struct {
+// workspaceBacklog counts the requests of a workspace that wait here.
+type workspaceBacklog struct {
 	count int
 	bytes int64
-	// since and grants give the rate of grants while something waits.
+	// since and grants give the rate of grants while requests wait.
 	since  Instant
 	grants int
 }
@@ -64,75 +65,75 @@
 type request struct {
 	ev RequestArrived
 	id TicketID
-	// shards are those that may serve it, in the order to ask them.
+	// shards are those that may serve it, in the order in which they are asked.
 	shards []ShardID
 	// regions are the allowed regions that its tickets carry.
-	regions config.AllowedRegions
-	asks    []*ask
-	element *list.Element
-	timer   timer
+	regions     config.AllowedRegions
+	tickets     []*sentTicket
+	poolElement *list.Element
+	timer       timer
 }
 
 func newEntry() entry {
 	return entry{
-		requests:    make(map[RequestID]*request),
-		runs:        make(map[GrantID]*run),
-		granted:     make(map[RequestID]*run),
-		ended:       make(map[endedKey]*endedRun),
-		workspaces:  make(map[string]*entryWorkspace),
-		pools:       make(map[string]*list.List),
-		hints:       make(map[ShardID]*shardHint),
-		fullAt:      make(map[ShardID]Instant),
-		beyondShare: make(map[workspaceAt]Instant),
-		avoid:       make(map[NodeID]Instant),
+		requests:      make(map[RequestID]*request),
+		runs:          make(map[GrantID]*run),
+		latestRun:     make(map[RequestID]*run),
+		ended:         make(map[endedKey]*endedRun),
+		workspaces:    make(map[string]*workspaceBacklog),
+		waitingByPool: make(map[string]*list.List),
+		hints:         make(map[ShardID]*shardHint),
+		overloadedAt:  make(map[ShardID]Instant),
+		beyondShareAt: make(map[shardWorkspace]Instant),
+		avoidUntil:    make(map[NodeID]Instant),
 	}
 }
 
-// empty says that no request and no unacknowledged report is left.
-func (e *entry) empty() bool {
+// isEmpty reports whether no request and no unacknowledged report is left.
+func (e *entry) isEmpty() bool {
 	return len(e.requests) == 0 && len(e.runs) == 0 && len(e.ended) == 0
 }
 
 func (m *Machine) requestArrived(ev RequestArrived) {
 	m.counters.RequestsArrived++
-	if run := m.entry.granted[ev.Request]; run != nil && run.attempt >= ev.Attempt {
-		return // doubled
+	if run := m.entry.latestRun[ev.Request]; run != nil && run.attempt >= ev.Attempt {
+		return // duplicate
 	}
 	if old := m.entry.requests[ev.Request]; old != nil {
 		if old.ev.Attempt >= ev.Attempt {
-			return // doubled
+			return // duplicate
 		}
-		m.withdraw(old)
+		m.withdrawRequest(old)
 	}
-	code := m.admit(ev)
+	code := m.admissionCode(ev)
 	if code != result.OK {
 		m.refuse(ev, code)
 		return
 	}
-	ev.Excluded = m.withHeldOff(ev)
+	ev.Excluded = m.excludedTargets(ev)
 	shards := m.topo.candidates(ev, m.opts.DataCentre)
 	if len(shards) == 0 {
 		m.refuseNoCandidate(ev)
 		return
 	}
 	r := &request{ev: ev, shards: shards, regions: m.topo.allowedRegions(ev)}
-	m.hold(r)
+	m.addWaiting(r)
 	m.newTicket(r)
-	m.askFirst(r)
+	m.sendFirstTickets(r)
 }
 
-// admit says whether a request may wait here: result.OK or the reason why not.
-func (m *Machine) admit(ev RequestArrived) result.Code {
+// admissionCode returns result.OK if a request may wait here, otherwise the reason why not.
+func (m *Machine) admissionCode(ev RequestArrived) result.Code {
 	if m.topo == nil {
 		return result.NotReady
 	}
 	if m.draining && ev.Attempt <= 1 {
-		return result.Draining // what was taken before is retried as ever
+		return result.Draining // requests accepted before are still retried
 	}
 	if ev.Deadline <= m.now {
 		return result.DeadlineBeforeGrant
 	}
-	if m.convicted(ev.Fingerprint) {
+	if m.isConvicted(ev.Fingerprint) {
 		return result.Quarantined
 	}
 	w := m.entry.workspaces[ev.Workspace]
@@ -149,14 +150,14 @@
 	return result.OK
 }
 
-func orDefault[T int | int64](value, otherwise T) T {
+func orDefault[T int | int64](value, fallback T) T {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
 
-// refuse ends an attempt that never waited or waits no longer.
+// refuse ends an attempt that never waited or no longer waits.
 func (m *Machine) refuse(ev RequestArrived, code result.Code) {
 	m.refuseAfter(ev, code, m.retryAfter(ev.Workspace))
 }
@@ -165,15 +166,15 @@
 	m.refuseWith(ev, Refuse{Code: code, RetryAfter: after})
 }
 
-// refuseWith ends an attempt for the given reason.
-func (m *Machine) refuseWith(ev RequestArrived, why Refuse) {
+// refuseWith ends an attempt with the given refusal.
+func (m *Machine) refuseWith(ev RequestArrived, refuse Refuse) {
 	m.counters.RequestsRefused++
-	why.Request, why.Attempt = ev.Request, ev.Attempt
-	m.emit(why)
+	refuse.Request, refuse.Attempt = ev.Request, ev.Attempt
+	m.emit(refuse)
 }
 
-// retryAfter estimates how long the workspace's queue here takes to drain and
-// spreads it, so that the refused do not come back together.
+// retryAfter estimates how long the workspace's queue here takes to empty and adds jitter,
+// so that refused callers do not retry all at once.
 func (m *Machine) retryAfter(workspace string) time.Duration {
 	drain := minRetryAfter
 	if w := m.entry.workspaces[workspace]; w != nil && w.count > 0 {
@@ -183,27 +184,27 @@
 	return m.jitter(drain)
 }
 
-// hold counts a request as waiting here.
-func (m *Machine) hold(r *request) {
+// addWaiting counts a request as waiting here.
+func (m *Machine) addWaiting(r *request) {
 	e := &m.entry
 	e.requests[r.ev.Request] = r
 	w := e.workspaces[r.ev.Workspace]
 	if w == nil {
-		w = &entryWorkspace{since: m.now}
+		w = &workspaceBacklog{since: m.now}
 		e.workspaces[r.ev.Workspace] = w
 	}
 	w.count++
 	w.bytes += r.ev.Bytes
-	waiting := e.pools[r.ev.Pool]
+	waiting := e.waitingByPool[r.ev.Pool]
 	if waiting == nil {
 		waiting = list.New()
-		e.pools[r.ev.Pool] = waiting
+		e.waitingByPool[r.ev.Pool] = waiting
 	}
-	r.element = waiting.PushBack(r)
+	r.poolElement = waiting.PushBack(r)
 }
 
-// release counts a request as waiting no longer.
-func (m *Machine) release(r *request) {
+// removeWaiting counts a request as no longer waiting.
+func (m *Machine) removeWaiting(r *request) {
 	e := &m.entry
 	m.timers.stop(&r.timer)
 	delete(e.requests, r.ev.Request)
@@ -213,70 +214,70 @@
 	if w.count == 0 {
 		delete(e.workspaces, r.ev.Workspace)
 	}
-	waiting := e.pools[r.ev.Pool]
-	waiting.Remove(r.element)
+	waiting := e.waitingByPool[r.ev.Pool]
+	waiting.Remove(r.poolElement)
 	if waiting.Len() == 0 {
-		delete(e.pools, r.ev.Pool)
+		delete(e.waitingByPool, r.ev.Pool)
 	}
 }
 
-// withdraw ends a request that waits, without an answer to the shell.
-func (m *Machine) withdraw(r *request) {
-	m.cancelAsks(r, ShardID{})
-	m.release(r)
+// withdrawRequest ends a waiting request without emitting a result for it.
+func (m *Machine) withdrawRequest(r *request) {
+	m.cancelTickets(r, ShardID{})
+	m.removeWaiting(r)
 }
 
 func (m *Machine) requestCancelled(ev RequestCancelled) {
 	if r := m.entry.requests[ev.Request]; r != nil {
-		m.withdraw(r)
+		m.withdrawRequest(r)
 	}
-	if run := m.entry.granted[ev.Request]; run != nil {
-		// The grant crossed the cancellation: nobody took it.
+	if run := m.entry.latestRun[ev.Request]; run != nil {
+		// The grant and the cancellation crossed: no one has used the grant.
 		m.endRun(run, OutcomeNotRun, 0)
 	}
 }
 
-// fire implements timed: the deadline has come or a ticket is due again.
+// fire implements timerOwner: the deadline has passed or a ticket is due again.
 func (r *request) fire(m *Machine) {
 	if m.now >= r.ev.Deadline {
 		after := m.retryAfter(r.ev.Workspace)
-		m.withdraw(r)
+		m.withdrawRequest(r)
 		m.refuseAfter(r.ev, result.DeadlineBeforeGrant, after)
 		return
 	}
-	for _, a := range r.asks {
-		if m.now >= m.due(a) {
-			m.repeat(r, a)
+	for _, sent := range r.tickets {
+		if m.now >= m.resendAt(sent) {
+			m.resendTicket(r, sent)
 		}
 	}
-	m.arm(r)
+	m.armRequest(r)
 }
 
-// retarget follows a new configuration version: the shards that may serve a
-// waiting request may have changed.
-func (m *Machine) retarget() {
+// updateCandidates applies a new configuration version: the shards that may serve a waiting
+// request may have changed.
+func (m *Machine) updateCandidates() {
 	for _, r := range m.entry.sortedRequests() {
 		r.shards = m.topo.candidates(r.ev, m.opts.DataCentre)
 		if len(r.shards) == 0 {
-			m.withdraw(r)
+			m.withdrawRequest(r)
 			m.refuseNoCandidate(r.ev)
 			continue
 		}
 		if regions := m.topo.allowedRegions(r.ev); !regions.Equal(r.regions) {
 			r.regions = regions
-			m.cancelAsks(r, ShardID{})
-			r.asks = nil
+			m.cancelTickets(r, ShardID{})
+			r.tickets = nil
 			m.newTicket(r)
-			m.askFirst(r)
+			m.sendFirstTickets(r)
 		}
 	}
 }
 
-// arm sets the request's timer to the next thing to do.
-func (m *Machine) arm(r *request) {
+// armRequest sets the request's timer to the next time at which it needs attention.
+func (m *Machine) armRequest(r *request) {
 	at := r.ev.Deadline
-	for _, a := range r.asks {
-		at = min(at, m.due(a))
+	for _, sent := range r.tickets {
+		at = min(at, m.resendAt(sent))
 	}
 	m.timers.set(&r.timer, r, at)
 }
--- a/control/events.go
+++ b/control/events.go
@@ -6,11 +6,11 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// ConfigChanged says that a newer configuration version is in force here.
+// ConfigChanged reports that a newer configuration version is in force here.
 type ConfigChanged struct{ Snapshot *config.Snapshot }
 
-// RequestArrived asks for a grant for a request that entered here. It is sent
-// again with a higher Attempt to retry on another target.
+// RequestArrived asks for a grant for a request received by this node. It is sent again
+// with a higher Attempt to retry on another target.
 type RequestArrived struct {
 	Request   RequestID
 	Attempt   uint32
@@ -18,21 +18,21 @@
 	Pool      string
 	// Route is the name of the route that the request matched; empty if there is none.
 	Route string
-	// CostHint is the caller's rough slot time; zero if none.
+	// CostHint is the caller's rough estimate of the slot time; zero if there is none.
 	CostHint time.Duration
-	// Deadline is the latest time of dispatch.
+	// Deadline is the latest time for dispatch.
 	Deadline Instant
-	// Bytes is the size of the held body.
+	// Bytes is the size of the buffered request body.
 	Bytes int64
-	// PrefixHash is the hash of the prompt's beginning; zero if none.
+	// PrefixHash is the hash of the start of the prompt; zero if there is none.
 	PrefixHash uint64
-	// Fingerprint is the hash that quarantine goes by.
+	// Fingerprint is the hash by which quarantine identifies requests.
 	Fingerprint uint64
 	// Work describes the tokens of the request, for pools that count in tokens.
 	Work Work
-	// Objective is the time by which the answer should begin; zero if none.
+	// Objective is the time by which the answer should begin; zero if there is none.
 	Objective Instant
-	// Excluded are targets that must not be granted.
+	// Excluded lists targets that must not be granted.
 	Excluded []string
 }
 
@@ -40,46 +40,46 @@
 type Work struct {
 	// Parts are the parts of the prompt in order.
 	Parts []PromptPart
-	// PromptTokens and OutputTokens are the length of the prompt and about that
+	// PromptTokens and OutputTokens are the length of the prompt and the approximate length
 	// of the answer.
 	PromptTokens, OutputTokens int
 }
 
-// PromptPart is one part of a prompt. Requests whose first parts are the same
-// share what a target keeps of them.
+// PromptPart is one part of a prompt. Requests whose first parts are identical share the
+// cached state of those parts on a target.
 type PromptPart struct {
-	// ID names the part's content.
+	// ID identifies the part's content.
 	ID uint64
-	// Tokens is the part's length.
+	// Tokens is the part's length in tokens.
 	Tokens int
 }
 
-// RequestCancelled says that the caller went away or the request was settled
-// before dispatch. The slot or queue place is freed.
+// RequestCancelled reports that the caller disconnected or that the request was settled
+// before dispatch. Its slot or queue position is released.
 type RequestCancelled struct{ Request RequestID }
 
-// Outcome says how a run ended.
+// Outcome is the way in which a run ended.
 type Outcome int
 
 // The outcomes of a run.
 const (
-	// OutcomeAnswered: the answer was whole.
+	// OutcomeAnswered: the answer was complete.
 	OutcomeAnswered Outcome = iota
 	// OutcomeNotRun: no byte was written, or the target refused before running.
 	OutcomeNotRun
-	// OutcomeCancelled: the caller went away; the run was cancelled.
+	// OutcomeCancelled: the caller disconnected, so the run was cancelled.
 	OutcomeCancelled
 	// OutcomeFailed: the target answered with an error.
 	OutcomeFailed
-	// OutcomeLost: the connection broke in the middle; the request may have run.
+	// OutcomeLost: the connection broke during the run; the request may have been executed.
 	OutcomeLost
-	// OutcomeUnreachable: the target could not be connected to; nothing ran.
+	// OutcomeUnreachable: no connection to the target could be made; nothing ran.
 	OutcomeUnreachable
 	// OutcomeRefused: the target refused the request before running it.
 	OutcomeRefused
 )
 
-// String returns the outcome as it stands in logs.
+// String returns the outcome as written in logs.
 func (o Outcome) String() string {
 	names := [...]string{"answered", "not run", "cancelled", "failed", "lost", "unreachable", "refused"}
 	if o < 0 || int(o) >= len(names) {
@@ -88,14 +88,14 @@
 	return names[o]
 }
 
-// RunBegan says that the target of a run has begun to answer.
+// RunBegan reports that the target of a run has begun to answer.
 type RunBegan struct {
 	Grant GrantID
 	// After is the time from the grant's arrival at the entry.
 	After time.Duration
 }
 
-// RunEnded says that the run under a grant ended.
+// RunEnded reports that the run under a grant ended.
 type RunEnded struct {
 	Request RequestID
 	Grant   GrantID
@@ -111,70 +111,71 @@
 	Message     Message
 }
 
-// PeerState says whether the shell holds a working connection to a node.
+// PeerState reports whether a working connection to a node exists.
 type PeerState struct {
 	Node      NodeID
 	Connected bool
 }
 
-// MembersListed carries the platform's lagging list of VMs.
+// MembersListed carries the platform's list of VMs, which lags behind the actual state.
 type MembersListed struct{ Members []Member }
 
-// Member is one VM of the platform's list.
+// Member is one VM in the platform's list.
 type Member struct {
 	Node       NodeID
 	DataCentre string
 	Leaving    bool
-	// Cores is the processor that it has; zero: not known.
+	// Cores is the number of its processor cores; zero: unknown.
 	Cores float64
 }
 
-// TargetLoad is a load report of a target, polled by this node. It lags.
+// TargetLoad is a load report of a target that this node polled. It lags behind the actual
+// load.
 type TargetLoad struct {
 	Target string
-	// Running and Queued are counts of requests in the target.
+	// Running and Queued count the requests in the target.
 	Running int
 	Queued  int
-	// Slots is the target's own limit; zero if it does not say.
+	// Slots is the target's own limit; zero if it reports none.
 	Slots int
-	// Leaving says that the target announced its end.
+	// Leaving reports that the target announced its shutdown.
 	Leaving bool
-	// StartID tells one start of the target from the next; zero if the target
-	// reports none.
+	// StartID distinguishes the starts of the target; zero if the target reports none.
 	StartID uint64
-	// CachedPrefixes are hashes of prompt beginnings in the target's cache,
-	// late and with gaps.
+	// CachedPrefixes are hashes of the prompt prefixes in the target's cache; they arrive
+	// late and are incomplete.
 	CachedPrefixes []uint64
 }
 
-// TargetUnreachable says that a load poll or a connection to a target failed.
+// TargetUnreachable reports that a load poll of a target, or a connection to it, failed.
 type TargetUnreachable struct{ Target string }
 
-// TargetKept tells what a target keeps of prompts: the parts that changed, or all if
-// Whole, with the tokens that are kept now. It lags, and some news are lost.
+// TargetCacheReported lists the prompt parts that a target has cached, with the tokens now
+// cached of each: the parts that changed, or all of them if Full. It lags behind, and some
+// reports are lost.
 type TargetKept struct {
 	Target string
-	// Start tells one start of the target from the next; see config.Target.Start.
+	// Start distinguishes the starts of the target; see config.Target.Start.
 	Start int64
 	Whole bool
 	Parts []PromptPart
 }
 
-// FeedsFollowed says whether this node follows the platform's feeds and they answer.
+// FeedState reports whether this node follows the platform's feeds and they answer.
 type FeedsFollowed struct{ Live bool }
 
-// RequestsUnread tells that this router refused requests before it read them. It is sent at
-// most some times a second for each pool and workspace.
+// RequestsRefusedUnread reports that this router refused requests before it read them. It
+// is sent at most a few times a second for each pool and workspace.
 type RequestsUnread struct {
 	Pool, Workspace string
 	Count           int
 }
 
-// DrainStarted says that this node is leaving: shards are handed over and no
-// new request is taken.
+// DrainStarted reports that this node is leaving: its shards are handed over and no new
+// requests are accepted.
 type DrainStarted struct{}
 
-// Tick lets time pass. The shell sends one at Machine.NextWake.
+// Tick advances the time. The caller of Step sends one at Machine.NextWake.
 type Tick struct{}
 
 func (ConfigChanged) isEvent()     {}
--- a/control/feeds.go
+++ b/control/feeds.go
@@ -2,88 +2,90 @@
 
 import "github.com/walnutcove/walnutcove/control/member"
 
-// feedFollowers is the number of nodes per data centre that follow the platform's feeds. Each
-// change costs one call per follower; the other nodes learn of it from heartbeats. With two
-// followers, the loss of one causes no delay; if both are lost, a third node takes over within
-// MemberTimeout. Each data centre has its own followers, so that one that is cut off from the
-// platform receives changes from the others.
-const feedFollowers = 2
+// followersPerDataCentre is the number of nodes per data centre that follow the platform's
+// feeds. Each change costs one call per follower; the other nodes learn of it from
+// heartbeats. With two followers, the loss of one causes no delay; if both are lost, a
+// third node takes over within MemberTimeout. Each data centre has its own followers, so
+// that one that is cut off from the platform receives changes from the others.
+const followersPerDataCentre = 2
 
-// feedKey is the key by which the followers are ranked.
+// feedKey is the key by which rendezvous hashing ranks the followers.
 var feedKey = member.HashOf("platform feeds")
 
-// feeds is what the machine knows of who follows the platform's feeds.
+// feeds is the machine's knowledge of which nodes follow the platform's feeds.
 type feeds struct {
-	// live says that this node does, and that they answer.
-	live bool
-	// followers are the other nodes that said so.
+	// following reports that this node follows the feeds and that they answer.
+	following bool
+	// followers are the other nodes that announced the same.
 	followers map[NodeID]bool
-	// wanted and proves are what was emitted last; stale says that they may be wrong.
-	wanted bool
-	proves bool
-	stale  bool
+	// follow and probe are the values emitted last; roleStale reports that they may be
+	// outdated.
+	follow    bool
+	probe     bool
+	roleStale bool
 }
 
 func newFeeds() feeds {
-	return feeds{followers: make(map[NodeID]bool), wanted: true, proves: true}
+	return feeds{followers: make(map[NodeID]bool), follow: true, probe: true}
 }
 
-// feedsFollowed takes in whether this node's feeds answer. All others are told, as
-// most of them hear no heartbeats of this node.
-func (m *Machine) feedsFollowed(ev FeedsFollowed) {
-	if m.fleet.feeds.live == ev.Live {
+// feedStateChanged records whether this node's feeds answer. All other nodes are informed,
+// as most of them do not receive this node's periodic heartbeats.
+func (m *Machine) feedStateChanged(ev FeedsFollowed) {
+	if m.fleet.feeds.following == ev.Live {
 		return
 	}
-	m.fleet.feeds.live = ev.Live
+	m.fleet.feeds.following = ev.Live
 	m.broadcast(m.heartbeat())
 }
 
-// followsSaid takes in whether another node's feeds answer. One that leaves follows them
-// no more, and so does one that others of its data centre relieve. Else the platform was
-// silent to it, and this node's calls that wait may have met that silence too.
-func (m *Machine) followsSaid(node NodeID, follows, leaving bool) {
+// followerReported records whether another node's feeds answer. A node that leaves stops
+// following them, and so does one whose place others of its data centre have taken.
+// Otherwise the platform stopped answering that node, and may have stopped answering this
+// node's waiting calls too.
+func (m *Machine) followerReported(node NodeID, follows, leaving bool) {
 	if m.fleet.feeds.followers[node] == follows {
 		return
 	}
-	m.fleet.feeds.stale = true
+	m.fleet.feeds.roleStale = true
 	if follows {
 		m.fleet.feeds.followers[node] = true
 		return
 	}
 	delete(m.fleet.feeds.followers, node)
-	if !leaving && m.turnOf(node).Wanted {
+	if !leaving && m.feedRoleOf(node).Wanted {
 		m.emit(FeedsDoubted{})
 	}
 }
 
-// checkFeedTurn tells when this node's turn to follow has changed.
-func (m *Machine) checkFeedTurn() {
-	if !m.fleet.feeds.stale {
+// updateFeedRole emits this node's feed role if it has changed.
+func (m *Machine) updateFeedRole() {
+	if !m.fleet.feeds.roleStale {
 		return
 	}
-	m.fleet.feeds.stale = false
-	turn := m.turnOf(m.opts.Node)
-	if turn.Wanted == m.fleet.feeds.wanted && turn.Proves == m.fleet.feeds.proves {
+	m.fleet.feeds.roleStale = false
+	role := m.feedRoleOf(m.opts.Node)
+	if role.Wanted == m.fleet.feeds.follow && role.Proves == m.fleet.feeds.probe {
 		return
 	}
-	m.fleet.feeds.wanted = turn.Wanted
-	m.fleet.feeds.proves = turn.Proves
-	m.emit(turn)
+	m.fleet.feeds.follow = role.Wanted
+	m.fleet.feeds.probe = role.Proves
+	m.emit(role)
 }
 
-// turnOf finds out whether enough nodes of a node's data centre that rank before it
-// follow, and whether none of the fleet does. What a node last said counts as long as it
-// lives.
-func (m *Machine) turnOf(node NodeID) FeedTurn {
-	own := member.Score(member.HashOf(string(node)), feedKey)
+// feedRoleOf determines whether enough higher-ranked nodes of a node's data centre follow
+// the feeds, and whether any in the fleet does. What a node last announced counts as long
+// as it is alive.
+func (m *Machine) feedRoleOf(node NodeID) FeedTurn {
+	ownScore := member.Score(member.HashOf(string(node)), feedKey)
 	dataCentre := m.dataCentreOf(node)
 	following, ahead := 0, 0
-	proves := true
-	for _, n := range m.feedNodes() {
-		if n.name == node || member.Score(member.HashOf(string(n.name)), feedKey) < own {
+	probe := true
+	for _, n := range m.liveFeedNodes() {
+		if n.name == node || member.Score(member.HashOf(string(n.name)), feedKey) < ownScore {
 			continue
 		}
-		proves = proves && !n.follows
+		probe = probe && !n.follows
 		switch {
 		case n.dataCentre != dataCentre:
 		case n.follows:
@@ -92,10 +94,10 @@
 			ahead++
 		}
 	}
-	if following >= feedFollowers {
+	if following >= followersPerDataCentre {
 		return FeedTurn{}
 	}
-	return FeedTurn{Wanted: true, Proves: proves, Ahead: ahead}
+	return FeedTurn{Wanted: true, Proves: probe, Ahead: ahead}
 }
 
 // feedNode is a live node that may follow the feeds.
@@ -105,9 +107,9 @@
 	follows    bool
 }
 
-// feedNodes returns this node and the others that live.
-func (m *Machine) feedNodes() []feedNode {
-	nodes := []feedNode{{name: m.opts.Node, dataCentre: m.opts.DataCentre, follows: m.fleet.feeds.live}}
+// liveFeedNodes returns this node and the other live ones.
+func (m *Machine) liveFeedNodes() []feedNode {
+	nodes := []feedNode{{name: m.opts.Node, dataCentre: m.opts.DataCentre, follows: m.fleet.feeds.following}}
 	for _, n := range m.view.Nodes() {
 		if n.Name != string(m.opts.Node) && m.view.Alive(n.Name) {
 			name := NodeID(n.Name)
--- a/control/feeds_test.go
+++ b/control/feeds_test.go
@@ -44,32 +44,32 @@
 	settled := func(what string, least int) {
 		t.Helper()
 		s.runUntil(s.now + 5*time.Second)
-		if count := s.followers(); count < least || count > feedFollowers {
+		if count := s.followers(); count < least || count > followersPerDataCentre {
 			t.Errorf("%s: %d follow the feeds", what, count)
 		}
 	}
-	settled("at first", feedFollowers)
+	settled("at first", followersPerDataCentre)
 	for _, id := range s.names {
 		if n := s.nodes[id]; n.follows {
 			s.stop(id)
 			break
 		}
 	}
-	settled("after one ended", feedFollowers)
+	settled("after one ended", followersPerDataCentre)
 	for _, id := range s.names {
 		if n := s.nodes[id]; n.up && n.follows {
 			n.cut = true
 			s.step(n, FeedsFollowed{})
 		}
 	}
-	settled("after all were turned away", feedFollowers)
+	settled("after all were turned away", followersPerDataCentre)
 	for _, id := range s.names {
 		if n := s.nodes[id]; n.cut {
 			n.cut = false
 			s.follow(n, n.follows)
 		}
 	}
-	settled("after their return", feedFollowers)
+	settled("after their return", followersPerDataCentre)
 }
 
 // TestIsolatedNodeFollowsTheFeeds: a node that hears nobody follows them itself.
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// probesPerBeat is how many nodes thought dead are sent each heartbeat.
-	probesPerBeat = 2
-	// watchEvery is the period of looking for missed heartbeats.
-	watchEvery = 100 * time.Millisecond
+	// probesPerHeartbeat is the number of nodes believed dead to which each heartbeat is
+	// sent.
+	probesPerHeartbeat = 2
+	// watchInterval is the period of checking for missed heartbeats.
+	watchInterval = 100 * time.Millisecond
 )
 
-// fleet is what the machine keeps of the other nodes beside member.View.
+// fleet is the state of the other nodes beyond member.View.
 type fleet struct {
-	nextBeat  Instant
-	nextWatch Instant
+	nextHeartbeatAt Instant
+	nextWatchAt     Instant
 	// epochs holds the incarnation in each node's last heartbeat.
 	epochs map[NodeID]Incarnation
-	// version is the view that the shards were last assigned by.
-	version uint64
+	// assignedVersion is the version of the view by which the shards were last assigned.
+	assignedVersion uint64
 	// owners caches the schedulers of shards for one version of the view.
 	owners map[ShardID]NodeID
 	feeds  feeds
@@ -31,27 +32,27 @@
 	return fleet{epochs: make(map[NodeID]Incarnation), owners: make(map[ShardID]NodeID), feeds: newFeeds()}
 }
 
-// heard takes in that a message came from a node. It returns false if the
-// message is of an incarnation that ended.
-func (m *Machine) heard(node NodeID, inc Incarnation) bool {
+// acceptSender records that a message was received from a node. It returns false if the
+// message is of an incarnation that has ended.
+func (m *Machine) acceptSender(node NodeID, inc Incarnation) bool {
 	sign := m.view.Heard(m.now, string(node), uint64(inc))
 	if sign == member.SignRestarted {
 		m.dropRestarted(node, inc)
 		m.reclaimNode(node, inc)
-		m.books.totals.Forget(string(node), uint64(inc))
+		m.exchange.totals.Forget(string(node), uint64(inc))
 		m.resendTo(node)
 	}
 	if sign == member.SignRestarted || sign == member.SignBack {
 		m.send(node, m.heartbeat())
 		if m.view.Watches(string(node)) {
-			m.tellEvidence(node)
+			m.sendEvidence(node)
 		}
 	}
 	return sign != member.SignStale
 }
 
 func (m *Machine) heartbeat() Heartbeat {
-	beat := Heartbeat{Incarnation: m.epoch, Leaving: m.draining, Follows: m.fleet.feeds.live}
+	beat := Heartbeat{Incarnation: m.epoch, Leaving: m.draining, Follows: m.fleet.feeds.following}
 	if m.topo != nil {
 		beat.ConfigVersion = uint64(m.topo.order.Version)
 		beat.ConfigRevision = m.topo.order.Config
@@ -66,24 +67,24 @@
 		m.resendTo(from)
 	}
 	m.fleet.epochs[from] = msg.Incarnation
-	m.followsSaid(from, msg.Follows, msg.Leaving)
-	if msg.ConfigVersion > 0 && m.isNews(msg) {
+	m.followerReported(from, msg.Follows, msg.Leaving)
+	if msg.ConfigVersion > 0 && m.hasNewerState(msg) {
 		m.emit(VersionSeen{From: from, Version: msg.ConfigVersion, TargetsRevision: msg.TargetsRevision})
 	}
 }
 
-// isNews says whether a node has a newer configuration, or a newer listing of
-// targets, than this one.
-func (m *Machine) isNews(beat Heartbeat) bool {
+// hasNewerState reports whether a heartbeat announces a newer configuration, or a newer
+// listing of targets, than this node has.
+func (m *Machine) hasNewerState(beat Heartbeat) bool {
 	if m.topo == nil {
 		return true
 	}
 	own := m.topo.order
-	writtenAgain := beat.ConfigVersion == uint64(own.Version) && beat.ConfigRevision > own.Config
-	return beat.ConfigVersion > uint64(own.Version) || writtenAgain || beat.TargetsRevision > own.Targets
+	rewritten := beat.ConfigVersion == uint64(own.Version) && beat.ConfigRevision > own.Config
+	return beat.ConfigVersion > uint64(own.Version) || rewritten || beat.TargetsRevision > own.Targets
 }
 
-func (m *Machine) suspectReceived(from NodeID, msg SuspectNotice) {
+func (m *Machine) suspectNoticeReceived(from NodeID, msg SuspectNotice) {
 	if msg.Node == m.opts.Node {
 		m.view.Missed(m.now, string(from))
 		m.broadcast(m.heartbeat())
@@ -92,7 +93,7 @@
 	m.view.Suspected(m.now, string(msg.Node), string(from), uint64(msg.Incarnation))
 }
 
-func (m *Machine) peerState(ev PeerState) {
+func (m *Machine) peerStateChanged(ev PeerState) {
 	if ev.Node == m.opts.Node {
 		return
 	}
@@ -113,37 +114,37 @@
 	}
 }
 
-// broadcast sends a message to every known node. It is for rare news.
+// broadcast sends a message to every known node. Use it for rare messages only.
 func (m *Machine) broadcast(msg Message) {
 	for _, n := range m.view.Nodes() {
 		m.send(NodeID(n.Name), msg)
 	}
 }
 
-// beatNow sends a heartbeat to those who watch this node.
-func (m *Machine) beatNow() {
-	m.fleet.nextBeat = m.now + m.opts.HeartbeatEvery
-	for _, name := range m.view.Watchers(m.now, probesPerBeat) {
+// sendHeartbeats sends a heartbeat to the nodes that watch this one.
+func (m *Machine) sendHeartbeats() {
+	m.fleet.nextHeartbeatAt = m.now + m.opts.HeartbeatEvery
+	for _, name := range m.view.Watchers(m.now, probesPerHeartbeat) {
 		m.send(NodeID(name), m.heartbeat())
 	}
 }
 
 func (m *Machine) fleetTick() {
-	if m.now >= m.fleet.nextBeat {
-		m.beatNow()
+	if m.now >= m.fleet.nextHeartbeatAt {
+		m.sendHeartbeats()
 	}
-	if m.now < m.fleet.nextWatch {
+	if m.now < m.fleet.nextWatchAt {
 		return
 	}
-	m.fleet.nextWatch = m.now + watchEvery
+	m.fleet.nextWatchAt = m.now + watchInterval
 	for _, missed := range m.view.Tick(m.now) {
 		m.counters.NodesSuspected++
 		m.broadcast(SuspectNotice{Node: NodeID(missed.Name), Incarnation: Incarnation(missed.Incarnation)})
 	}
 }
 
-// owner returns the scheduler of a shard: a member in the shard's data centre
-// if there is one.
+// owner returns the scheduler of a shard: a member in the shard's data centre if there is
+// one.
 func (m *Machine) owner(id ShardID) NodeID {
 	if m.opts.Policy == PolicyAlone {
 		return m.opts.Node
@@ -156,21 +157,21 @@
 	return owner
 }
 
-// followView reassigns the shards when the view has changed.
-func (m *Machine) followView() {
-	for m.fleet.version != m.view.Version() {
-		m.fleet.version = m.view.Version()
+// applyViewChange reassigns the shards when the view has changed.
+func (m *Machine) applyViewChange() {
+	for m.fleet.assignedVersion != m.view.Version() {
+		m.fleet.assignedVersion = m.view.Version()
 		clear(m.fleet.owners)
-		m.fleet.feeds.stale = true
+		m.fleet.feeds.roleStale = true
 		m.reassign()
 		m.updateColdLimits()
-		m.dropLost()
+		m.dropUnreachable()
 		m.resendMoved()
-		m.drainLoop()
+		m.handleLoopback()
 	}
 }
 
-// drainStarted hands the shards over and takes no new request.
+// drainStarted hands the shards over and stops accepting new requests.
 func (m *Machine) drainStarted() {
 	if m.draining {
 		return
@@ -183,33 +184,33 @@
 	}
 }
 
-// checkDrained tells once that nothing is left here.
+// checkDrained reports, once, that nothing is left here.
 func (m *Machine) checkDrained() {
-	if !m.draining || m.drained || !m.entry.empty() {
+	if !m.draining || m.drained || !m.entry.isEmpty() {
 		return
 	}
 	m.drained = true
 	m.emit(Drained{})
 }
 
-// thaw is called when the machine stood still for longer than others wait for
-// it: another scheduler may have taken its shards over, so it starts anew as a
-// scheduler and sends again as an entry.
-func (m *Machine) thaw() {
+// resumeAfterPause runs when the machine was paused for longer than other nodes wait for
+// it. Another scheduler may have taken over its shards, so it starts anew as a scheduler,
+// and sends its tickets and reports again as an entry.
+func (m *Machine) resumeAfterPause() {
 	m.counters.Thaws++
 	m.epoch = Incarnation(m.rng.Uint64() | 1)
 	m.dropShards()
 	m.view.Thawed(m.now)
-	m.fleet.version = 0
-	m.fleet.nextBeat = 0
+	m.fleet.assignedVersion = 0
+	m.fleet.nextHeartbeatAt = 0
 	m.broadcast(m.heartbeat())
 	m.resendAll()
 }
 
-// sortedKeys returns the keys of a map in order.
-func sortedKeys[K ~string, V any](in map[K]V) []K {
-	keys := make([]K, 0, len(in))
-	for k := range in {
+// sortedKeys returns the keys of a map in sorted order.
+func sortedKeys[K ~string, V any](from map[K]V) []K {
+	keys := make([]K, 0, len(from))
+	for k := range from {
 		keys = append(keys, k)
 	}
 	slices.Sort(keys)
--- a/control/gap.go
+++ b/control/gap.go
@@ -6,11 +6,11 @@
 	"github.com/walnutcove/walnutcove/control/sched"
 )
 
-// gapEvery is the shortest time between two reports of a gap in one shard.
-const gapEvery = time.Second
+// gapReportInterval is the minimum time between two reports of a share gap in one shard.
+const gapReportInterval = time.Second
 
-// ShareGap reports that a workspace was granted less than half of another one at a shard
-// scheduled here while its requests were refused.
+// ShareGap reports that a workspace was granted less than half as much as another one at a
+// shard scheduled here while its requests were refused.
 type ShareGap struct {
 	Shard ShardID
 	Gap   sched.Gap
@@ -18,12 +18,12 @@
 
 func (ShareGap) isCommand() {}
 
-// noteGap reports the widest gap of a shard, if there is one.
-func (m *Machine) noteGap(s *shard) {
-	if m.now < s.nextGap {
+// reportShareGap reports the widest gap of a shard, if there is one.
+func (m *Machine) reportShareGap(s *shard) {
+	if m.now < s.nextGapAt {
 		return
 	}
-	s.nextGap = m.now + gapEvery
+	s.nextGapAt = m.now + gapReportInterval
 	gap, found := s.shares.WidestGap(m.now)
 	if !found {
 		return
--- a/control/gap_test.go
+++ b/control/gap_test.go
@@ -9,7 +9,7 @@
 // one while routers refuse its requests, once a second at most.
 func TestGapIsReported(t *testing.T) {
 	f := newTokenFleet("e1")
-	s := f.machine.shardHere(ShardID{Pool: "gen"})
+	s := f.machine.ensureShard(ShardID{Pool: "gen"})
 	reported := 0
 	for range 20 {
 		f.now += 100 * time.Millisecond
--- a/control/grants.go
+++ b/control/grants.go
@@ -11,57 +11,60 @@
 const (
 	// grantLease is how long a grant is kept without a report.
 	grantLease = 7 * time.Second
-	// confirmWithin is how long a grant may go unconfirmed before it is sent again.
-	confirmWithin = 1500 * time.Millisecond
-	// minTopUp is the least slot time by which a running grant's charge grows
+	// confirmTimeout is how long a grant may go unconfirmed before it is sent again.
+	confirmTimeout = 1500 * time.Millisecond
+	// minChargeStep is the minimum slot time by which a running grant's charge is raised
 	// once the run has used up what was charged.
-	minTopUp = 100 * time.Millisecond
-	// topUpPart makes the step grow with the run: one part in this many.
-	topUpPart = 4
-	// equalFill is the difference in fill below which targets count as equally
+	minChargeStep = 100 * time.Millisecond
+	// chargeStepDivisor makes that step grow with the run: it is the time used so far
+	// divided by this.
+	chargeStepDivisor = 4
+	// equalFillMargin is the difference in fill level below which targets count as equally
 	// loaded.
-	equalFill = 0.125
+	equalFillMargin = 0.125
 )
 
 // grant is a grant that holds a slot of a target.
 type grant struct {
-	id        GrantID
-	ticket    TicketID
-	from      NodeID
-	shard     *shard
-	target    *target
-	workspace *workspace
-	hint      time.Duration
-	finger    uint64
-	// granted is when the grant was made or adopted, and started when it is
-	// taken to hold its slot: later if it waited behind others in the target.
-	granted, started Instant
-	// behind says that the target's slots were taken and none is free yet.
-	behind bool
+	id          GrantID
+	ticket      TicketID
+	from        NodeID
+	shard       *shard
+	target      *target
+	workspace   *workspace
+	costHint    time.Duration
+	fingerprint uint64
+	// grantedAt is when the grant was made or adopted, and startedAt when it is assumed to
+	// occupy its slot: later if it waited behind others in the target.
+	grantedAt, startedAt Instant
+	// waitsInTarget reports that all of the target's slots were occupied and none has
+	// become free for it yet.
+	waitsInTarget bool
 	// charged is the slot time charged so far.
 	charged time.Duration
-	// seen is when the entry last reported on the run; confirmed says that it did.
-	seen      Instant
-	sent      Instant
-	confirmed bool
-	// adopted says that another scheduler granted it.
+	// reportedAt is when the entry last reported on the run; confirmed reports whether it
+	// did.
+	reportedAt Instant
+	sentAt     Instant
+	confirmed  bool
+	// adopted reports that another scheduler made the grant.
 	adopted bool
-	// work is the run at a target that counts in tokens; nil at others.
-	work *sched.EngineRun
-	// place is why the target was chosen, where it counts in tokens.
-	place placement
-	timer timer
+	// engineRun is the modelled run at a target that counts in tokens; nil at others.
+	engineRun *sched.EngineRun
+	// placement records why the target was chosen, if it counts in tokens.
+	placement placement
+	timer     timer
 }
 
-// grantAll grants until no waiting ticket finds room.
-func (m *Machine) grantAll(s *shard) {
+// grantWaiting makes grants until there is no room for any waiting ticket.
+func (m *Machine) grantWaiting(s *shard) {
 	if s.queue.Len() == 0 {
 		return
 	}
-	var full map[string]bool // classes with excluded targets that the rest had no room for
+	var full map[string]bool // classes with excluded targets whose other targets had no room
 	usable := func(name string) bool {
 		c := s.classes[name]
-		return c == nil || !full[name] && slices.ContainsFunc(c.targets, func(t *target) bool { return m.roomFor(c, t) })
+		return c == nil || !full[name] && slices.ContainsFunc(c.targets, func(t *target) bool { return m.hasRoomFor(c, t) })
 	}
 	for item := s.queue.Next(usable); item != nil; item = s.queue.Next(usable) {
 		q := item.Value
@@ -69,18 +72,19 @@
 		if c.name != q.class {
 			// The configuration changed while the ticket waited.
 			s.queue.Remove(m.now, item)
-			m.push(q, q.workspace, c)
+			m.pushTicket(q, q.workspace, c)
 			continue
 		}
 		if m.now >= q.deadline {
-			m.unqueue(q)
+			m.removeTicket(q)
 			m.send(q.from, Refusal{Ticket: q.ticket.ID, Shard: s.id, Code: result.DeadlineBeforeGrant})
 			continue
 		}
 		if m.countsTokens(s) {
-			p := m.chooseEngine(c, q)
+			p := m.chooseTokenTarget(c, q)
 			if p.target == nil && len(c.excluded) > 0 {
-				// What others exclude must not hold up those that may use all targets.
+				// Tickets with excluded targets must not hold up those that may use all
+				// targets.
 				if full == nil {
 					full = make(map[string]bool)
 				}
@@ -88,45 +92,46 @@
 				continue
 			}
 			if p.target == nil {
-				break // the workspace that received least goes first, when there is room for it
+				break // wait for room: the workspace that received least goes first
 			}
 			m.grantTicket(q, p)
 			continue
 		}
-		t := m.chooseTarget(c, q.ticket.PrefixHash)
+		t := m.chooseSlotTarget(c, q.ticket.PrefixHash)
 		if t == nil {
-			continue // the class was only rebuilt now and has no room
+			continue // the class was just rebuilt and has no room
 		}
 		m.grantTicket(q, placement{target: t})
 	}
 	m.armShard(s)
 }
 
-// roomFor says whether a target may be given a ticket of a class now.
-func (m *Machine) roomFor(c *class, t *target) bool {
+// hasRoomFor reports whether a target may be given a ticket of a class now.
+func (m *Machine) hasRoomFor(c *class, t *target) bool {
 	if t.room(m.now) == 0 || !m.hasSpare(t, c.rank) {
 		return false
 	}
 	return !c.suspect || !m.runsSuspect(t)
 }
 
-// runsSuspect says whether a target runs a request that may crash it.
+// runsSuspect reports whether a target runs a request that is suspected of crashing
+// targets.
 func (m *Machine) runsSuspect(t *target) bool {
 	for _, g := range t.shard.granted {
-		if g.target == t && m.suspect(g.finger) {
+		if g.target == t && m.isSuspect(g.fingerprint) {
 			return true
 		}
 	}
 	return false
 }
 
-// chooseTarget returns the least loaded target of a class with room. Among
-// equally loaded ones it prefers one that likely holds the prefix in its cache.
-func (m *Machine) chooseTarget(c *class, prefix uint64) *target {
+// chooseSlotTarget returns the least loaded target of a class with room. Among equally
+// loaded ones it prefers one that probably has the prefix in its cache.
+func (m *Machine) chooseSlotTarget(c *class, prefix uint64) *target {
 	var best *target
 	bestFill := 0.0
 	for _, t := range c.targets {
-		if !m.roomFor(c, t) {
+		if !m.hasRoomFor(c, t) {
 			continue
 		}
 		if fill := t.window.Fill(m.now); best == nil || fill < bestFill {
@@ -137,7 +142,7 @@
 		return best
 	}
 	for _, t := range c.targets {
-		if t.prefixes.has(prefix) && m.roomFor(c, t) && t.window.Fill(m.now) < bestFill+equalFill {
+		if t.prefixes.has(prefix) && m.hasRoomFor(c, t) && t.window.Fill(m.now) < bestFill+equalFillMargin {
 			return t
 		}
 	}
@@ -147,24 +152,24 @@
 func (m *Machine) grantTicket(q *queuedTicket, p placement) {
 	t := p.target
 	q.shard.queue.Serve(m.now, q.item)
-	q.fromShare = 0
-	m.forgetTicket(q)
+	q.shareTaken = 0
+	m.releaseTicket(q)
 	if t.engine == nil {
-		q.shard.deferral.granted(m.now, q.rank, q.shard.usualService())
+		q.shard.deferral.recordGrant(m.now, q.rank, q.shard.meanService())
 	}
-	m.sched.nextSeq++
+	m.sched.lastSeq++
 	g := &grant{
-		id:        GrantID{Scheduler: m.opts.Node, Incarnation: m.epoch, Seq: m.sched.nextSeq},
-		ticket:    q.ticket.ID,
-		from:      q.from,
-		shard:     q.shard,
-		target:    t,
-		workspace: q.workspace,
-		hint:      q.ticket.CostHint,
-		finger:    q.ticket.Fingerprint,
-		granted:   m.now,
-		seen:      m.now,
-		place:     p,
+		id:          GrantID{Scheduler: m.opts.Node, Incarnation: m.epoch, Seq: m.sched.lastSeq},
+		ticket:      q.ticket.ID,
+		from:        q.from,
+		shard:       q.shard,
+		target:      t,
+		workspace:   q.workspace,
+		costHint:    q.ticket.CostHint,
+		fingerprint: q.ticket.Fingerprint,
+		grantedAt:   m.now,
+		reportedAt:  m.now,
+		placement:   p,
 	}
 	m.counters.GrantsMade++
 	t.window.Granted(m.now)
@@ -173,43 +178,43 @@
 		m.armCold(t)
 	}
 	t.prefixes.granted(q.ticket.PrefixHash)
-	estimate := g.workspace.estimate(q.shard.id.Pool).Charge(g.hint, m.typical(q.shard.id.Pool))
+	estimate := g.workspace.estimate(q.shard.id.Pool).Charge(g.costHint, m.typicalService(q.shard.id.Pool))
 	if t.engine != nil {
-		g.work = t.engine.Start(m.now, q.task, p.reads)
-		estimate = nominal(q.task)
+		g.engineRun = t.engine.Start(m.now, q.task, p.reads)
+		estimate = nominalService(q.task)
 		q.shard.shares.Served(m.now, q.ticket.Workspace, estimate.Seconds())
 	}
-	m.holdGrant(g, estimate)
+	m.registerGrant(g, estimate)
 	m.sendGrant(g)
 }
 
-// typical is the slot time of a run in a pool as declared.
-func (m *Machine) typical(pool string) time.Duration {
+// typicalService returns the declared slot time of a run in a pool.
+func (m *Machine) typicalService(pool string) time.Duration {
 	if ms := m.topo.decl.Pools[pool].TypicalMillis; ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
 	return time.Second
 }
 
-// holdGrant counts a grant and charges its workspace.
-func (m *Machine) holdGrant(g *grant, charge time.Duration) {
+// registerGrant counts a grant and charges its workspace.
+func (m *Machine) registerGrant(g *grant, charge time.Duration) {
 	m.sched.grants[g.id] = g
 	g.shard.granted[g.ticket] = g
-	of := m.sched.byNode[g.ticket.Node]
-	if of == nil {
-		of = make(map[GrantID]*grant)
-		m.sched.byNode[g.ticket.Node] = of
+	byNode := m.sched.byNode[g.ticket.Node]
+	if byNode == nil {
+		byNode = make(map[GrantID]*grant)
+		m.sched.byNode[g.ticket.Node] = byNode
 	}
-	of[g.id] = g
+	byNode[g.id] = g
 	g.workspace.running++
-	g.target.take(m.now, g)
+	g.target.addGrant(m.now, g)
 	g.charged = charge
-	g.workspace.moved(g.shard, g.workspace.entry.Grant(charge))
+	g.workspace.updateFlows(g.shard, g.workspace.account.Grant(charge))
 	m.armGrant(g)
 }
 
 func (m *Machine) sendGrant(g *grant) {
-	g.sent = m.now
+	g.sentAt = m.now
 	spare := -g.shard.queue.Len()
 	if spare == 0 {
 		for _, t := range g.shard.targets {
@@ -221,44 +226,44 @@
 		Ticket:    g.ticket,
 		Target:    g.target.name,
 		Spare:     spare,
-		Start:     g.place.start,
-		Reads:     g.place.reads,
-		FetchFrom: g.place.fetchName(),
+		Start:     g.placement.start,
+		Reads:     g.placement.reads,
+		FetchFrom: g.placement.fetchName(),
 	})
 }
 
-// armGrant sets the grant's timer to the next thing to do.
+// armGrant sets the grant's timer to the next time at which it needs attention.
 func (m *Machine) armGrant(g *grant) {
-	at := g.seen + grantLease
-	if !g.behind && g.work == nil {
-		at = min(at, g.started+g.charged)
+	at := g.reportedAt + grantLease
+	if !g.waitsInTarget && g.engineRun == nil {
+		at = min(at, g.startedAt+g.charged)
 	}
 	if !g.confirmed {
-		at = min(at, g.sent+confirmWithin)
+		at = min(at, g.sentAt+confirmTimeout)
 	}
 	m.timers.set(&g.timer, g, max(at, m.now+time.Millisecond))
 }
 
-// fire implements timed.
+// fire implements timerOwner.
 func (g *grant) fire(m *Machine) {
-	if m.now >= g.seen+grantLease {
+	if m.now >= g.reportedAt+grantLease {
 		m.reclaim(g)
 		return
 	}
-	if !g.confirmed && m.now >= g.sent+confirmWithin {
+	if !g.confirmed && m.now >= g.sentAt+confirmTimeout {
 		m.counters.GrantsResent++
 		m.sendGrant(g)
 	}
-	if used := m.now - g.started; !g.behind && g.work == nil && used >= g.charged {
-		step := max(minTopUp, used/topUpPart)
+	if used := m.now - g.startedAt; !g.waitsInTarget && g.engineRun == nil && used >= g.charged {
+		step := max(minChargeStep, used/chargeStepDivisor)
 		m.charge(g.workspace, g.shard, used+step-g.charged)
 		g.charged = used + step
 	}
 	m.armGrant(g)
 }
 
-// charge adds slot time to what a workspace received, in every queue here.
+// charge adds slot time to the service that a workspace received, in every queue here.
 func (m *Machine) charge(w *workspace, s *shard, d time.Duration) {
-	amount := w.entry.Charge(d)
-	w.moved(s, amount)
+	amount := w.account.Charge(d)
+	w.updateFlows(s, amount)
 }
--- a/control/local.go
+++ b/control/local.go
@@ -7,26 +7,28 @@
 )
 
 const (
-	// fullKept is how long a pool counts as full after its scheduler refused a request for
-	// want of capacity.
-	fullKept = time.Second
-	// localBurst is how much of its part a node may grant at once: as much as comes in while
-	// it passes its scheduler over.
-	localBurst = avoidFor
+	// overloadedFor is how long a pool counts as overloaded after its scheduler refused a
+	// request for lack of capacity.
+	overloadedFor = time.Second
+	// localBurstTime sets the burst that a node may grant at once, as a time at its
+	// permitted rate: it covers the requests that arrive while the node avoids the
+	// scheduler.
+	localBurstTime = avoidDuration
 )
 
-// localLimit bounds what a node grants of a shard that it does not own, while the owner does
-// not answer and the pool is full. Such a node does not see what other nodes granted, so full
-// targets look idle to it.
+// localLimit is a token bucket on what a node grants in a shard that it does not own, while
+// the owner does not answer and the pool is overloaded. Such a node does not see the grants
+// of other nodes, so full targets look idle to it.
 type localLimit struct {
-	credit float64
-	at     Instant
+	credit    float64
+	updatedAt Instant
 }
 
-// take says whether a request lies within the node's part, in units a second, and uses it.
-func (l *localLimit) take(now Instant, part, amount float64) bool {
-	l.credit = min(l.credit+(now-l.at).Seconds()*part, part*localBurst.Seconds())
-	l.at = now
+// take reports whether a request is within the node's part of the capacity, in units per
+// second, and consumes it.
+func (l *localLimit) take(now Instant, perSecond, amount float64) bool {
+	l.credit = min(l.credit+(now-l.updatedAt).Seconds()*perSecond, perSecond*localBurstTime.Seconds())
+	l.updatedAt = now
 	if l.credit <= 0 {
 		return false
 	}
@@ -34,37 +36,39 @@
 	return true
 }
 
-// mayGrantAlone says whether a request may go to this node's own queue of a shard that it does
-// not own. First tries may: beyond this node's limit that queue refuses them, and their callers
-// come back. Second tries stay with the scheduler then, as what was begun is lost if they are
-// refused. After a crash all entries have many of them at once.
-func (m *Machine) mayGrantAlone(r *request, id ShardID) bool {
+// mayGrantLocally reports whether a request may go to this node's own queue of a shard that
+// it does not own. First attempts may: beyond this node's limit that queue refuses them,
+// and their callers retry later. Further attempts stay with the scheduler then, because
+// work already done is lost if they are refused. After a crash all entries have many of
+// these at once.
+func (m *Machine) mayGrantLocally(r *request, id ShardID) bool {
 	if r.ev.Attempt <= 1 || m.topo.decl.Pools[id.Pool].Tokens == nil {
 		return true
 	}
-	return !m.exceedsLocalLimit(m.shardHere(id), r.ev.Workspace, taskOf(r.ev.Work))
+	return !m.exceedsLocalLimit(m.ensureShard(id), r.ev.Workspace, engineTaskOf(r.ev.Work))
 }
 
-// isBeyondShare says whether the scheduler of a shard refused a request of a workspace as beyond
-// its share a moment ago.
+// isBeyondShare reports whether the scheduler of a shard recently refused a request of a
+// workspace as beyond its share.
 func (m *Machine) isBeyondShare(id ShardID, workspace string) bool {
-	at, refused := m.entry.beyondShare[workspaceAt{id, workspace}]
-	return refused && m.now-at <= fullKept
+	at, refused := m.entry.beyondShareAt[shardWorkspace{id, workspace}]
+	return refused && m.now-at <= overloadedFor
 }
 
-// exceedsLocalLimit says whether a task goes beyond what this node may grant on its own while
-// the pool is full: its part, among the nodes that live, of what the pool is declared to serve,
-// and nothing of that to workspaces beyond their share. One whose callers come by all nodes would
-// have all parts, and one whose callers come by few of them only those.
+// exceedsLocalLimit reports whether a task exceeds what this node may grant on its own
+// while the pool is overloaded: its equal part, among the live nodes, of the pool's
+// declared capacity, and nothing of that for workspaces beyond their share. Otherwise a
+// workspace whose callers use all nodes would get all parts, and one whose callers use only
+// a few nodes only theirs.
 func (m *Machine) exceedsLocalLimit(s *shard, workspace string, task sched.EngineTask) bool {
-	fullAt, wasFull := m.entry.fullAt[s.id]
-	if s.owned || !wasFull || m.now-fullAt > fullKept {
+	fullAt, wasFull := m.entry.overloadedAt[s.id]
+	if s.owned || !wasFull || m.now-fullAt > overloadedFor {
 		return false
 	}
 	if m.isBeyondShare(s.id, workspace) {
 		return true
 	}
-	capacity := m.topo.decl.Pools[s.id.Pool].Tokens.PerSecond * nominalToken.Seconds()
-	part := capacity / float64(m.view.Others()+1)
-	return !s.local.take(m.now, part, nominal(task).Seconds())
+	capacity := m.topo.decl.Pools[s.id.Pool].Tokens.PerSecond * servicePerToken.Seconds()
+	perSecond := capacity / float64(m.view.Others()+1)
+	return !s.localLimit.take(m.now, perSecond, nominalService(task).Seconds())
 }
--- a/control/local_test.go
+++ b/control/local_test.go
@@ -37,7 +37,7 @@
 	}{
 		{"the pool was not full", false, 0, requests, requests},
 		{"the pool was full", true, 0, 1, 3},
-		{"the pool was full long ago", true, 2 * fullKept, requests, requests},
+		{"the pool was full long ago", true, 2 * overloadedFor, requests, requests},
 	} {
 		f := newTokenFleet("e1", "e2", "e3", "e4", "e5", "e6")
 		f.machine.opts.LocalAfter = 100 * time.Millisecond
@@ -113,7 +113,7 @@
 	}{
 		{"beyond its share", true, 0, false},
 		{"refused within its share", false, 0, true},
-		{"beyond its share long ago", true, 2 * fullKept, true},
+		{"beyond its share long ago", true, 2 * overloadedFor, true},
 	} {
 		f := newTokenFleet("e1", "e2", "e3", "e4", "e5", "e6")
 		f.machine.opts.LocalAfter = 100 * time.Millisecond
--- a/control/machine.go
+++ b/control/machine.go
@@ -15,60 +15,61 @@
 	defaultMemberTimeout  = 2 * time.Second
 )
 
-// idleWake is the longest time between two ticks. The periods that a tick looks
-// at (heartbeats, watching, exchange) may be late by it.
-const idleWake = 100 * time.Millisecond
+// maxTickInterval is the maximum time between two ticks. Periodic work that a tick starts
+// (heartbeats, failure detection, service exchange) may be late by this much.
+const maxTickInterval = 100 * time.Millisecond
 
-// Machine is the state machine of one router. It is not safe for concurrent
-// use: one goroutine owns it.
+// Machine is the state machine of one router. It is not safe for concurrent use: a single
+// goroutine must own it.
 type Machine struct {
 	opts Options
 	now  Instant
-	// gap is the time between the last two steps.
-	gap time.Duration
-	// stepped says that now holds the time of an earlier step.
-	stepped bool
-	rng     *rand.Rand
-	// epoch is the incarnation in grants and heartbeats. It begins as the
-	// process's own and changes after the process stood still for long.
+	// sinceLastStep is the time between the last two steps.
+	sinceLastStep time.Duration
+	// hasStepped reports that now holds the time of an earlier step.
+	hasStepped bool
+	rng        *rand.Rand
+	// epoch is the incarnation used in grants and heartbeats. It starts as that of the
+	// process and changes after the process was paused for long.
 	epoch Incarnation
 
 	out []Command
-	// loop holds the messages that this node sends to itself.
-	loop   []Message
-	timers timers
-
-	topo      *topology
-	view      *member.View
-	fleet     fleet
-	entry     entry
-	sched     scheduler
-	books     books
-	suspicion suspicion
-	// coldUntil maps a target's name to the end of the time for which it is, or may be, cold.
+	// loopback holds the messages that this node sends to itself.
+	loopback []Message
+	timers   timers
+
+	topo          *topology
+	view          *member.View
+	fleet         fleet
+	entry         entry
+	sched         scheduler
+	exchange      serviceExchange
+	crashEvidence crashEvidence
+	// coldUntil maps a target's name to the end of the time during which it is, or may be,
+	// cold.
 	coldUntil map[string]Instant
-	// notices hold what targets said of themselves to this node.
+	// notices holds what targets announced about themselves to this node.
 	notices  notice.Set
 	draining bool
 	drained  bool
 	counters Counters
 }
 
-// New returns a machine that knows nothing yet: it refuses requests with
-// NotReady until the first ConfigChanged.
+// New returns a machine without configuration: it refuses requests with NotReady until the
+// first ConfigChanged.
 func New(opts Options) *Machine {
 	opts = withDefaults(opts)
 	m := &Machine{
-		opts:      opts,
-		rng:       rand.New(rand.NewPCG(opts.Seed, uint64(opts.Incarnation))),
-		epoch:     opts.Incarnation,
-		view:      member.NewView(string(opts.Node), opts.DataCentre, opts.MemberTimeout),
-		fleet:     newFleet(),
-		entry:     newEntry(),
-		sched:     newScheduler(),
-		books:     newBooks(),
-		suspicion: newSuspicion(),
-		coldUntil: make(map[string]Instant),
+		opts:          opts,
+		rng:           rand.New(rand.NewPCG(opts.Seed, uint64(opts.Incarnation))),
+		epoch:         opts.Incarnation,
+		view:          member.NewView(string(opts.Node), opts.DataCentre, opts.MemberTimeout),
+		fleet:         newFleet(),
+		entry:         newEntry(),
+		sched:         newScheduler(),
+		exchange:      newServiceExchange(),
+		crashEvidence: newCrashEvidence(),
+		coldUntil:     make(map[string]Instant),
 	}
 	m.view.SetCores(0, opts.Cores)
 	return m
@@ -93,42 +94,42 @@
 	return opts
 }
 
-// Step applies one event at the given time and returns the commands to carry
-// out, in order. Time must not go backwards; an earlier time counts as the
-// latest one seen. The returned slice belongs to the caller.
+// Step applies one event at the given time and returns the commands to carry out, in order.
+// Time must not go backwards; a time before the latest one seen counts as the latest one.
+// The caller owns the returned slice.
 func (m *Machine) Step(now Instant, ev Event) []Command {
 	m.out = nil
 	gap := now - m.now
-	m.gap = gap
+	m.sinceLastStep = gap
 	m.now = max(m.now, now)
-	if m.stepped && gap > m.opts.MemberTimeout {
-		m.thaw()
+	if m.hasStepped && gap > m.opts.MemberTimeout {
+		m.resumeAfterPause()
 	}
-	m.stepped = true
+	m.hasStepped = true
 	m.fireTimers()
 	m.apply(ev)
-	m.drainLoop()
-	m.followView()
-	m.checkFeedTurn()
-	m.flushWatch()
+	m.handleLoopback()
+	m.applyViewChange()
+	m.updateFeedRole()
+	m.updateWatchedTargets()
 	m.checkDrained()
 	return m.out
 }
 
-// NextWake returns when the machine next has something to do without an event:
-// the shell sends a Tick then. It may be in the past.
+// NextWake returns when the machine next needs to run without an event: the caller sends a
+// Tick then. It may be in the past.
 func (m *Machine) NextWake() Instant {
-	at := m.now + idleWake
+	at := m.now + maxTickInterval
 	if first, set := m.timers.first(); set {
 		at = min(at, first)
 	}
-	return min(at, m.booksWake(at))
+	return min(at, m.exchangeWake(at))
 }
 
 func (m *Machine) fireTimers() {
 	for t := m.timers.pop(m.now); t != nil; t = m.timers.pop(m.now) {
 		t.owner.fire(m)
-		m.drainLoop()
+		m.handleLoopback()
 	}
 }
 
@@ -147,21 +148,21 @@
 	case MessageReceived:
 		m.messageReceived(ev)
 	case PeerState:
-		m.peerState(ev)
+		m.peerStateChanged(ev)
 	case MembersListed:
 		m.membersListed(ev)
 	case TargetLoad:
-		m.targetLoad(ev)
+		m.targetLoadReported(ev)
 	case TargetUnreachable:
 		m.targetUnreachable(ev)
 	case TargetKept:
-		m.targetKept(ev)
+		m.targetCacheReported(ev)
 	case TargetNoticed:
-		m.targetNoticed(ev)
+		m.targetNoticeReceived(ev)
 	case FeedsFollowed:
-		m.feedsFollowed(ev)
+		m.feedStateChanged(ev)
 	case RequestsUnread:
-		m.requestsUnread(ev)
+		m.requestsRefusedUnread(ev)
 	case DrainStarted:
 		m.drainStarted()
 	case Tick:
@@ -169,31 +170,31 @@
 	}
 }
 
-// tick does what is done on a period.
+// tick runs the periodic work.
 func (m *Machine) tick() {
 	m.fleetTick()
 	m.entryTick()
-	m.booksTick()
-	m.suspicionTick()
+	m.exchangeTick()
+	m.crashEvidenceTick()
 }
 
-// drainLoop handles the messages that this node sent to itself.
-func (m *Machine) drainLoop() {
-	for len(m.loop) > 0 {
-		msg := m.loop[0]
-		m.loop = m.loop[1:]
-		m.handle(m.opts.Node, m.opts.Incarnation, msg)
+// handleLoopback handles the messages that this node sent to itself.
+func (m *Machine) handleLoopback() {
+	for len(m.loopback) > 0 {
+		msg := m.loopback[0]
+		m.loopback = m.loopback[1:]
+		m.handleMessage(m.opts.Node, m.opts.Incarnation, msg)
 	}
-	m.loop = nil
+	m.loopback = nil
 }
 
-// emit adds a command to the result of the step.
+// emit appends a command to the result of the step.
 func (m *Machine) emit(cmd Command) { m.out = append(m.out, cmd) }
 
-// send sends a message, through the local short-cut if it is for this node.
+// send sends a message to a node; one for this node itself goes through the loopback queue.
 func (m *Machine) send(to NodeID, msg Message) {
 	if to == m.opts.Node {
-		m.loop = append(m.loop, msg)
+		m.loopback = append(m.loopback, msg)
 		return
 	}
 	m.counters.MessagesSent++
@@ -204,14 +205,14 @@
 	if ev.From == m.opts.Node {
 		return
 	}
-	if !m.heard(ev.From, ev.Incarnation) {
+	if !m.acceptSender(ev.From, ev.Incarnation) {
 		m.counters.StaleMessages++
 		return
 	}
-	m.handle(ev.From, ev.Incarnation, ev.Message)
+	m.handleMessage(ev.From, ev.Incarnation, ev.Message)
 }
 
-func (m *Machine) handle(from NodeID, inc Incarnation, msg Message) {
+func (m *Machine) handleMessage(from NodeID, inc Incarnation, msg Message) {
 	switch msg := msg.(type) {
 	case Ticket:
 		m.ticketReceived(from, msg)
@@ -230,21 +231,21 @@
 	case Heartbeat:
 		m.heartbeatReceived(from, msg)
 	case SuspectNotice:
-		m.suspectReceived(from, msg)
+		m.suspectNoticeReceived(from, msg)
 	case QuarantineNotice:
-		m.noticeReceived(msg)
+		m.quarantineNoticeReceived(msg)
 	case UnreadNotice:
-		m.unreadReceived(msg)
+		m.unreadNoticeReceived(msg)
 	case LeavingNotice:
-		m.leavingReceived(from, msg)
+		m.leavingNoticeReceived(from, msg)
 	case ServiceReport:
-		m.serviceReported(from, inc, msg)
+		m.serviceReportReceived(from, inc, msg)
 	case ServiceTotals:
-		m.totalsReceived(msg)
+		m.serviceTotalsReceived(msg)
 	}
 }
 
-// jitter returns d spread by up to half of it either way.
+// jitter returns d varied randomly by up to half of it either way.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(m.rng.Int64N(int64(d)+1))
 }
--- a/control/notices_test.go
+++ b/control/notices_test.go
@@ -41,7 +41,7 @@
 	for name, tell := range map[string]func(f *tokenFleet, start int64){
 		"this node": func(f *tokenFleet, start int64) { f.saysLeaving("e1", start) },
 		"another node": func(f *tokenFleet, start int64) {
-			f.machine.handle("other", 5, LeavingNotice{Target: "e1", Start: start})
+			f.machine.handleMessage("other", 5, LeavingNotice{Target: "e1", Start: start})
 		},
 	} {
 		f := newTokenFleet("e1")
@@ -144,7 +144,7 @@
 	if told := sentTo[LeavingNotice](commands, "other"); len(told) != 0 {
 		t.Errorf("the scheduler is told %+v", told)
 	}
-	if !f.machine.shardHere(ShardID{Pool: "gen"}).byName["e1"].takesWork() {
+	if !f.machine.ensureShard(ShardID{Pool: "gen"}).targetsByName["e1"].takesWork() {
 		t.Error("a scheduler takes the target to leave")
 	}
 	f.pass(wait)
--- a/control/place.go
+++ b/control/place.go
@@ -7,34 +7,37 @@
 	"github.com/walnutcove/walnutcove/control/sched"
 )
 
-// Placement on targets that count their work in tokens. A request goes where it
-// is predicted to begin soon, with a preference for targets that keep the shared
-// parts of its prompt: reading them again costs the target's time, which others
-// wait for.
+// Placement on targets that count their work in tokens. A request goes where its answer is
+// predicted to begin soon, with a preference for targets that have the shared parts of its
+// prompt in their cache: reading them again costs time of the target, for which other
+// requests wait.
 
 const (
-	// defaultWait bounds the unread prompts of a pool without objectives.
-	defaultWait = 200 * time.Millisecond
-	// latePenalty is added to the cost of a target where the request is late. It is
-	// larger than any wait.
+	// defaultMaxWait bounds the reading time of the unread prompts at a target of a pool
+	// without objectives.
+	defaultMaxWait = 200 * time.Millisecond
+	// latePenalty is added to the cost of a target at which the request would be late. It
+	// is larger than any wait.
 	latePenalty = 10 * time.Second
-	// leastFetch is the least tokens that are worth a fetch, which costs a request
-	// between targets.
-	leastFetch = 64
+	// minFetchTokens is the minimum number of tokens for which a fetch is worthwhile, as it
+	// costs a request between targets.
+	minFetchTokens = 64
 )
 
-// millis turns a weight of the policy into a duration.
-func millis(value float64) time.Duration { return time.Duration(value * float64(time.Millisecond)) }
+// millis converts a policy value in milliseconds to a duration.
+func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// times is part of a duration.
-func times(part float64, d time.Duration) time.Duration { return time.Duration(part * float64(d)) }
+// scale returns a fraction of a duration.
+func scale(fraction float64, d time.Duration) time.Duration {
+	return time.Duration(fraction * float64(d))
+}
 
-// countsTokens says whether the shard's targets count their work in tokens.
+// countsTokens reports whether the shard's targets count their work in tokens.
 func (m *Machine) countsTokens(s *shard) bool {
 	return m.topo != nil && m.topo.decl.Pools[s.id.Pool].Tokens != nil
 }
 
-// declareEngine keeps the model of a target that counts in tokens.
+// declareEngine creates or updates the model of a target that counts in tokens.
 func (m *Machine) declareEngine(t *target, slots int, memory int64) {
 	if t.engine != nil {
 		t.engine.Declare(slots, memory)
@@ -48,7 +51,7 @@
 	})
 }
 
-// declareReading keeps the model of how the shard's targets read.
+// declareReading creates or updates the model of how fast the shard's targets read prompts.
 func (m *Machine) declareReading(s *shard, perSecond float64) {
 	targets := 0
 	if decl := m.topo.shards[s.id]; decl != nil {
@@ -62,8 +65,8 @@
 	s.reading.Frozen = m.opts.Tokens.NoLearning
 }
 
-// taskOf is a ticket's work as engines see it.
-func taskOf(work Work) sched.EngineTask {
+// engineTaskOf converts a ticket's work to the form that engine models use.
+func engineTaskOf(work Work) sched.EngineTask {
 	task := sched.EngineTask{PromptTokens: work.PromptTokens, OutputTokens: work.OutputTokens}
 	total := 0
 	for _, part := range work.Parts {
@@ -74,33 +77,34 @@
 	return task
 }
 
-// nominalToken is the service that one token counts for in fair shares.
-const nominalToken = time.Microsecond
+// servicePerToken is the service that one token counts for in fair shares.
+const servicePerToken = time.Microsecond
 
-// nominal is what a task counts for in fair shares: each token read once, each
-// token generated twice. What a target keeps makes no difference, so that a
-// workspace is not charged for where its requests happen to be placed.
-func nominal(task sched.EngineTask) time.Duration {
-	return time.Duration(max(1, task.PromptTokens+2*task.OutputTokens)) * nominalToken
+// nominalService returns the service that a task counts for in fair shares: each prompt
+// token once, each generated token twice. What a target has cached makes no difference, so
+// that a workspace is not charged for where its requests happen to be placed.
+func nominalService(task sched.EngineTask) time.Duration {
+	return time.Duration(max(1, task.PromptTokens+2*task.OutputTokens)) * servicePerToken
 }
 
-// maxWait bounds the unread prompts of a target of the shard's pool.
+// maxWait returns the limit on the reading time of the unread prompts at a target of the
+// shard's pool.
 func (m *Machine) maxWait(s *shard) time.Duration {
 	if tightest := m.topo.objectives[s.id.Pool]; tightest > 0 {
-		return times(m.opts.Tokens.WaitPart, tightest)
+		return scale(m.opts.Tokens.WaitPart, tightest)
 	}
-	return defaultWait
+	return defaultMaxWait
 }
 
-// placement is a target for a ticket and what speaks for it.
+// placement is a choice of target for a ticket and the prediction it rests on.
 type placement struct {
 	target *target
-	// start is when the answer is predicted to begin, from now.
+	// start is the predicted time from now until the answer begins.
 	start time.Duration
-	// reads is how many tokens of the prompt the target has to read.
+	// reads is the number of prompt tokens that the target has to read.
 	reads int
-	// fetchFrom keeps the shared parts that the target lacks; nil if they are not
-	// to be fetched.
+	// fetchFrom has the shared parts that the target lacks in its cache; nil if they are
+	// not to be fetched.
 	fetchFrom *target
 	cost      time.Duration
 }
@@ -112,56 +116,55 @@
 	return p.fetchFrom.name
 }
 
-// candidate is a target as a ticket sees it.
+// candidate is a target as evaluated for one ticket.
 type candidate struct {
 	target *target
-	// reads is how many tokens of the prompt it would have to read, and again how
-	// many of these are shared parts.
-	reads, again int
-	wait         time.Duration
+	// reads is the number of prompt tokens that it would have to read, and sharedReads how
+	// many of these are in shared parts.
+	reads, sharedReads int
+	wait               time.Duration
 }
 
-// candidates lists the targets of a class as a ticket sees them. The slice is
-// used again by the next call.
-func (m *Machine) candidates(targets []*target, task sched.EngineTask) []candidate {
-	m.sched.candidates = m.sched.candidates[:0]
+// listCandidates evaluates targets for a ticket. The next call reuses the slice.
+func (m *Machine) listCandidates(targets []*target, task sched.EngineTask) []candidate {
+	m.sched.candidateBuffer = m.sched.candidateBuffer[:0]
 	for _, t := range targets {
 		c := candidate{target: t, wait: t.engine.Wait(m.now)}
-		c.reads, c.again = m.readsAt(t, task)
-		m.sched.candidates = append(m.sched.candidates, c)
+		c.reads, c.sharedReads = m.readsAt(t, task)
+		m.sched.candidateBuffer = append(m.sched.candidateBuffer, c)
 	}
-	return m.sched.candidates
+	return m.sched.candidateBuffer
 }
 
-// readsAt returns how many tokens of a task a target would have to read, and how many
-// of these are in shared parts.
-func (m *Machine) readsAt(t *target, task sched.EngineTask) (all, again int) {
+// readsAt returns how many tokens of a task a target would have to read, and how many of
+// these are in shared parts.
+func (m *Machine) readsAt(t *target, task sched.EngineTask) (all, shared int) {
 	if m.opts.Tokens.NoKept {
 		return max(1, task.PromptTokens), 0
 	}
 	return t.engine.Reads(task)
 }
 
-// chooseEngine returns the target of a class that costs a queued ticket least;
-// without a target if none takes it now.
-func (m *Machine) chooseEngine(c *class, q *queuedTicket) placement {
+// chooseTokenTarget returns the target of a class with the lowest cost for a queued ticket;
+// without a target if none can take it now.
+func (m *Machine) chooseTokenTarget(c *class, q *queuedTicket) placement {
 	policy := &m.opts.Tokens
 	limit := m.maxWait(q.shard)
-	all := m.candidates(c.targets, q.task)
-	keeper := m.keeperOf(all, q.task)
-	home := homeOf(all, q.task, keeper)
+	all := m.listCandidates(c.targets, q.task)
+	holder := m.bestCacheHolder(all, q.task)
+	home := homeTarget(all, q.task, holder)
 	near := m.dataCentreOf(q.from)
 	var best placement
-	for _, seen := range all {
-		t := seen.target
-		if !m.roomFor(c, t) || !t.engine.HasRoom(q.task) {
+	for _, cand := range all {
+		t := cand.target
+		if !m.hasRoomFor(c, t) || !t.engine.HasRoom(q.task) {
 			continue
 		}
-		keeps := seen.again == 0 && len(q.task.Parts) > 1
-		if seen.wait > limit && (!keeps || seen.wait > times(policy.KeeperPart, limit)) {
+		holdsAll := cand.sharedReads == 0 && len(q.task.Parts) > 1
+		if cand.wait > limit && (!holdsAll || cand.wait > scale(policy.KeeperPart, limit)) {
 			continue
 		}
-		p := m.place(q, seen, keeper)
+		p := m.predictPlacement(q, cand, holder)
 		if home != nil && t != home {
 			p.cost += millis(policy.HomeMillis)
 		}
@@ -175,7 +178,7 @@
 	return best
 }
 
-// dataCentreOf returns where a node runs; empty if that is not known.
+// dataCentreOf returns the data centre of a node; empty if it is unknown.
 func (m *Machine) dataCentreOf(node NodeID) string {
 	if node == m.opts.Node {
 		return m.opts.DataCentre
@@ -186,59 +189,59 @@
 	return ""
 }
 
-// place predicts what a ticket would cost at a target. keeper keeps most of the shared
-// parts of its prompt; see keeperOf.
-func (m *Machine) place(q *queuedTicket, seen, keeper candidate) placement {
-	t, again := seen.target, seen.again
+// predictPlacement predicts the cost of a ticket at a target. holder is the target that has
+// most of the shared parts of its prompt cached; see bestCacheHolder.
+func (m *Machine) predictPlacement(q *queuedTicket, cand, holder candidate) placement {
+	t, sharedReads := cand.target, cand.sharedReads
 	policy := &m.opts.Tokens
-	p := placement{target: t, reads: seen.reads}
-	penalty := times(policy.RereadPart, t.engine.ReadTime(again))
+	p := placement{target: t, reads: cand.reads}
+	penalty := scale(policy.RereadPart, t.engine.ReadTime(sharedReads))
 	fetch := time.Duration(0)
 	perSecond := m.topo.decl.Pools[q.shard.id.Pool].Tokens.FetchedPerSecond
-	if fetched := again - keeper.again; keeper.target != nil && fetched >= leastFetch && perSecond > 0 && !policy.NoFetch {
-		p.fetchFrom = keeper.target
-		p.reads = max(1, seen.reads-fetched)
+	if fetched := sharedReads - holder.sharedReads; holder.target != nil && fetched >= minFetchTokens && perSecond > 0 && !policy.NoFetch {
+		p.fetchFrom = holder.target
+		p.reads = max(1, cand.reads-fetched)
 		fetch = time.Duration(float64(fetched) / perSecond * float64(time.Second))
-		penalty = times(policy.FetchPart, fetch) + times(policy.RereadPart, t.engine.ReadTime(keeper.again))
+		penalty = scale(policy.FetchPart, fetch) + scale(policy.RereadPart, t.engine.ReadTime(holder.sharedReads))
 	}
 	p.start = t.engine.Predict(m.now, q.task, p.reads) + fetch
 	p.cost = p.start + penalty
-	if q.objective > 0 && p.start > times(policy.TimelyPart, q.objective-m.now) {
+	if q.objective > 0 && p.start > scale(policy.TimelyPart, q.objective-m.now) {
 		p.cost += latePenalty
 	}
 	return p
 }
 
-// keeperOf returns the target that keeps most of the shared parts of a prompt; of
-// several, the one with the least to do. Without a target, if none keeps any.
-func (m *Machine) keeperOf(all []candidate, task sched.EngineTask) candidate {
-	var keeper candidate
+// bestCacheHolder returns the target that has most of the shared parts of a prompt in its
+// cache; of several, the one with the shortest wait. Without a target if none has any.
+func (m *Machine) bestCacheHolder(all []candidate, task sched.EngineTask) candidate {
+	var holder candidate
 	if len(task.Parts) < 2 {
-		return keeper
+		return holder
 	}
 	shared := task.Shared()
 	for _, c := range all {
-		if c.again >= shared || m.now < c.target.downUntil {
+		if c.sharedReads >= shared || m.now < c.target.downUntil {
 			continue
 		}
-		if keeper.target == nil || c.again < keeper.again || c.again == keeper.again && c.wait < keeper.wait {
-			keeper = c
+		if holder.target == nil || c.sharedReads < holder.sharedReads || c.sharedReads == holder.sharedReads && c.wait < holder.wait {
+			holder = c
 		}
 	}
-	return keeper
+	return holder
 }
 
-// homeOf returns the target that rendezvous hashing gives the shared parts of a
-// prompt to, if no target keeps them all; nil otherwise.
-func homeOf(all []candidate, task sched.EngineTask, keeper candidate) *target {
-	if len(task.Parts) < 2 || keeper.target != nil && keeper.again == 0 {
+// homeTarget returns the target to which rendezvous hashing assigns the shared parts of a
+// prompt, if no target has all of them cached; nil otherwise.
+func homeTarget(all []candidate, task sched.EngineTask, holder candidate) *target {
+	if len(task.Parts) < 2 || holder.target != nil && holder.sharedReads == 0 {
 		return nil
 	}
 	last := task.Parts[len(task.Parts)-2].ID
 	var home *target
 	var highest uint64
 	for _, c := range all {
-		score := member.Score(c.target.hash, mix(last))
+		score := member.Score(c.target.hash, mixID(last))
 		if c.target.takesWork() && (home == nil || score > highest) {
 			home, highest = c.target, score
 		}
@@ -246,11 +249,11 @@
 	return home
 }
 
-// mix spreads the ids of parts, which may be small numbers.
-func mix(id uint64) uint64 { return member.Score(id, id+1) }
+// mixID hashes the ids of parts, which may be small numbers.
+func mixID(id uint64) uint64 { return member.Score(id, id+1) }
 
-// runBegan tells the scheduler that a target has begun to answer, so that it
-// knows what is read.
+// runBegan tells the scheduler that a target has begun to answer, and so has read the
+// prompt.
 func (m *Machine) runBegan(ev RunBegan) {
 	run := m.entry.runs[ev.Grant]
 	if run == nil || m.topo == nil || m.topo.decl.Pools[run.shard.Pool].Tokens == nil {
@@ -262,19 +265,19 @@
 	m.send(run.reportedTo, report)
 }
 
-// beganReported takes in that a run has begun to answer.
-func (m *Machine) beganReported(g *grant, after time.Duration) {
-	if g.work == nil {
+// runBeganReported records that a run has begun to answer.
+func (m *Machine) runBeganReported(g *grant, after time.Duration) {
+	if g.engineRun == nil {
 		return
 	}
-	m.targetServes(g.target, "first event")
-	g.target.engine.Begun(m.now, g.work, after)
-	m.grantAll(g.shard)
+	m.targetSucceeded(g.target, "first event")
+	g.target.engine.Begun(m.now, g.engineRun, after)
+	m.grantWaiting(g.shard)
 }
 
-// targetKept takes in what a target says that it keeps.
-func (m *Machine) targetKept(ev TargetKept) {
-	t := m.targetHere(ev.Target)
+// targetCacheReported records what a target reports to have cached.
+func (m *Machine) targetCacheReported(ev TargetKept) {
+	t := m.localTarget(ev.Target)
 	if t == nil || t.engine == nil || ev.Start != 0 && ev.Start < t.start {
 		return
 	}
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -236,11 +236,11 @@
 		}
 	}
 	s := f.machine.sched.shards[ShardID{Pool: "gen"}]
-	if s.shares.Ask(f.now, "a", nominal(taskOf(Work{PromptTokens: 9000})).Seconds()) {
+	if s.shares.Ask(f.now, "a", nominalService(engineTaskOf(Work{PromptTokens: 9000})).Seconds()) {
 		t.Fatal("the workspace is not beyond its share")
 	}
 	q := &queuedTicket{shard: s, ticket: Ticket{Workspace: "a", Work: Work{PromptTokens: 9000}, Again: true}}
-	f.machine.describeWork(q)
+	f.machine.classifyTicket(q)
 	if q.rank != rankShare {
 		t.Error("a request that was begun counts as beyond the share")
 	}
@@ -307,10 +307,10 @@
 	f := newTokenFleet("e1")
 	s := f.machine.sched.shards[ShardID{Pool: "gen"}]
 	refused := &queuedTicket{shard: s, ticket: Ticket{Workspace: "a", Fingerprint: 7, Work: Work{PromptTokens: 100}}}
-	f.machine.sched.turnedAway.add(f.now, refused.ticket.Fingerprint, turnedAwayKept)
-	f.machine.describeWork(refused)
-	if refused.rank != rankReturning || refused.latest > f.now+millis(f.machine.opts.Tokens.ReturnWaitMillis) {
-		t.Errorf("rank %s, waits until %s", refused.rank, refused.latest)
+	f.machine.sched.refusedFingerprints.add(f.now, refused.ticket.Fingerprint, refusedRetention)
+	f.machine.classifyTicket(refused)
+	if refused.rank != rankReturning || refused.waitUntil > f.now+millis(f.machine.opts.Tokens.ReturnWaitMillis) {
+		t.Errorf("rank %s, waits until %s", refused.rank, refused.waitUntil)
 	}
 	e1 := s.targets[0]
 	if !f.machine.hasSpare(e1, rankReturning) {
@@ -322,10 +322,10 @@
 	if f.machine.hasSpare(e1, rankReturning) || !f.machine.hasSpare(e1, rankExcess) {
 		t.Error("three of eight slots are taken: nothing for what comes back, something for the others")
 	}
-	f.now += turnedAwayKept
+	f.now += refusedRetention
 	f.step(Tick{})
 	later := &queuedTicket{shard: s, ticket: refused.ticket}
-	f.machine.describeWork(later)
+	f.machine.classifyTicket(later)
 	if later.rank != rankShare {
 		t.Errorf("rank %s long after the refusal", later.rank)
 	}
@@ -377,17 +377,17 @@
 		{"b", rankReturning, millis(f.machine.opts.Tokens.ReturnWaitMillis), true},
 	} {
 		fingerprint := uint64(7 + n)
-		f.machine.sched.turnedAway.add(f.now, fingerprint, turnedAwayKept)
+		f.machine.sched.refusedFingerprints.add(f.now, fingerprint, refusedRetention)
 		q := &queuedTicket{shard: s, ticket: Ticket{Workspace: want.workspace, Fingerprint: fingerprint, Work: Work{PromptTokens: 100}}}
-		f.machine.describeWork(q)
+		f.machine.classifyTicket(q)
 		spare := f.machine.hasSpare(s.targets[0], q.rank)
-		if q.rank != want.rank || q.latest != f.now+want.waits || spare != want.spare {
-			t.Errorf("%s: rank %s, waits %s, something to spare: %v", want.workspace, q.rank, q.latest-f.now, spare)
+		if q.rank != want.rank || q.waitUntil != f.now+want.waits || spare != want.spare {
+			t.Errorf("%s: rank %s, waits %s, something to spare: %v", want.workspace, q.rank, q.waitUntil-f.now, spare)
 		}
 	}
 	// What yields is refused at once, whatever there is to spare.
 	again := f.marked(900, 1, 7)
-	f.machine.sched.turnedAway.add(f.now, again.Fingerprint, turnedAwayKept)
+	f.machine.sched.refusedFingerprints.add(f.now, again.Fingerprint, refusedRetention)
 	if _, refuse := outcomeOf(f.step(again), again.Request); refuse == nil {
 		t.Error("what comes back to a workspace that yields is not refused at once")
 	}
@@ -405,20 +405,20 @@
 		shard:  f.machine.sched.shards[ShardID{Pool: "gen"}],
 		ticket: Ticket{Workspace: "a", Work: Work{Parts: []PromptPart{group, thing(7), own(1)}, OutputTokens: 50}},
 	}
-	f.machine.describeWork(ticket)
-	all := f.machine.candidates(ticket.shard.targets, ticket.task)
-	keeper := f.machine.keeperOf(all, ticket.task)
-	if keeper.target == nil || keeper.target.name != "e1" || keeper.again != 4000 {
+	f.machine.classifyTicket(ticket)
+	all := f.machine.listCandidates(ticket.shard.targets, ticket.task)
+	keeper := f.machine.bestCacheHolder(all, ticket.task)
+	if keeper.target == nil || keeper.target.name != "e1" || keeper.sharedReads != 4000 {
 		t.Fatalf("keeper %+v", keeper)
 	}
 	for _, c := range all {
-		p := f.machine.place(ticket, c, keeper)
+		p := f.machine.predictPlacement(ticket, c, keeper)
 		if c.target.name == "e3" && (p.fetchName() != "e1" || p.reads != 4200) {
 			t.Errorf("e3 fetches from %q and reads %d; e1 keeps 2500 of 6700 tokens", p.fetchName(), p.reads)
 		}
 	}
-	f.machine.targetFailed(f.machine.targetHere("e1"), false, "test")
-	if keeper = f.machine.keeperOf(f.machine.candidates(ticket.shard.targets, ticket.task), ticket.task); keeper.target == nil || keeper.target.name != "e2" {
+	f.machine.targetFailed(f.machine.localTarget("e1"), false, "test")
+	if keeper = f.machine.bestCacheHolder(f.machine.listCandidates(ticket.shard.targets, ticket.task), ticket.task); keeper.target == nil || keeper.target.name != "e2" {
 		t.Errorf("with e1 failing: keeper %+v", keeper.target)
 	}
 }
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -188,14 +188,14 @@
 
 // orphans tells of records that nothing refers to any more.
 func (c *chaos) orphans(m *Machine) string {
-	if n := len(m.entry.requests) + len(m.entry.runs) + len(m.entry.granted) + len(m.entry.workspaces) + len(m.entry.pools); n > 0 {
+	if n := len(m.entry.requests) + len(m.entry.runs) + len(m.entry.latestRun) + len(m.entry.workspaces) + len(m.entry.waitingByPool); n > 0 {
 		return fmt.Sprintf("the entry part holds %d records", n)
 	}
 	if n := len(m.sched.grants) + len(m.sched.byNode); n > 0 {
 		return fmt.Sprintf("the scheduler holds %d records", n)
 	}
 	for name, w := range m.sched.workspaces {
-		if w.waiting != 0 || w.running != 0 || w.entry.Running() != 0 {
+		if w.waiting != 0 || w.running != 0 || w.account.Running() != 0 {
 			return fmt.Sprintf("workspace %s counts %d waiting, %d running", name, w.waiting, w.running)
 		}
 	}
--- a/control/rank.go
+++ b/control/rank.go
@@ -6,44 +6,44 @@
 	"github.com/walnutcove/walnutcove/control/policy"
 )
 
-// Who goes first on targets that count their work in tokens, and who is refused.
+// Order and refusal of requests at targets that count their work in tokens.
 
 const (
-	// turnedAwayKept is how long a refused request is known when it comes back.
-	// Callers come back within a third of the time that they have left.
-	turnedAwayKept = 10 * time.Second
-	// overloadPause is the mean advice to a request that is refused for its
-	// objective: about the time in which what waits is served.
-	overloadPause = time.Second
+	// refusedRetention is how long a refused request is recognised when it is retried.
+	// Callers retry within a third of the time that they have left.
+	refusedRetention = 10 * time.Second
+	// overloadRetryAfter is the mean retry time given to a request that is refused for its
+	// objective: about the time in which the waiting requests are served.
+	overloadRetryAfter = time.Second
 )
 
-// rank orders the requests of a pool.
+// rank is the precedence class of a request within a pool.
 type rank int
 
 const (
-	// rankShare: within the workspace's share, and in time if it is served soon.
-	// This is what callers are promised.
+	// rankShare: within the workspace's share, and in time if it is served soon. This is
+	// what callers are promised.
 	rankShare rank = iota
 	// rankExcess: beyond the workspace's share.
 	rankExcess
 	// rankReturning: refused before and retried. Its answer is late in any case, so
 	// requests that can still be in time take precedence.
 	rankReturning
-	// rankDeferred: waited for so long that the answer is late; of pools that count in
+	// rankDeferred: waited for so long that the answer is late; for pools that count in
 	// slots.
 	rankDeferred
 )
 
-// String returns the rank as it stands in logs.
+// String returns the rank as written in logs.
 func (r rank) String() string { return [...]string{"share", "excess", "returning", "deferred"}[r] }
 
-// isExcess says whether a request lies beyond its workspace's share.
+// isExcess reports whether a request exceeds its workspace's share.
 func (r rank) isExcess() bool { return r == rankExcess || r == rankReturning }
 
-// spareOf is how much of a target a rank may use. Returning requests keep a part, so that
-// lightly loaded engines do not refuse them.
-func (m *Machine) spareOf(of rank) policy.Spare {
-	switch of {
+// spareFor returns how much of a target a rank may use. Returning requests keep a part, so
+// that lightly loaded engines do not refuse them.
+func (m *Machine) spareFor(r rank) policy.Spare {
+	switch r {
 	case rankExcess:
 		return m.opts.Tokens.Excess
 	case rankReturning:
@@ -53,55 +53,56 @@
 	}
 }
 
-// hasSpare says whether a target has capacity beyond what is kept for ranks before
-// the given one.
-func (m *Machine) hasSpare(t *target, of rank) bool {
-	if of == rankShare || of == rankDeferred {
+// hasSpare reports whether a target has capacity beyond what is reserved for the ranks
+// before the given one.
+func (m *Machine) hasSpare(t *target, r rank) bool {
+	if r == rankShare || r == rankDeferred {
 		return true
 	}
-	spare := m.spareOf(of)
-	return t.engine.Fill() < spare.Slots && t.engine.Wait(m.now) <= times(spare.Wait, m.maxWait(t.shard))
+	spare := m.spareFor(r)
+	return t.engine.Fill() < spare.Slots && t.engine.Wait(m.now) <= scale(spare.Wait, m.maxWait(t.shard))
 }
 
-// describeWork sets what follows from a ticket's tokens: its work, its objective,
-// its rank, and how long it may wait.
-func (m *Machine) describeWork(q *queuedTicket) {
-	q.task = taskOf(q.ticket.Work)
+// classifyTicket derives from a ticket's tokens its work, its objective, its rank, and how
+// long it may wait.
+func (m *Machine) classifyTicket(q *queuedTicket) {
+	q.task = engineTaskOf(q.ticket.Work)
 	if q.ticket.Objective > 0 {
 		q.objective = m.now + q.ticket.Objective
 	}
-	q.latest = m.latestStart(q)
+	q.waitUntil = m.latestUsefulStart(q)
 	if q.ticket.Again {
-		return // its share was counted, and the part that was done is lost otherwise
+		return // its share was counted already, and a refusal would waste the work done
 	}
 	shares := q.shard.shares
 	switch {
 	case m.exceedsLocalLimit(q.shard, q.ticket.Workspace, q.task): // other nodes grant the rest
 		q.rank = rankExcess
-		q.latest = m.now
-	case m.hasReturned(q.ticket.Fingerprint):
+		q.waitUntil = m.now
+	case m.isRetryOfRefused(q.ticket.Fingerprint):
 		q.rank = rankReturning
 		q.objective = 0
-		q.latest = m.now + millis(m.opts.Tokens.ReturnWaitMillis)
-		if m.yields(q) {
+		q.waitUntil = m.now + millis(m.opts.Tokens.ReturnWaitMillis)
+		if m.mustYield(q) {
 			// Retries must not get capacity that was refused to other workspaces.
-			q.latest = m.now
+			q.waitUntil = m.now
 		}
-	case shares.Ask(m.now, q.ticket.Workspace, nominal(q.task).Seconds()) || m.opts.Tokens.NoShares:
-		q.fromShare = nominal(q.task).Seconds()
-	case m.yields(q):
+	case shares.Ask(m.now, q.ticket.Workspace, nominalService(q.task).Seconds()) || m.opts.Tokens.NoShares:
+		q.shareTaken = nominalService(q.task).Seconds()
+	case m.mustYield(q):
 		q.rank = rankExcess
-		q.latest = m.now
+		q.waitUntil = m.now
 	default:
 		q.rank = rankExcess
 		if q.objective > 0 {
-			q.latest = min(q.latest, m.now+times(m.opts.Tokens.ExcessWaitPart, q.objective-m.now))
+			q.waitUntil = min(q.waitUntil, m.now+scale(m.opts.Tokens.ExcessWaitPart, q.objective-m.now))
 		}
 	}
 }
 
-// requestsUnread tells the schedulers of a pool what this node had to refuse unread.
-func (m *Machine) requestsUnread(ev RequestsUnread) {
+// requestsRefusedUnread tells the schedulers of a pool which requests this node refused
+// before reading them.
+func (m *Machine) requestsRefusedUnread(ev RequestsUnread) {
 	if m.topo == nil || m.topo.decl.Pools[ev.Pool].Tokens == nil {
 		return
 	}
@@ -110,8 +111,8 @@
 	}
 }
 
-// unreadReceived takes in what an entry had to refuse unread.
-func (m *Machine) unreadReceived(msg UnreadNotice) {
+// unreadNoticeReceived records requests that an entry refused before reading them.
+func (m *Machine) unreadNoticeReceived(msg UnreadNotice) {
 	s := m.sched.shards[msg.Shard]
 	if s == nil || !m.countsTokens(s) {
 		return
@@ -120,11 +121,11 @@
 		m.counters.UnreadWhileOwed += uint64(msg.Count)
 	}
 	s.shares.Unread(m.now, msg.Workspace, msg.Count)
-	m.noteGap(s)
+	m.reportShareGap(s)
 }
 
-// hasRoom says whether a target of the shard could take one more request within its
-// workspace's share now.
+// hasRoom reports whether a target of the shard could currently take one more request
+// within its workspace's share.
 func (m *Machine) hasRoom(s *shard) bool {
 	for _, t := range s.targets {
 		if t.room(m.now) > 0 && t.engine.Wait(m.now) <= m.maxWait(s) {
@@ -134,39 +135,39 @@
 	return false
 }
 
-// yields says whether a ticket's workspace is to leave spare capacity to another one.
-func (m *Machine) yields(q *queuedTicket) bool {
+// mustYield reports whether a ticket's workspace must leave spare capacity to another one.
+func (m *Machine) mustYield(q *queuedTicket) bool {
 	return !m.opts.Tokens.NoYield && q.shard.shares.Yields(m.now, q.ticket.Workspace, m.opts.Tokens.YieldPart)
 }
 
-// hasReturned says whether a request was refused of late for want of capacity.
-func (m *Machine) hasReturned(fingerprint uint64) bool {
-	return fingerprint != 0 && !m.opts.Tokens.NoReturning && m.sched.turnedAway.has(m.now, fingerprint)
+// isRetryOfRefused reports whether a request was recently refused for lack of capacity.
+func (m *Machine) isRetryOfRefused(fingerprint uint64) bool {
+	return fingerprint != 0 && !m.opts.Tokens.NoReturning && m.sched.refusedFingerprints.has(m.now, fingerprint)
 }
 
-// latestStart is when a ticket's answer could no longer begin in time even at an
-// idle target: waiting longer is in vain. A request that no target can ever serve
-// in time may wait for as long as its objective.
-func (m *Machine) latestStart(q *queuedTicket) Instant {
+// latestUsefulStart returns the time after which a ticket's answer could not begin in time
+// even at an idle target, so that waiting longer is useless. A request that no target can
+// ever serve in time may wait for as long as its objective.
+func (m *Machine) latestUsefulStart(q *queuedTicket) Instant {
 	if q.objective <= 0 {
 		return never
 	}
 	ideal := never
-	for _, c := range m.candidates(q.shard.targets, q.task) {
+	for _, c := range m.listCandidates(q.shard.targets, q.task) {
 		ideal = min(ideal, c.target.engine.Alone(q.task, c.reads))
 	}
 	left := q.objective - m.now
-	if ideal > times(m.opts.Tokens.TimelyPart, left) {
+	if ideal > scale(m.opts.Tokens.TimelyPart, left) {
 		return q.objective
 	}
 	return q.objective - ideal
 }
 
-// noteTurnedAway takes in that a ticket is refused as its answer cannot begin in time.
-func (m *Machine) noteTurnedAway(q *queuedTicket) {
+// recordRefusal records that a ticket is refused because its answer cannot begin in time.
+func (m *Machine) recordRefusal(q *queuedTicket) {
 	q.shard.shares.Refused(m.now, q.ticket.Workspace)
-	m.noteGap(q.shard)
+	m.reportShareGap(q.shard)
 	if q.ticket.Fingerprint != 0 {
-		m.sched.turnedAway.add(m.now, q.ticket.Fingerprint, turnedAwayKept)
+		m.sched.refusedFingerprints.add(m.now, q.ticket.Fingerprint, refusedRetention)
 	}
 }
--- a/control/remembered.go
+++ b/control/remembered.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// remembered is a set of keys that are each kept for a while.
-type remembered struct {
+// expiringSet is a set of keys that each expire after a time.
+type expiringSet struct {
 	until map[any]Instant
-	order []rememberedKey
+	order []expiringKey
 }
 
-type rememberedKey struct {
+type expiringKey struct {
 	key   any
 	until Instant
 }
 
-func newRemembered() remembered {
-	return remembered{until: make(map[any]Instant)}
+func newExpiringSet() expiringSet {
+	return expiringSet{until: make(map[any]Instant)}
 }
 
-// add remembers a key; a longer time that is already set stays.
-func (r *remembered) add(now Instant, key any, keep time.Duration) {
+// add adds a key; a later expiry that is already set stays.
+func (r *expiringSet) add(now Instant, key any, ttl time.Duration) {
 	r.expire(now)
-	until := now + keep
+	until := now + ttl
 	if r.until[key] >= until {
 		return
 	}
 	r.until[key] = until
-	r.order = append(r.order, rememberedKey{key, until})
+	r.order = append(r.order, expiringKey{key, until})
 }
 
-// has says whether a key is remembered.
-func (r *remembered) has(now Instant, key any) bool {
+// has reports whether a key is in the set and has not expired.
+func (r *expiringSet) has(now Instant, key any) bool {
 	until, ok := r.until[key]
 	return ok && now < until
 }
 
-// expire drops old keys. They are only nearly in order of time, so some stay a
+// expire removes expired keys. Keys are only approximately ordered by time, so some stay a
 // little longer.
-func (r *remembered) expire(now Instant) {
+func (r *expiringSet) expire(now Instant) {
 	for len(r.order) > 0 && r.order[0].until <= now {
 		first := r.order[0]
 		if r.until[first.key] <= now {
--- a/control/resend.go
+++ b/control/resend.go
@@ -5,62 +5,62 @@
 	"slices"
 )
 
-// resendMoved sends running reports and tickets to the new schedulers of the
-// shards whose scheduler changed: the reports first, so that the slots count as
-// taken when the tickets come. It costs a pass over what is here and runs only
-// when the view of the fleet changes.
+// resendMoved sends running reports and tickets to the new schedulers of the shards whose
+// scheduler changed: the reports first, so that the slots count as occupied when the
+// tickets arrive. It iterates over all requests here and runs only when the view of the
+// fleet changes.
 func (m *Machine) resendMoved() {
 	if m.topo == nil {
 		return
 	}
 	m.reportRuns(func(r *run) bool { return m.owner(r.shard) != r.reportedTo })
 	for _, r := range m.entry.sortedRequests() {
-		for _, a := range r.asks {
-			if to := m.owner(a.shard); to != a.to {
-				if m.view.Alive(string(a.to)) {
-					m.send(a.to, CancelTicket{Ticket: r.id, Shard: a.shard})
+		for _, sent := range r.tickets {
+			if to := m.owner(sent.shard); to != sent.to {
+				if m.view.Alive(string(sent.to)) {
+					m.send(sent.to, CancelTicket{Ticket: r.id, Shard: sent.shard})
 				}
-				m.restart(r, a)
+				m.restartTicket(r, sent)
 			}
 		}
 	}
-	m.rerouteEnded()
+	m.rerouteEndedReports()
 }
 
-// resendTo sends running reports and tickets again to a scheduler that has
-// restarted or was out of reach.
+// resendTo sends running reports and tickets again to a scheduler that restarted or was
+// unreachable.
 func (m *Machine) resendTo(node NodeID) {
 	m.reportRuns(func(r *run) bool { return m.owner(r.shard) == node })
-	m.restartAsks(func(a *ask) bool { return a.to == node })
+	m.restartTickets(func(sent *sentTicket) bool { return sent.to == node })
 }
 
 // resendAll sends every running report and ticket again.
 func (m *Machine) resendAll() {
 	m.reportRuns(func(*run) bool { return true })
-	m.restartAsks(func(*ask) bool { return true })
+	m.restartTickets(func(*sentTicket) bool { return true })
 }
 
-func (m *Machine) reportRuns(which func(*run) bool) {
+func (m *Machine) reportRuns(match func(*run) bool) {
 	for _, r := range m.entry.sortedRuns() {
-		if which(r) {
-			m.describeRun(r)
+		if match(r) {
+			m.reportRunInFull(r)
 		}
 	}
 }
 
-func (m *Machine) restartAsks(which func(*ask) bool) {
+func (m *Machine) restartTickets(match func(*sentTicket) bool) {
 	for _, r := range m.entry.sortedRequests() {
-		for _, a := range r.asks {
-			if which(a) {
-				m.restart(r, a)
+		for _, sent := range r.tickets {
+			if match(sent) {
+				m.restartTicket(r, sent)
 			}
 		}
 	}
 }
 
-// rerouteEnded sends the ends of runs that a dead scheduler has not
-// acknowledged to the shard's present one.
-func (m *Machine) rerouteEnded() {
+// rerouteEndedReports sends end reports that a dead scheduler has not acknowledged to the
+// shard's current scheduler.
+func (m *Machine) rerouteEndedReports() {
 	for _, e := range m.entry.sortedEnded() {
 		if m.view.Alive(string(e.to)) {
 			continue
--- a/control/runs.go
+++ b/control/runs.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// firstReportAfter is when a run is first reported as going on, which also
-	// confirms that its grant arrived.
+	// firstReportAfter is when a run is first reported as running, which also confirms that
+	// its grant arrived.
 	firstReportAfter = time.Second
-	// reportEvery is the period of the later reports.
-	reportEvery = 2 * time.Second
-	// endedKept is how long an unacknowledged end is reported. It is longer
-	// than the lease of a grant, after which the slot is free anyhow.
-	endedKept = 10 * time.Second
+	// reportInterval is the period of the later reports.
+	reportInterval = 2 * time.Second
+	// endedRetention is how long an unacknowledged end is reported. It is longer than the
+	// lease of a grant, after which the slot is free in any case.
+	endedRetention = 10 * time.Second
 )
 
 // run is a request that was dispatched under a grant.
 type run struct {
-	request   RequestID
-	attempt   uint32
-	grant     Grant
-	shard     ShardID
-	workspace string
-	finger    uint64
-	work      Work
-	started   Instant
-	// began says that its target has begun to answer.
+	request     RequestID
+	attempt     uint32
+	grant       Grant
+	shard       ShardID
+	workspace   string
+	fingerprint uint64
+	work        Work
+	startedAt   Instant
+	// began reports that its target has begun to answer.
 	began bool
 	// reportedTo is the scheduler that counts the run.
 	reportedTo NodeID
-	// told are the nodes that may count the run: its end goes to all of them.
-	told  []NodeID
-	timer timer
+	// toldNodes are the nodes that may count the run: its end is reported to all of them.
+	toldNodes []NodeID
+	timer     timer
 }
 
-// endedKey tells who is to acknowledge the end of a grant.
+// endedKey identifies the end of a grant and the node that has to acknowledge it.
 type endedKey struct {
 	grant GrantID
 	to    NodeID
@@ -51,8 +51,8 @@
 
 func (m *Machine) grantReceived(from NodeID, g Grant) {
 	if run := m.entry.runs[g.ID]; run != nil {
-		// The scheduler has not heard of the run yet.
-		run.tell(from)
+		// The scheduler does not know of the run yet.
+		run.addTold(from)
 		m.send(from, run.report(m.now, PhaseRunning))
 		return
 	}
@@ -65,7 +65,7 @@
 	}
 	shard, declared := m.topo.shardOf(g.Target)
 	if declared && g.Spare != 0 {
-		m.hint(shard, g.Spare)
+		m.recordHint(shard, g.Spare)
 	}
 	r := m.entry.requests[g.Ticket.Request]
 	if r == nil || r.id != g.Ticket {
@@ -74,17 +74,18 @@
 	}
 	if !m.topo.mayServe(g.Target, r.ev) {
 		m.returnGrant(from, g, shard)
-		m.askAgain(r, g.Target)
+		m.replaceTickets(r, g.Target)
 		return
 	}
 	if m.isWithheld(g.Target) {
-		// The scheduler does not know yet, or is another one by now.
+		// The scheduler does not know of the notice yet, or the shard's scheduler has
+		// changed.
 		m.counters.GrantsWithheld++
 		if start := m.topo.decl.Targets[g.Target].Start; m.notices.IsLeaving(g.Target, start) {
-			m.tellLeaving(from, g.Target, start)
+			m.sendLeavingNotice(from, g.Target, start)
 		}
 		m.returnGrant(from, g, shard)
-		m.askAgain(r, g.Target)
+		m.replaceTickets(r, g.Target)
 		return
 	}
 	m.dispatch(r, from, g, shard)
@@ -92,44 +93,44 @@
 
 func (m *Machine) dispatch(r *request, from NodeID, g Grant, shard ShardID) {
 	m.entry.workspaces[r.ev.Workspace].grants++
-	m.cancelAsks(r, shard)
-	m.release(r)
+	m.cancelTickets(r, shard)
+	m.removeWaiting(r)
 	m.counters.Dispatches++
 	run := &run{
-		request:   r.ev.Request,
-		attempt:   r.ev.Attempt,
-		grant:     g,
-		shard:     shard,
-		workspace: r.ev.Workspace,
-		finger:    r.ev.Fingerprint,
-		work:      r.ev.Work,
-		started:   m.now,
+		request:     r.ev.Request,
+		attempt:     r.ev.Attempt,
+		grant:       g,
+		shard:       shard,
+		workspace:   r.ev.Workspace,
+		fingerprint: r.ev.Fingerprint,
+		work:        r.ev.Work,
+		startedAt:   m.now,
 
 		reportedTo: from,
-		told:       []NodeID{from},
+		toldNodes:  []NodeID{from},
 	}
 	m.entry.runs[g.ID] = run
-	m.entry.granted[run.request] = run
+	m.entry.latestRun[run.request] = run
 	m.timers.set(&run.timer, run, m.now+firstReportAfter)
 	m.emit(Dispatch{Request: r.ev.Request, Attempt: r.ev.Attempt, Grant: g.ID, Target: g.Target, Start: g.Start, Reads: g.Reads, FetchFrom: g.FetchFrom})
-	m.offerMore(shard)
+	m.offerWaiting(shard)
 }
 
-// offerMore sends waiting tickets to a shard with free slots, or one for the
-// ticket granted if its backlog runs low.
-func (m *Machine) offerMore(shard ShardID) {
+// offerWaiting sends waiting tickets to a shard with free slots, or one ticket in place of
+// the granted one if its backlog is short.
+func (m *Machine) offerWaiting(shard ShardID) {
 	h := m.freshHint(shard)
 	switch {
-	case h == nil || m.deep(shard):
+	case h == nil || m.hasDeepBacklog(shard):
 	case h.spare > 0:
 		delete(m.entry.hints, shard)
-		m.offer(shard, h.spare)
+		m.offerTickets(shard, h.spare)
 	default:
-		m.offer(shard, 1)
+		m.offerTickets(shard, 1)
 	}
 }
 
-// returnGrant gives back a grant that is not used.
+// returnGrant returns a grant that is not used.
 func (m *Machine) returnGrant(from NodeID, g Grant, shard ShardID) {
 	m.counters.GrantsReturned++
 	m.sendEnded(from, Report{
@@ -142,22 +143,22 @@
 	})
 }
 
-// askAgain asks for another grant after one for a target that this node's
+// replaceTickets requests another grant after one for a target that this node's
 // configuration version does not let the request use.
-func (m *Machine) askAgain(r *request, target string) {
-	m.cancelAsks(r, ShardID{})
+func (m *Machine) replaceTickets(r *request, target string) {
+	m.cancelTickets(r, ShardID{})
 	r.ev.Excluded = append(r.ev.Excluded[:len(r.ev.Excluded):len(r.ev.Excluded)], target)
-	r.ev.Excluded = m.withHeldOff(r.ev)
-	r.asks = nil
+	r.ev.Excluded = m.excludedTargets(r.ev)
+	r.tickets = nil
 	r.regions = m.topo.allowedRegions(r.ev)
 	r.shards = m.topo.candidates(r.ev, m.opts.DataCentre)
 	if len(r.shards) == 0 {
-		m.release(r)
+		m.removeWaiting(r)
 		m.refuseNoCandidate(r.ev)
 		return
 	}
 	m.newTicket(r)
-	m.ask(r, r.shards[0])
+	m.addTicket(r, r.shards[0])
 }
 
 func (m *Machine) runEnded(ev RunEnded) {
@@ -166,30 +167,31 @@
 	}
 }
 
-// endRun reports the end of a run to the shard's scheduler, and to the others
-// that may count it: one that is not told keeps the slot and goes on charging.
+// endRun reports the end of a run to the shard's scheduler, and to the others that may
+// count it: one that is not informed keeps the slot occupied and continues to charge for
+// it.
 func (m *Machine) endRun(run *run, outcome Outcome, service time.Duration) {
 	m.timers.stop(&run.timer)
 	delete(m.entry.runs, run.grant.ID)
-	if m.entry.granted[run.request] == run {
-		delete(m.entry.granted, run.request)
+	if m.entry.latestRun[run.request] == run {
+		delete(m.entry.latestRun, run.request)
 	}
 	report := run.report(m.now, PhaseEnded)
 	report.Outcome = outcome
 	report.Service = service
 	owner := m.owner(run.shard)
 	m.sendEnded(owner, report)
-	for _, node := range run.told {
+	for _, node := range run.toldNodes {
 		if node != owner && m.view.Alive(string(node)) {
 			m.sendEnded(node, report)
 		}
 	}
 }
 
-// tell notes that a node is told of the run.
-func (r *run) tell(node NodeID) {
-	if !slices.Contains(r.told, node) {
-		r.told = append(r.told, node)
+// addTold records that a node is informed of the run.
+func (r *run) addTold(node NodeID) {
+	if !slices.Contains(r.toldNodes, node) {
+		r.toldNodes = append(r.toldNodes, node)
 	}
 }
 
@@ -201,18 +203,18 @@
 		Workspace:   r.workspace,
 		Target:      r.grant.Target,
 		Phase:       phase,
-		Service:     now - r.started,
-		Fingerprint: r.finger,
+		Service:     now - r.startedAt,
+		Fingerprint: r.fingerprint,
 	}
 }
 
-// sendEnded sends the end of a run until it is acknowledged.
+// sendEnded sends the end of a run repeatedly until it is acknowledged.
 func (m *Machine) sendEnded(to NodeID, report Report) {
 	key := endedKey{report.Grant, to}
 	if m.entry.ended[key] != nil {
 		return
 	}
-	e := &endedRun{report: report, to: to, until: m.now + endedKept}
+	e := &endedRun{report: report, to: to, until: m.now + endedRetention}
 	m.entry.ended[key] = e
 	m.timers.set(&e.timer, e, m.now+resendEvery)
 	m.send(to, report)
@@ -226,7 +228,7 @@
 	}
 }
 
-// fire implements timed: the report was not acknowledged.
+// fire implements timerOwner: the report was not acknowledged.
 func (e *endedRun) fire(m *Machine) {
 	key := endedKey{e.report.Grant, e.to}
 	if m.now >= e.until {
@@ -238,27 +240,27 @@
 	m.send(e.to, e.report)
 }
 
-// fire implements timed: the run is reported as going on.
+// fire implements timerOwner: the run is reported as running.
 func (r *run) fire(m *Machine) {
 	if m.owner(r.shard) != r.reportedTo {
-		m.describeRun(r)
+		m.reportRunInFull(r)
 		return
 	}
 	m.reportRunning(r, r.report(m.now, PhaseRunning))
 }
 
-// describeRun reports a run to a scheduler that may not know it, with what the
-// scheduler needs to count it as if it had granted it. One that counted only the slot
-// took engines with half a second to read for idle, and filled them.
-func (m *Machine) describeRun(r *run) {
+// reportRunInFull reports a run to a scheduler that may not know it, with all that the
+// scheduler needs to count it as if it had granted it. When only the slot was counted,
+// engines with half a second of prompts to read appeared idle and were overfilled.
+func (m *Machine) reportRunInFull(r *run) {
 	report := r.report(m.now, PhaseRunning)
 	report.Work, report.Reads, report.Began = r.work, r.grant.Reads, r.began
 	m.reportRunning(r, report)
 }
 
 func (m *Machine) reportRunning(r *run, report Report) {
-	m.timers.set(&r.timer, r, m.now+reportEvery)
+	m.timers.set(&r.timer, r, m.now+reportInterval)
 	r.reportedTo = m.owner(r.shard)
-	r.tell(r.reportedTo)
+	r.addTold(r.reportedTo)
 	m.send(r.reportedTo, report)
 }
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -10,46 +10,45 @@
 const (
 	// ticketLease is how long a waiting ticket is kept without being sent again.
 	ticketLease = 3*refreshEvery + time.Second
-	// tellAfter is how long a quiet ticket waits before its entry is told. It
-	// is well below resendEvery.
-	tellAfter = 300 * time.Millisecond
-	// cancelledKept is how long a withdrawn ticket is remembered, in case the
-	// ticket itself comes later.
-	cancelledKept = time.Second
-	// finishedKept is how long an ended grant and its ticket are remembered.
-	finishedKept = 10 * time.Second
-	// guestKept is how long a shard without work is kept that another node
-	// owns.
-	guestKept = 5 * time.Second
-	// watchAfter is how long a shard has to be owned before its targets' load is watched.
-	// A node that starts owns every shard until it has heard of the others, and would
+	// quietNoticeDelay is how long a quiet ticket waits before its entry is told. It is
+	// well below resendEvery.
+	quietNoticeDelay = 300 * time.Millisecond
+	// cancelledRetention is how long a withdrawn ticket is remembered, in case the ticket
+	// itself arrives later.
+	cancelledRetention = time.Second
+	// finishedRetention is how long an ended grant and its ticket are remembered.
+	finishedRetention = 10 * time.Second
+	// unownedRetention is how long a shard that another node owns is kept without work.
+	unownedRetention = 5 * time.Second
+	// watchDelay is how long a shard has to be owned before its targets' load is polled. A
+	// node that starts owns every shard until it has heard from the others, and would
 	// otherwise poll every target of the fleet.
-	watchAfter = 500 * time.Millisecond
+	watchDelay = 500 * time.Millisecond
 )
 
-// scheduler holds the shards scheduled here. A node schedules the shards that
-// it owns in its own view, and any other that tickets come for: the entry that
-// sent them sees the fleet differently and has found no better scheduler.
+// scheduler holds the shards scheduled here. A node schedules the shards that it owns in
+// its own view, and any other shard for which tickets arrive: the entry that sent them has
+// a different view of the fleet and found no better scheduler.
 type scheduler struct {
 	shards map[ShardID]*shard
 	grants map[GrantID]*grant
-	// byNode holds the grants by the entry node that holds them.
+	// byNode holds the grants by the entry node that received them.
 	byNode     map[NodeID]map[GrantID]*grant
 	workspaces map[string]*workspace
-	finished   remembered
-	nextSeq    uint64
-	// turnedAway holds the fingerprints of requests refused for want of capacity.
-	turnedAway remembered
-	// candidates is used by each placement again; see Machine.candidates.
-	candidates []candidate
-	// watched is the last set given with WatchTargets; watchStale says that it may be
-	// wrong, and is looked at again from watchAt on.
-	watched    []string
-	watchStale bool
-	watchAt    Instant
+	finished   expiringSet
+	lastSeq    uint64
+	// refusedFingerprints holds the fingerprints of requests refused for lack of capacity.
+	refusedFingerprints expiringSet
+	// candidateBuffer is reused by each placement; see Machine.listCandidates.
+	candidateBuffer []candidate
+	// watchedTargets is the last set emitted with WatchTargets; watchStale reports that it
+	// may be outdated, to be checked from watchCheckAt on.
+	watchedTargets []string
+	watchStale     bool
+	watchCheckAt   Instant
 }
 
-// ticketKey finds a ticket at one shard.
+// ticketKey identifies a ticket at one shard.
 type ticketKey struct {
 	ticket TicketID
 	shard  ShardID
@@ -57,12 +56,12 @@
 
 func newScheduler() scheduler {
 	return scheduler{
-		shards:     make(map[ShardID]*shard),
-		grants:     make(map[GrantID]*grant),
-		byNode:     make(map[NodeID]map[GrantID]*grant),
-		workspaces: make(map[string]*workspace),
-		finished:   newRemembered(),
-		turnedAway: newRemembered(),
+		shards:              make(map[ShardID]*shard),
+		grants:              make(map[GrantID]*grant),
+		byNode:              make(map[NodeID]map[GrantID]*grant),
+		workspaces:          make(map[string]*workspace),
+		finished:            newExpiringSet(),
+		refusedFingerprints: newExpiringSet(),
 	}
 }
 
@@ -71,24 +70,24 @@
 		return
 	}
 	next := newTopology(ev.Snapshot)
-	m.noteVanished(next)
-	m.noteColdTargets(next)
+	m.detectVanishedTargets(next)
+	m.updateColdTargets(next)
 	m.pruneNotices(next)
 	m.topo = next
 	for _, name := range sortedKeys(m.sched.workspaces) {
-		m.sched.workspaces[name].follow(m)
+		m.sched.workspaces[name].applyConfig(m)
 	}
 	clear(m.fleet.owners)
 	m.reassign()
 	for _, s := range m.sched.sortedShards() {
 		m.declareTargets(s)
 	}
-	m.retarget()
-	m.beatNow()
+	m.updateCandidates()
+	m.sendHeartbeats()
 }
 
-// reassign creates the shards that this node owns and lets the others go once
-// they have no work.
+// reassign creates the shards that this node owns and releases the others once they have no
+// work.
 func (m *Machine) reassign() {
 	if m.topo == nil {
 		return
@@ -96,16 +95,16 @@
 	for _, pool := range sortedKeys(m.topo.pools) {
 		for _, id := range m.topo.pools[pool] {
 			if m.owner(id) == m.opts.Node && m.mayScheduleHere() {
-				m.own(m.shardHere(id))
+				m.markOwned(m.ensureShard(id))
 			} else if s := m.sched.shards[id]; s != nil {
-				m.disown(s)
+				m.markUnowned(s)
 			}
 		}
 	}
 }
 
-// own notes that this node owns a shard.
-func (m *Machine) own(s *shard) {
+// markOwned records that this node owns a shard.
+func (m *Machine) markOwned(s *shard) {
 	if s.owned {
 		return
 	}
@@ -116,29 +115,29 @@
 	}
 }
 
-// disown notes that another node owns a shard.
-func (m *Machine) disown(s *shard) {
+// markUnowned records that another node owns a shard.
+func (m *Machine) markUnowned(s *shard) {
 	if s.owned {
 		s.owned = false
 		m.sched.watchStale = true
 	}
-	m.settleShard(s)
+	m.noteIfIdle(s)
 }
 
-// mayScheduleHere is false once this node drains and another can take over.
+// mayScheduleHere returns false once this node drains and another can take over.
 func (m *Machine) mayScheduleHere() bool {
 	return !m.draining || m.opts.Policy == PolicyAlone || m.view.Others() == 0
 }
 
-// shardHere returns the shard's queue at this node and makes one if needed.
-func (m *Machine) shardHere(id ShardID) *shard {
+// ensureShard returns the shard's queue at this node and creates it if needed.
+func (m *Machine) ensureShard(id ShardID) *shard {
 	s := m.sched.shards[id]
 	if s != nil {
 		return s
 	}
 	s = newShard(m.now, id)
 	s.queue.Pending = func(workspace string) float64 {
-		return m.sched.workspaces[workspace].entry.Pending()
+		return m.sched.workspaces[workspace].account.Pending()
 	}
 	m.sched.shards[id] = s
 	m.declareTargets(s)
@@ -146,37 +145,38 @@
 	return s
 }
 
-// dropShards forgets every queue and grant: others take over, or have done so.
+// dropShards removes every queue and grant: other nodes take over, or have done so.
 func (m *Machine) dropShards() {
 	for _, g := range m.sched.sortedGrants() {
-		m.settle(g, g.used(m.now, g.seen-g.granted))
+		m.settleGrant(g, g.usedTime(m.now, g.reportedAt-g.grantedAt))
 	}
 	for _, s := range m.sched.sortedShards() {
 		m.dropShard(s)
 	}
 	for _, w := range m.sched.workspaces {
-		w.entry.Unlearn()
+		w.account.Unlearn()
 	}
 }
 
 func (m *Machine) dropShard(s *shard) {
 	for _, t := range s.sortedTickets() {
-		m.unqueue(t)
+		m.removeTicket(t)
 	}
 	for _, t := range s.targets {
 		m.timers.stop(&t.timer)
 	}
 	m.timers.stop(&s.timer)
-	for name := range s.flows {
+	for name := range s.queuedWorkspaces {
 		delete(m.sched.workspaces[name].flows, s.id)
 	}
 	delete(m.sched.shards, s.id)
 	m.sched.watchStale = true
 }
 
-// flushWatch tells the shell which targets' load to poll.
-func (m *Machine) flushWatch() {
-	if !m.sched.watchStale || m.now < m.sched.watchAt {
+// updateWatchedTargets emits the set of targets whose load this node polls, if it has
+// changed.
+func (m *Machine) updateWatchedTargets() {
+	if !m.sched.watchStale || m.now < m.sched.watchCheckAt {
 		return
 	}
 	m.sched.watchStale = false
@@ -185,8 +185,8 @@
 		if !s.owned {
 			continue
 		}
-		if from := s.ownedAt + watchAfter; m.now < from {
-			m.sched.watchStale, m.sched.watchAt = true, from
+		if from := s.ownedAt + watchDelay; m.now < from {
+			m.sched.watchStale, m.sched.watchCheckAt = true, from
 			continue
 		}
 		for _, t := range s.targets {
@@ -194,10 +194,10 @@
 		}
 	}
 	slices.Sort(names)
-	if slices.Equal(names, m.sched.watched) {
+	if slices.Equal(names, m.sched.watchedTargets) {
 		return
 	}
-	m.sched.watched = names
+	m.sched.watchedTargets = names
 	m.emit(WatchTargets{Targets: slices.Clone(names)})
 }
 
@@ -213,7 +213,7 @@
 	if m.sched.finished.has(m.now, key) {
 		return
 	}
-	s := m.shardHere(t.Shard)
+	s := m.ensureShard(t.Shard)
 	if g := s.granted[t.ID]; g != nil {
 		g.from = from
 		m.sendGrant(g)
@@ -227,35 +227,35 @@
 	m.enqueue(s, from, t)
 }
 
-// enqueue puts a ticket in the queue and grants what can be granted.
+// enqueue puts a ticket in the queue and makes the grants that are now possible.
 func (m *Machine) enqueue(s *shard, from NodeID, t Ticket) {
 	class := m.classOf(s, t, rankShare)
-	if refusal, refused := m.refusal(s, t, class); refused {
+	if refusal, refused := m.immediateRefusal(s, t, class); refused {
 		m.send(from, refusal)
-		m.settleShard(s)
+		m.noteIfIdle(s)
 		return
 	}
-	q := &queuedTicket{shard: s, from: from, ticket: t, deadline: m.now + t.TimeLeft, latest: never}
+	q := &queuedTicket{shard: s, from: from, ticket: t, deadline: m.now + t.TimeLeft, waitUntil: never}
 	if m.countsTokens(s) {
-		m.describeWork(q)
+		m.classifyTicket(q)
 		class = m.classOf(s, t, q.rank)
 	} else {
-		m.boundWait(q)
+		m.setWaitLimits(q)
 	}
 	s.queued[t.ID] = q
-	w := m.workspaceHere(t.Workspace)
-	m.push(q, w, class)
+	w := m.activeWorkspace(t.Workspace)
+	m.pushTicket(q, w, class)
 	w.waiting++
 	q.refresh(m, from, t)
-	if m.now >= q.latest {
+	if m.now >= q.waitUntil {
 		m.refuseOverloaded(q)
 		return
 	}
-	m.grantAll(s)
+	m.grantWaiting(s)
 	if s.queued[t.ID] != nil {
 		m.counters.TicketsQueued++
 		if t.Quiet {
-			q.tellAt = m.now + tellAfter
+			q.noticeAt = m.now + quietNoticeDelay
 			q.arm(m)
 			return
 		}
@@ -263,16 +263,16 @@
 	}
 }
 
-// refusal says whether a ticket has no prospect of a grant.
-func (m *Machine) refusal(s *shard, t Ticket, c *class) (Refusal, bool) {
+// immediateRefusal returns a refusal and true if a ticket has no prospect of a grant.
+func (m *Machine) immediateRefusal(s *shard, t Ticket, c *class) (Refusal, bool) {
 	f := Refusal{Ticket: t.ID, Shard: t.Shard}
 	switch {
 	case t.TimeLeft <= 0:
 		f.Code = result.DeadlineBeforeGrant
-	case m.convicted(t.Fingerprint):
+	case m.isConvicted(t.Fingerprint):
 		f.Code = result.Quarantined
-	case m.hopeless(s, c):
-		f.Code = m.hopelessCode(s, c)
+	case m.classUnservable(s, c):
+		f.Code = m.unservableCode(s, c)
 		f.RetryAfter = m.jitter(2 * minRetryAfter)
 	default:
 		return f, false
@@ -281,29 +281,29 @@
 }
 
 func (m *Machine) sendWaiting(q *queuedTicket) {
-	q.tellAt = 0
+	q.noticeAt = 0
 	m.send(q.from, Waiting{Ticket: q.ticket.ID, Shard: q.shard.id, Ahead: q.shard.queue.Len() - 1})
 }
 
 func (m *Machine) cancelReceived(c CancelTicket) {
-	m.sched.finished.add(m.now, ticketKey{c.Ticket, c.Shard}, cancelledKept)
+	m.sched.finished.add(m.now, ticketKey{c.Ticket, c.Shard}, cancelledRetention)
 	s := m.sched.shards[c.Shard]
 	if s == nil {
 		return
 	}
 	if q := s.queued[c.Ticket]; q != nil {
-		// Most often another shard of the pool has granted it.
+		// Usually because another shard of the pool has granted it.
 		s.queue.Withdraw(m.now, q.item)
-		m.forgetTicket(q)
-		m.settleShard(s)
+		m.releaseTicket(q)
+		m.noteIfIdle(s)
 	}
 }
 
-// dropLost removes the tickets of entry nodes that cannot be reached, so that
-// no slot is granted to them, and counts their runs as load of unknown origin:
-// the target's reports tell how much of it goes on. A live entry sends its
-// tickets and running reports again.
-func (m *Machine) dropLost() {
+// dropUnreachable removes the tickets of entry nodes that are unreachable, so that no slot
+// is granted to them, and counts their runs as load of unknown origin: the target's load
+// reports show how much of it continues. A live entry sends its tickets and running reports
+// again.
+func (m *Machine) dropUnreachable() {
 	for _, node := range sortedKeys(m.sched.byNode) {
 		if node != m.opts.Node && !m.view.Reachable(string(node)) {
 			m.disownNode(node)
@@ -316,10 +316,10 @@
 		for _, q := range s.sortedTickets() {
 			if q.from != m.opts.Node && !m.view.Reachable(string(q.from)) {
 				m.counters.TicketsLapsed++
-				m.unqueue(q)
+				m.removeTicket(q)
 			}
 		}
-		m.settleShard(s)
+		m.noteIfIdle(s)
 	}
 }
 
@@ -328,28 +328,28 @@
 	for _, s := range m.sched.sortedShards() {
 		for _, q := range s.sortedTickets() {
 			if q.ticket.ID.Node == node && q.ticket.ID.Incarnation != current {
-				m.unqueue(q)
+				m.removeTicket(q)
 			}
 		}
 	}
 }
 
-// unqueue removes a ticket that gets no grant.
-func (m *Machine) unqueue(q *queuedTicket) {
+// removeTicket removes a ticket that gets no grant from the queue.
+func (m *Machine) removeTicket(q *queuedTicket) {
 	q.shard.queue.Remove(m.now, q.item)
-	m.forgetTicket(q)
+	m.releaseTicket(q)
 }
 
-// forgetTicket removes a ticket that has left the queue.
-func (m *Machine) forgetTicket(q *queuedTicket) {
+// releaseTicket removes the state of a ticket that has left the queue.
+func (m *Machine) releaseTicket(q *queuedTicket) {
 	m.timers.stop(&q.timer)
 	delete(q.shard.queued, q.ticket.ID)
-	if q.fromShare > 0 {
-		q.shard.shares.Return(m.now, q.ticket.Workspace, q.fromShare)
+	if q.shareTaken > 0 {
+		q.shard.shares.Return(m.now, q.ticket.Workspace, q.shareTaken)
 	}
 	if q.rank == rankDeferred {
 		q.shard.deferral.waiting--
 	}
 	q.workspace.waiting--
-	q.workspace.waitedAt = m.now
+	q.workspace.lastWaitingAt = m.now
 }
--- a/control/shard.go
+++ b/control/shard.go
@@ -11,50 +11,51 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// classesKept is how many classes a shard may have before unused ones go.
-const classesKept = 32
+// classPruneThreshold is the number of classes of a shard above which unused ones are
+// removed.
+const classPruneThreshold = 32
 
-// shard is the queue of one shard at its scheduler.
+// shard is the queue of a shard at its scheduler, with its targets and grants.
 type shard struct {
 	id ShardID
-	// owned says that this node owns the shard in its own view.
+	// owned reports that this node owns the shard in its own view.
 	owned bool
-	// ownedAt is since when.
+	// ownedAt is when the ownership began.
 	ownedAt Instant
-	// local bounds what is granted here while another node owns the shard.
-	local   localLimit
-	idleAt  Instant
-	queue   *sched.Queue[*queuedTicket]
-	queued  map[TicketID]*queuedTicket
-	granted map[TicketID]*grant
-	// flows names the workspaces that the queue remembers.
-	flows map[string]bool
-	// targets are those declared, in order of name.
-	targets []*target
-	byName  map[string]*target
-	classes map[string]*class
+	// localLimit bounds what is granted here while another node owns the shard.
+	localLimit localLimit
+	idleSince  Instant
+	queue      *sched.Queue[*queuedTicket]
+	queued     map[TicketID]*queuedTicket
+	granted    map[TicketID]*grant
+	// queuedWorkspaces names the workspaces that have a flow in the queue.
+	queuedWorkspaces map[string]bool
+	// targets are the declared targets, in order of name.
+	targets       []*target
+	targetsByName map[string]*target
+	classes       map[string]*class
 	// shares are the workspaces' shares of a pool that counts in tokens.
 	shares *sched.Shares
-	// reading is how its targets read prompts; nil for other pools.
+	// reading models how fast its targets read prompts; nil for other pools.
 	reading *sched.Reading
-	// nextGap is when a gap between workspaces is next looked for.
-	nextGap Instant
-	// deferral follows the requests that waited for too long; of pools that count in slots.
+	// nextGapAt is when the shard is next checked for a gap between workspaces.
+	nextGapAt Instant
+	// deferral tracks the requests that waited for too long; for pools that count in slots.
 	deferral deferral
 	timer    timer
 }
 
-// class is a set of targets that may run a ticket: what its workspace may
-// reach without what it excludes.
+// class is a set of targets that may run a ticket: those that its workspace may use,
+// without those that it excludes.
 type class struct {
 	name string
-	// workspace is given if the class is narrowed for it.
+	// workspace is set if the class is restricted to the targets of one workspace.
 	workspace string
 	excluded  []string
 	regions   config.AllowedRegions
-	// suspect says that a target that runs a suspect must not be used.
+	// suspect reports that targets that run a suspect request must not be used.
 	suspect bool
-	// rank is that of its tickets: it says how much of the capacity they may use.
+	// rank is the rank of its tickets, which sets how much of the capacity they may use.
 	rank    rank
 	targets []*target
 }
@@ -67,48 +68,50 @@
 	workspace *workspace
 	item      *sched.Item[*queuedTicket]
 	class     string
-	// task and objective are set for targets that count in tokens: the work, and
-	// when the answer should have begun, zero for no such time.
+	// task and objective are set for targets that count in tokens: the work, and when the
+	// answer should have begun; objective is zero if there is none.
 	task      sched.EngineTask
 	objective Instant
-	// rank says whom it goes before, and fromShare what the ticket took of its workspace's share;
-	// zero once it is granted.
-	rank      rank
-	fromShare float64
-	// latest is when waiting longer is in vain; see Machine.latestStart and boundWait.
-	latest Instant
-	// lastStart is when a run could no longer end before the deadline; for pools that
-	// count in slots.
-	lastStart Instant
-	// servedSeen is how many deferred requests were served when a deferred one was looked at.
-	servedSeen int
-	deadline   Instant
-	lease      Instant
-	// tellAt is when the entry is told that the ticket waits; zero if it was.
-	tellAt Instant
-	timer  timer
+	// rank is the ticket's precedence, and shareTaken the amount that it took of its
+	// workspace's share; zero once it is granted.
+	rank       rank
+	shareTaken float64
+	// waitUntil is when waiting longer becomes useless; see Machine.latestUsefulStart and
+	// setWaitLimits.
+	waitUntil Instant
+	// latestStart is the time after which a run could not end before the deadline; for
+	// pools that count in slots.
+	latestStart Instant
+	// deferredServedSeen is the number of deferred requests served when a deferred ticket
+	// was last checked.
+	deferredServedSeen int
+	deadline           Instant
+	leaseUntil         Instant
+	// noticeAt is when the entry is told that the ticket waits; zero if it has been told.
+	noticeAt Instant
+	timer    timer
 }
 
 func newShard(now Instant, id ShardID) *shard {
 	return &shard{
-		id:      id,
-		idleAt:  now,
-		queue:   sched.NewQueue[*queuedTicket](),
-		queued:  make(map[TicketID]*queuedTicket),
-		granted: make(map[TicketID]*grant),
-		flows:   make(map[string]bool),
-		byName:  make(map[string]*target),
-		classes: make(map[string]*class),
-		shares:  sched.NewShares(0),
+		id:               id,
+		idleSince:        now,
+		queue:            sched.NewQueue[*queuedTicket](),
+		queued:           make(map[TicketID]*queuedTicket),
+		granted:          make(map[TicketID]*grant),
+		queuedWorkspaces: make(map[string]bool),
+		targetsByName:    make(map[string]*target),
+		classes:          make(map[string]*class),
+		shares:           sched.NewShares(0),
 	}
 }
 
-// declareTargets follows the configuration: targets that stay keep what was
-// learned of them.
+// declareTargets applies the configuration; targets that stay keep what was learned about
+// them.
 func (m *Machine) declareTargets(s *shard) {
 	clear(s.classes)
 	if tokens := m.topo.decl.Pools[s.id.Pool].Tokens; tokens != nil {
-		s.shares.Declare(tokens.PerSecond * nominalToken.Seconds())
+		s.shares.Declare(tokens.PerSecond * servicePerToken.Seconds())
 		m.declareReading(s, tokens.PerSecond)
 	}
 	var names []string
@@ -118,26 +121,26 @@
 	kept := make(map[string]*target, len(names))
 	s.targets = s.targets[:0]
 	for _, name := range names {
-		t := s.byName[name]
-		if t == nil || t.startedAnew(m.topo.decl.Targets[name]) {
+		t := s.targetsByName[name]
+		if t == nil || t.isNewStart(m.topo.decl.Targets[name]) {
 			t = newTarget(m.now, s, name)
 		}
 		m.declareTarget(t)
 		kept[name] = t
 		s.targets = append(s.targets, t)
 	}
-	for name, t := range s.byName {
+	for name, t := range s.targetsByName {
 		if kept[name] != t {
 			m.timers.stop(&t.timer)
 		}
 	}
-	s.byName = kept
+	s.targetsByName = kept
 	m.sched.watchStale = true
-	m.refuseHopeless(s)
-	m.grantAll(s)
+	m.refuseUnservable(s)
+	m.grantWaiting(s)
 }
 
-// declareTarget sets what the configuration says of a target.
+// declareTarget applies a target's declaration.
 func (m *Machine) declareTarget(t *target) {
 	decl := m.topo.decl.Targets[t.name]
 	t.declare(decl)
@@ -150,8 +153,8 @@
 	}
 }
 
-// renewTarget forgets what was learned of a target, as it told by itself that it has
-// started anew: its declaration may say so only later.
+// renewTarget discards what was learned about a target that reported a new start itself;
+// its declaration may follow later.
 func (m *Machine) renewTarget(old *target, start int64) *target {
 	m.timers.stop(&old.timer)
 	t := newTarget(m.now, old.shard, old.name)
@@ -159,22 +162,23 @@
 	m.extendCold(t.name, coldStartDuration(m.topo.decl.Pools[t.shard.id.Pool]))
 	m.declareTarget(t)
 	s := old.shard
-	s.byName[t.name] = t
+	s.targetsByName[t.name] = t
 	s.targets[slices.Index(s.targets, old)] = t
 	clear(s.classes)
 	return t
 }
 
 // classOf returns the class of a ticket.
-func (m *Machine) classOf(s *shard, t Ticket, of rank) *class {
+func (m *Machine) classOf(s *shard, t Ticket, r rank) *class {
 	name, only := "", ""
 	ws, known := m.topo.decl.Workspaces[t.Workspace]
 	if known && (len(ws.Targets) > 0 || !slices.Contains(ws.Pools, s.id.Pool)) {
 		only = t.Workspace
 	}
-	// A crashed engine ran some tens of requests. To keep all of them apart would
-	// leave the other engines idle; what crashes a second one is convicted anyway.
-	suspect := m.suspect(t.Fingerprint) && !m.countsTokens(s)
+	// A crashed engine ran some tens of requests. Keeping all of them on separate targets
+	// would leave the other engines idle; a request that crashes a second one is convicted
+	// anyway.
+	suspect := m.isSuspect(t.Fingerprint) && !m.countsTokens(s)
 	if only != "" || len(t.Excluded) > 0 || suspect {
 		name = only + "\x00" + strings.Join(t.Excluded, "\x00")
 	}
@@ -184,12 +188,12 @@
 	if t.AllowedRegions.Restricted {
 		name += "\x00\x00homes\x00" + strings.Join(t.AllowedRegions.Regions, "\x00")
 	}
-	if of != rankShare {
-		name += "\x00\x00" + of.String()
+	if r != rankShare {
+		name += "\x00\x00" + r.String()
 	}
 	c := s.classes[name]
 	if c == nil {
-		c = &class{name: name, workspace: only, excluded: t.Excluded, regions: t.AllowedRegions, suspect: suspect, rank: of}
+		c = &class{name: name, workspace: only, excluded: t.Excluded, regions: t.AllowedRegions, suspect: suspect, rank: r}
 		s.classes[name] = c
 		m.fillClass(s, c)
 	}
@@ -207,93 +211,93 @@
 	}
 }
 
-// hopeless says that no target of the class can be expected to serve. A shard
-// that this node's configuration does not know yet is not hopeless.
-func (m *Machine) hopeless(s *shard, c *class) bool {
+// classUnservable reports whether no target of the class can be expected to serve soon.
+// Targets of a shard that this node's configuration does not contain yet may serve.
+func (m *Machine) classUnservable(s *shard, c *class) bool {
 	if m.topo.shards[s.id] == nil {
 		return false
 	}
 	for _, t := range c.targets {
-		if !t.hopeless(m.now) {
+		if !t.isUnservable(m.now) {
 			return false
 		}
 	}
 	return true
 }
 
-// hopelessCode returns the result code for the tickets of a hopeless class.
-func (m *Machine) hopelessCode(s *shard, c *class) result.Code {
+// unservableCode returns the result code for the tickets of an unservable class.
+func (m *Machine) unservableCode(s *shard, c *class) result.Code {
 	if slices.ContainsFunc(c.targets, func(t *target) bool { return t.evacuated && !t.leaving }) {
 		return result.TargetsEvacuated
 	}
 	for _, name := range c.excluded {
-		if t := s.byName[name]; t != nil && !t.hopeless(m.now) {
+		if t := s.targetsByName[name]; t != nil && !t.isUnservable(m.now) {
 			return result.TargetsUnavailable
 		}
 	}
 	return result.NoTarget
 }
 
-// refuseHopeless refuses the tickets that no target can be expected to serve.
-func (m *Machine) refuseHopeless(s *shard) {
+// refuseUnservable refuses the tickets that no target can be expected to serve.
+func (m *Machine) refuseUnservable(s *shard) {
 	if s.queue.Len() == 0 {
 		return
 	}
 	for _, q := range s.sortedTickets() {
 		c := m.classOf(s, q.ticket, q.rank)
-		if refusal, refused := m.refusal(s, q.ticket, c); refused {
-			m.unqueue(q)
+		if refusal, refused := m.immediateRefusal(s, q.ticket, c); refused {
+			m.removeTicket(q)
 			m.counters.TicketsHopeless++
 			m.send(q.from, refusal)
 		}
 	}
 }
 
-// push puts a ticket in the queue of its workspace.
-func (m *Machine) push(q *queuedTicket, w *workspace, c *class) {
+// pushTicket puts a ticket in the queue of its workspace.
+func (m *Machine) pushTicket(q *queuedTicket, w *workspace, c *class) {
 	q.workspace = w
 	q.class = c.name
-	wakes := w.flows[q.shard.id] == nil || w.flows[q.shard.id].Waiting() == 0
-	flow, item := q.shard.queue.PushWithCredit(m.now, w.name, c.name, w.entry.Total(), m.creditOf(w), q)
+	firstWaiting := w.flows[q.shard.id] == nil || w.flows[q.shard.id].Waiting() == 0
+	flow, item := q.shard.queue.PushWithCredit(m.now, w.name, c.name, w.account.Total(), m.startCredit(w), q)
 	q.item = item
-	q.shard.flows[w.name] = true
+	q.shard.queuedWorkspaces[w.name] = true
 	w.flows[q.shard.id] = flow
-	if wakes {
-		m.settleLift(w, flow)
+	if firstWaiting {
+		m.commitLift(w, flow)
 	}
 	m.armShard(q.shard)
 }
 
-// refresh takes in that the entry still waits for the ticket.
+// refresh records that the entry still waits for the ticket.
 func (q *queuedTicket) refresh(m *Machine, from NodeID, t Ticket) {
 	q.from = from
 	q.deadline = m.now + t.TimeLeft
-	q.lease = m.now + ticketLease
+	q.leaseUntil = m.now + ticketLease
 	q.arm(m)
 }
 
-// arm sets the ticket's timer to the next thing to do.
+// arm sets the ticket's timer to the next time at which it needs attention.
 func (q *queuedTicket) arm(m *Machine) {
-	at := min(q.deadline, q.lease, q.latest)
-	if q.tellAt > 0 {
-		at = min(at, q.tellAt)
+	at := min(q.deadline, q.leaseUntil, q.waitUntil)
+	if q.noticeAt > 0 {
+		at = min(at, q.noticeAt)
 	}
 	m.timers.set(&q.timer, q, at)
 }
 
-// fire implements timed: the entry of a quiet ticket is to be told, the
-// ticket's deadline has come, or its entry is gone.
+// fire implements timerOwner: the entry of a quiet ticket is to be told, the ticket's
+// deadline has passed, or its entry no longer refreshes it.
 func (q *queuedTicket) fire(m *Machine) {
-	if m.now >= q.latest && m.now < q.deadline {
+	if m.now >= q.waitUntil && m.now < q.deadline {
 		m.waitExpired(q)
 		return
 	}
-	if m.now < min(q.deadline, q.lease) {
+	if m.now < min(q.deadline, q.leaseUntil) {
 		m.sendWaiting(q)
 		q.arm(m)
 		return
 	}
-	m.unqueue(q)
+	m.removeTicket(q)
 	if m.now >= q.deadline {
 		m.send(q.from, Refusal{Ticket: q.ticket.ID, Shard: q.shard.id, Code: result.DeadlineBeforeGrant})
 		return
@@ -301,11 +305,11 @@
 	m.counters.TicketsLapsed++
 }
 
-// armShard sets the shard's timer to the next thing to do.
+// armShard sets the shard's timer to the next time at which it needs attention.
 func (m *Machine) armShard(s *shard) {
 	at, ok := s.queue.NextTick()
-	if !s.owned && s.empty() && (!ok || at > s.idleAt+guestKept) {
-		at, ok = s.idleAt+guestKept, true
+	if !s.owned && s.isEmpty() && (!ok || at > s.idleSince+unownedRetention) {
+		at, ok = s.idleSince+unownedRetention, true
 	}
 	if !ok {
 		m.timers.stop(&s.timer)
@@ -314,24 +318,24 @@
 	m.timers.set(&s.timer, s, max(at, m.now+time.Millisecond))
 }
 
-// fire implements timed: the queue has something to do, or the shard may go.
+// fire implements timerOwner: the queue has work to do, or the shard may be removed.
 func (s *shard) fire(m *Machine) {
 	for _, name := range s.queue.Tick(m.now) {
-		delete(s.flows, name)
+		delete(s.queuedWorkspaces, name)
 		delete(m.sched.workspaces[name].flows, s.id)
 	}
-	s.dropClasses()
-	if !s.owned && s.empty() && m.now >= s.idleAt+guestKept {
+	s.pruneClasses()
+	if !s.owned && s.isEmpty() && m.now >= s.idleSince+unownedRetention {
 		m.dropShard(s)
 		return
 	}
-	m.grantAll(s)
+	m.grantWaiting(s)
 	m.armShard(s)
 }
 
-// dropClasses forgets the classes that nothing waits in.
-func (s *shard) dropClasses() {
-	if len(s.classes) <= classesKept {
+// pruneClasses removes the classes without waiting tickets once there are many.
+func (s *shard) pruneClasses() {
+	if len(s.classes) <= classPruneThreshold {
 		return
 	}
 	for name := range s.classes {
@@ -341,12 +345,12 @@
 	}
 }
 
-func (s *shard) empty() bool { return len(s.queued) == 0 && len(s.granted) == 0 }
+func (s *shard) isEmpty() bool { return len(s.queued) == 0 && len(s.granted) == 0 }
 
-// settleShard notes since when a shard has no work.
-func (m *Machine) settleShard(s *shard) {
-	if s.empty() {
-		s.idleAt = m.now
+// noteIfIdle records the time at which a shard has no work left.
+func (m *Machine) noteIfIdle(s *shard) {
+	if s.isEmpty() {
+		s.idleSince = m.now
 		m.armShard(s)
 	}
 }
--- a/control/slots.go
+++ b/control/slots.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// Targets admit in the order of arrival, so a grant beyond a target's slots
-// waits there until a run ends. The news of two ends one after the other
-// delimit what the slot was used for in between, whatever the run's size: what
-// entries measure includes the wait and the way there and back.
+// Targets admit requests in the order of arrival, so a grant beyond a target's slots waits
+// there until a run ends. The reports of two consecutive ends delimit the use of the slot
+// in between, whatever the size of the run: the time that entries measure includes the wait
+// and the round trip.
 
-// take counts a new grant in a slot of the target, or behind the others.
-func (t *target) take(now Instant, g *grant) {
+// addGrant counts a new grant in a slot of the target, or as waiting behind the others.
+func (t *target) addGrant(now Instant, g *grant) {
 	if t.window.Out() > t.window.Slots() {
-		g.behind = true
-		t.behind = append(t.behind, g)
+		g.waitsInTarget = true
+		t.waitingGrants = append(t.waitingGrants, g)
 		return
 	}
-	g.start(now)
+	g.startSlotTime(now)
 }
 
-// start counts the grant's slot time from now on.
-func (g *grant) start(now Instant) {
-	g.behind = false
-	g.started = now
-	g.workspace.entry.Start()
+// startSlotTime counts the grant's slot time from now on.
+func (g *grant) startSlotTime(now Instant) {
+	g.waitsInTarget = false
+	g.startedAt = now
+	g.workspace.account.Start()
 }
 
-// free settles a grant that used its slot for the given time. The first grant
-// behind gets the slot; it is returned, or nil if there is none.
-func (t *target) free(now Instant, g *grant, used time.Duration) *grant {
-	if g.behind {
-		t.behind = slices.DeleteFunc(t.behind, func(other *grant) bool { return other == g })
-		g.start(now) // it ran before the news of another's end came
-		g.workspace.entry.End(used)
+// releaseSlot settles a grant that used its slot for the given time. The first waiting
+// grant gets the slot; it is returned, or nil if there is none.
+func (t *target) releaseSlot(now Instant, g *grant, used time.Duration) *grant {
+	if g.waitsInTarget {
+		t.waitingGrants = slices.DeleteFunc(t.waitingGrants, func(other *grant) bool { return other == g })
+		g.startSlotTime(now) // it ran before the end of another run was reported
+		g.workspace.account.End(used)
 		return nil
 	}
-	g.workspace.entry.End(used)
-	if len(t.behind) == 0 {
+	g.workspace.account.End(used)
+	if len(t.waitingGrants) == 0 {
 		return nil
 	}
-	next := t.behind[0]
-	t.behind = slices.Delete(t.behind, 0, 1)
-	next.start(now)
+	next := t.waitingGrants[0]
+	t.waitingGrants = slices.Delete(t.waitingGrants, 0, 1)
+	next.startSlotTime(now)
 	return next
 }
 
-// used returns the slot time of a run that the entry saw take service.
-func (g *grant) used(now Instant, service time.Duration) time.Duration {
-	if g.behind || g.started == g.granted && !g.adopted {
+// usedTime returns the slot time of a run whose service time, as measured by the entry, is
+// given.
+func (g *grant) usedTime(now Instant, service time.Duration) time.Duration {
+	if g.waitsInTarget || g.startedAt == g.grantedAt && !g.adopted {
 		return service
 	}
-	return max(0, min(service, now-g.started))
+	return max(0, min(service, now-g.startedAt))
 }
--- a/control/slots_test.go
+++ b/control/slots_test.go
@@ -28,7 +28,7 @@
 	if third := arrive(1020, 4); len(third) != 0 {
 		t.Fatalf("a third run was dispatched: %v", third)
 	}
-	entry := m.sched.workspaces["bakery"].entry
+	entry := m.sched.workspaces["bakery"].account
 	third := end(1500, first[0], 500)
 	end(1600, second[0], 590)
 	if own := entry.Own(); math.Abs(own-0.62) > 1e-9 {
--- a/control/start_test.go
+++ b/control/start_test.go
@@ -99,7 +99,7 @@
 		f.step(RunEnded{Request: id, Grant: d.Grant, Outcome: OutcomeLost})
 		f.relist(d.Target, 200)
 	}
-	if !f.machine.convicted(deadly) || crashed > 3 {
-		t.Errorf("after %d crashes: convicted %v", crashed, f.machine.convicted(deadly))
+	if !f.machine.isConvicted(deadly) || crashed > 3 {
+		t.Errorf("after %d crashes: convicted %v", crashed, f.machine.isConvicted(deadly))
 	}
 }
--- a/control/status.go
+++ b/control/status.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Counters counts what a machine did since it was made.
+// Counters counts what a machine did since it was created.
 type Counters struct {
 	RequestsArrived       uint64
 	RequestsRefused       uint64
@@ -41,7 +41,7 @@
 // Counters returns the counts so far.
 func (m *Machine) Counters() Counters { return m.counters }
 
-// Status is a read-only picture of a machine for operators.
+// Status is a read-only snapshot of a machine for operators.
 type Status struct {
 	Node        NodeID
 	Incarnation Incarnation
@@ -71,7 +71,7 @@
 type MemberStatus struct {
 	Node       NodeID
 	DataCentre string
-	// Alive says that the node may be given work.
+	// Alive reports whether the node may be given work.
 	Alive   bool
 	Leaving bool
 }
@@ -79,7 +79,7 @@
 // ShardStatus is one shard scheduled here.
 type ShardStatus struct {
 	Shard ShardID
-	// Owned says that this node owns the shard in its own view.
+	// Owned reports whether this node owns the shard in its own view.
 	Owned bool
 	// Queued and Granted count the waiting tickets and the grants held.
 	Queued  int
@@ -92,22 +92,22 @@
 // TargetStatus is one target of a shard scheduled here.
 type TargetStatus struct {
 	Target string
-	// Slots is what the target serves at once, Granted the grants held, and
-	// Room how many more may be granted now.
+	// Slots is the number of requests the target serves at once, Granted the number of
+	// grants held, and Room how many more may be granted now.
 	Slots   int
 	Granted int
 	Room    int
 	Leaving bool
-	// Evacuated says that the target's data centre is being evacuated.
+	// Evacuated reports whether the target's data centre is being evacuated.
 	Evacuated bool
-	// DownFor is how long the target is still passed over.
+	// DownFor is how much longer the target gets no grants after failures.
 	DownFor time.Duration
 	// LoadAge is the age of the last load report; negative if there is none.
 	LoadAge time.Duration
 }
 
-// Status returns the present state. It reads everything: call it for operators,
-// not for each request.
+// Status returns the present state. It reads all of it, so call it for operators, not for
+// each request.
 func (m *Machine) Status() Status {
 	st := Status{
 		Node:        m.opts.Node,
--- a/control/suspicion.go
+++ b/control/suspicion.go
@@ -7,70 +7,72 @@
 )
 
 const (
-	// maxRunningTold bounds the fingerprints in one notice.
-	maxRunningTold = 100
-	// downAfter is how long the polls of a target must fail, while others are
-	// answered, before its broken runs count as a crash.
-	downAfter = 3 * time.Second
-	// settleAfterLoss is how old the last broken run must be before an answered
-	// poll speaks for the target: an earlier answer may have been under way.
-	settleAfterLoss = 500 * time.Millisecond
-	// pollFresh is how old the last answered load poll may be for a failed
-	// poll of another target to speak against that target, not this node.
-	pollFresh = 2500 * time.Millisecond
-	// expireEvery is the period of forgetting old evidence.
-	expireEvery = time.Second
+	// maxNoticeFingerprints bounds the fingerprints in one notice.
+	maxNoticeFingerprints = 100
+	// crashedAfter is how long the polls of a target must fail, while other targets answer,
+	// before its broken runs count as a crash.
+	crashedAfter = 3 * time.Second
+	// lossSettleTime is the minimum age of the last broken run before an answered poll
+	// proves that the target did not crash: an earlier answer may have been in transit
+	// already.
+	lossSettleTime = 500 * time.Millisecond
+	// pollFreshFor is the maximum age of the last answered load poll for a failed poll of
+	// another target to be blamed on that target rather than on this node.
+	pollFreshFor = 2500 * time.Millisecond
+	// expireInterval is the period of removing old evidence.
+	expireInterval = time.Second
 )
 
-// suspicion holds the evidence about requests that crash targets. The
-// scheduler of a shard knows everything that runs on a target, so it is the one
-// that gathers evidence; package quarantine judges it.
-type suspicion struct {
+// crashEvidence holds the evidence about requests that crash targets. The scheduler of a
+// shard knows everything that runs on a target, so it collects the evidence; package
+// quarantine evaluates it.
+type crashEvidence struct {
 	tracker  *quarantine.Tracker
 	expireAt Instant
-	// polled is the last target whose load poll was answered, and when.
-	polled   string
-	polledAt Instant
-	// starts is what load polls tell of each target.
+	// lastPolled is the last target whose load poll was answered, at lastPolledAt.
+	lastPolled   string
+	lastPolledAt Instant
+	// starts holds the state that load polls report of each target.
 	starts map[string]*targetStart
 }
 
-// targetStart is the start identity of a target and how its polls go.
+// targetStart is the start identity of a target and the state of its polls.
 type targetStart struct {
-	// id is the identity that it last reported, since when; zero if none.
+	// id is the identity that it last reported, first seen at since; zero if none.
 	id    uint64
 	since Instant
-	// failing says that the last poll failed, the first in a row at failingSince.
+	// failing reports that the last poll failed, the first of a consecutive series at
+	// failingSince.
 	failing      bool
 	failingSince Instant
-	// lostAt is when a run last broke off there; lost says that one did since
-	// the target was last found unharmed.
+	// lostAt is when a run last broke off there; lost reports that one did since the target
+	// was last found not to have crashed.
 	lost   bool
 	lostAt Instant
 }
 
-func newSuspicion() suspicion {
-	return suspicion{
-		tracker: quarantine.New(quarantine.Options{MaxRunning: maxRunningTold}),
+func newCrashEvidence() crashEvidence {
+	return crashEvidence{
+		tracker: quarantine.New(quarantine.Options{MaxRunning: maxNoticeFingerprints}),
 		starts:  make(map[string]*targetStart),
 	}
 }
 
-// convicted says that a fingerprint must not run.
-func (m *Machine) convicted(fingerprint uint64) bool {
-	return fingerprint != 0 && m.suspicion.tracker.Verdict(fingerprint) == quarantine.VerdictConvicted
+// isConvicted reports whether a fingerprint must not run.
+func (m *Machine) isConvicted(fingerprint uint64) bool {
+	return fingerprint != 0 && m.crashEvidence.tracker.Verdict(fingerprint) == quarantine.VerdictConvicted
 }
 
-// suspect says that a fingerprint must not share a target with another suspect.
-func (m *Machine) suspect(fingerprint uint64) bool {
+// isSuspect reports whether a fingerprint must not share a target with another suspect.
+func (m *Machine) isSuspect(fingerprint uint64) bool {
 	if fingerprint == 0 {
 		return false
 	}
-	verdict := m.suspicion.tracker.Verdict(fingerprint)
+	verdict := m.crashEvidence.tracker.Verdict(fingerprint)
 	return verdict == quarantine.VerdictSuspect || verdict == quarantine.VerdictIsolate
 }
 
-func (s *suspicion) start(target string) *targetStart {
+func (s *crashEvidence) startOf(target string) *targetStart {
 	st := s.starts[target]
 	if st == nil {
 		st = &targetStart{}
@@ -79,26 +81,27 @@
 	return st
 }
 
-// runLost takes in that a run broke off. It is no crash yet: the ways to a
-// target break too, for one entry or for many. The target's next load polls
-// tell which it was.
+// runLost records that a run broke off. That alone does not prove a crash: network paths to
+// a target also fail, for one entry or for many. The target's next load polls show which it
+// was.
 func (m *Machine) runLost(g *grant) {
-	running := []uint64{g.finger}
+	running := []uint64{g.fingerprint}
 	for _, other := range g.shard.sortedGrants() {
 		if other.target == g.target && other != g {
-			running = append(running, other.finger)
+			running = append(running, other.fingerprint)
 		}
 	}
-	m.judged(m.suspicion.tracker.Lost(m.now, g.target.name, known(running)))
-	st := m.suspicion.start(g.target.name)
+	m.applyQuarantine(m.crashEvidence.tracker.Lost(m.now, g.target.name, nonZeroFingerprints(running)))
+	st := m.crashEvidence.startOf(g.target.name)
 	st.lost, st.lostAt = true, m.now
 }
 
-// known drops the zero fingerprints, which stand for none, and bounds the rest.
-func known(fingerprints []uint64) []uint64 {
+// nonZeroFingerprints removes the zero fingerprints, which mean none, and limits the number
+// of the others.
+func nonZeroFingerprints(fingerprints []uint64) []uint64 {
 	var out []uint64
 	for _, f := range fingerprints {
-		if f != 0 && len(out) < maxRunningTold {
+		if f != 0 && len(out) < maxNoticeFingerprints {
 			out = append(out, f)
 		}
 	}
@@ -108,16 +111,16 @@
 // runAnswered clears a request that ran to completion.
 func (m *Machine) runAnswered(fingerprint uint64) {
 	if fingerprint != 0 {
-		m.judged(m.suspicion.tracker.Completed(m.now, fingerprint))
+		m.applyQuarantine(m.crashEvidence.tracker.Completed(m.now, fingerprint))
 	}
 }
 
-// pollAnswered takes in a target's start identity; zero if it reports none. A
-// new one means that it crashed or restarted, the same one that it did not.
+// pollAnswered records a target's start identity; zero if it reports none. A new identity
+// means that it crashed or restarted, the same one that it did not.
 func (m *Machine) pollAnswered(target string, id uint64) {
-	s := &m.suspicion
-	s.polled, s.polledAt = target, m.now
-	st := s.start(target)
+	s := &m.crashEvidence
+	s.lastPolled, s.lastPolledAt = target, m.now
+	st := s.startOf(target)
 	st.failing = false
 	switch {
 	case id == 0:
@@ -126,39 +129,39 @@
 		restarted := st.id != 0
 		st.id, st.since, st.lost = id, m.now, false
 		if restarted {
-			m.judged(s.tracker.CrashConfirmed(m.now, target))
+			m.applyQuarantine(s.tracker.CrashConfirmed(m.now, target))
 		}
-	case st.lost && m.now-st.lostAt >= settleAfterLoss:
+	case st.lost && m.now-st.lostAt >= lossSettleTime:
 		st.lost = false
-		m.judged(s.tracker.Alive(m.now, st.since, target))
+		m.applyQuarantine(s.tracker.Alive(m.now, st.since, target))
 	}
 }
 
-// pollFailed takes in that a target cannot be reached. After a while it is
-// down, unless this node reaches no other target either.
+// pollFailed records that a target could not be reached. After a while it counts as
+// crashed, unless this node reaches no other target either.
 func (m *Machine) pollFailed(target string) {
-	s := &m.suspicion
-	st := s.start(target)
+	s := &m.crashEvidence
+	st := s.startOf(target)
 	if !st.failing {
 		st.failing, st.failingSince = true, m.now
 	}
-	reachesOthers := s.polled != "" && s.polled != target && m.now-s.polledAt <= pollFresh
-	if st.lost && reachesOthers && m.now-st.failingSince >= downAfter {
-		m.judged(s.tracker.CrashConfirmed(m.now, target))
+	reachesOthers := s.lastPolled != "" && s.lastPolled != target && m.now-s.lastPolledAt <= pollFreshFor
+	if st.lost && reachesOthers && m.now-st.failingSince >= crashedAfter {
+		m.applyQuarantine(s.tracker.CrashConfirmed(m.now, target))
 	}
 }
 
-// vanishTime is how long a broken run may lie back when its target is taken off
-// the listing, for the two to be one crash: entries of crashed targets lapse after
-// three missed heartbeats of a second or so.
-const vanishTime = 6 * time.Second
+// vanishWindow is the maximum time between a broken run and the removal of its target from
+// the listing for both to count as one crash: listing entries of crashed targets lapse
+// after three missed heartbeats of a second or so.
+const vanishWindow = 6 * time.Second
 
-// noteVanished takes in which targets the next configuration lacks, or has in
-// another start. One that went without having been leaving, soon after a run broke
+// detectVanishedTargets finds the targets that the next configuration lacks or lists with
+// another start. One that disappeared without having been leaving, soon after a run broke
 // off there, has crashed.
-func (m *Machine) noteVanished(next *topology) {
+func (m *Machine) detectVanishedTargets(next *topology) {
 	if m.topo == nil || next.order.Targets == 0 {
-		return // operators declare the targets, and may take any out
+		return // operators declare the targets, and may remove any of them
 	}
 	for _, name := range sortedKeys(m.topo.decl.Targets) {
 		before := m.topo.decl.Targets[name]
@@ -166,24 +169,24 @@
 		if before.Leaving || still && after.Start == before.Start {
 			continue
 		}
-		st := m.suspicion.starts[name]
-		if st != nil && st.lost && m.now-st.lostAt <= vanishTime {
-			m.judged(m.suspicion.tracker.CrashConfirmed(m.now, name))
+		st := m.crashEvidence.starts[name]
+		if st != nil && st.lost && m.now-st.lostAt <= vanishWindow {
+			m.applyQuarantine(m.crashEvidence.tracker.CrashConfirmed(m.now, name))
 		}
-		delete(m.suspicion.starts, name)
+		delete(m.crashEvidence.starts, name)
 	}
 }
 
-func (m *Machine) suspicionTick() {
-	if m.now < m.suspicion.expireAt {
+func (m *Machine) crashEvidenceTick() {
+	if m.now < m.crashEvidence.expireAt {
 		return
 	}
-	m.suspicion.expireAt = m.now + expireEvery
-	m.judged(m.suspicion.tracker.Expire(m.now))
+	m.crashEvidence.expireAt = m.now + expireInterval
+	m.applyQuarantine(m.crashEvidence.tracker.Expire(m.now))
 }
 
-// judged carries out what follows from new evidence.
-func (m *Machine) judged(out quarantine.Output) {
+// applyQuarantine carries out the consequences of new evidence.
+func (m *Machine) applyQuarantine(out quarantine.Output) {
 	for _, c := range out.Changes {
 		convicted := c.Verdict == quarantine.VerdictConvicted
 		if convicted {
@@ -198,7 +201,7 @@
 	}
 	if len(out.Changes) > 0 {
 		for _, s := range m.sched.sortedShards() {
-			m.refuseHopeless(s)
+			m.refuseUnservable(s)
 		}
 	}
 }
@@ -213,12 +216,12 @@
 	}
 }
 
-// tellEvidence sends what is known here to a node that has come back.
-func (m *Machine) tellEvidence(node NodeID) {
-	m.sendNotices(node, m.suspicion.tracker.State(m.now))
+// sendEvidence sends the evidence known here to a node that has returned.
+func (m *Machine) sendEvidence(node NodeID) {
+	m.sendNotices(node, m.crashEvidence.tracker.State(m.now))
 }
 
-func (m *Machine) noticeReceived(msg QuarantineNotice) {
+func (m *Machine) quarantineNoticeReceived(msg QuarantineNotice) {
 	n := quarantine.Notice{
 		Kind:        quarantine.NoticeClearance,
 		Fingerprint: msg.Fingerprint,
@@ -232,5 +235,5 @@
 			n.Kind = quarantine.NoticeRetraction
 		}
 	}
-	m.judged(m.suspicion.tracker.Merge(m.now, n))
+	m.applyQuarantine(m.crashEvidence.tracker.Merge(m.now, n))
 }
