--- a/control/target.go
+++ b/control/target.go
@@ -9,90 +9,94 @@
 )
 
 const (
-	// firstBackoff and maxBackoff bound how long a failing target is passed over.
-	firstBackoff = 250 * time.Millisecond
-	maxBackoff   = 8 * time.Second
-	// maxRunBackoff is the longest where runs fail but load polls are answered.
+	// minBackoff and maxBackoff bound how long a failing target gets no grants.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 8 * time.Second
+	// maxRunBackoff is the maximum backoff while runs fail but load polls are answered.
 	maxRunBackoff = 2 * time.Second
-	// errorsToBackoff is how many runs in a row must end with a target's error.
-	errorsToBackoff = 5
-	// hopelessAfter is how long a target must fail before tickets that only it
-	// could serve are refused.
-	hopelessAfter = 5 * time.Second
-	// prefixesKept bounds the prompt beginnings remembered of a target.
-	prefixesKept = 512
+	// maxConsecutiveErrors is how many consecutive runs have to end with a target's error
+	// for it to count as failing.
+	maxConsecutiveErrors = 5
+	// unservableAfter is how long a target must fail before tickets that only it could
+	// serve are refused.
+	unservableAfter = 5 * time.Second
+	// maxPrefixes bounds the prompt prefixes remembered of a target.
+	maxPrefixes = 512
 )
 
-// target is one target at the scheduler of its shard.
+// target is the state of one target at the scheduler of its shard.
 type target struct {
 	shard *shard
 	name  string
-	// dataCentre is where it runs.
+	// dataCentre is the data centre in which it runs.
 	dataCentre string
-	// start tells the target's starts apart, as far as it is known, and listed is
-	// what its declaration said last; zero: not known. What is learned of a target
-	// belongs to one start: the next one keeps nothing and has failed nobody.
-	start, listed int64
+	// start identifies the target's current start, as far as it is known, and declaredStart
+	// is the one in its latest declaration; zero: unknown. What is learned about a target
+	// applies to one start only: the next one begins with an empty cache and without
+	// failures.
+	start, declaredStart int64
 	// hash is the target's key for rendezvous hashing.
 	hash   uint64
 	window *sched.Window
 	// engine models a target that counts its work in tokens; nil for others.
 	engine *sched.Engine
-	// behind holds the grants made beyond the slots, oldest first: they wait in
-	// the target until a run there ends.
-	behind []*grant
-	// leaving, reportedLeaving and saidLeaving say that it takes nothing new: by its
-	// declaration, by its last load report, and by an answer to some node, which holds until
-	// its next start.
+	// waitingGrants holds the grants made beyond the slots, oldest first: they wait in the
+	// target until a run there ends.
+	waitingGrants []*grant
+	// leaving, reportedLeaving and saidLeaving report that it accepts no new requests: by
+	// its declaration, by its last load report, and by an answer to some node. The last
+	// holds until its next start.
 	leaving, reportedLeaving, saidLeaving bool
-	// evacuated says that the target's data centre is being evacuated: it takes nothing new.
+	// evacuated reports that the target's data centre is being evacuated: it accepts no new
+	// requests.
 	evacuated bool
-	// coldUntil is when its cold time ends; see coldLimit.
+	// coldUntil is when the target's cold period ends; see coldLimit.
 	coldUntil    Instant
 	cold         coldLimit
 	failures     int
 	failingSince Instant
 	downUntil    Instant
-	// loadAt is when the last load report came; negative if none did.
+	// loadAt is when the last load report arrived; negative if none did.
 	loadAt Instant
 	// polledAt is when a load poll was last answered.
 	polledAt Instant
-	// pollFailed says that the last failure was of a load poll.
+	// pollFailed reports whether the latest failure was of a load poll.
 	pollFailed bool
-	// wasHopeless is what hopeless said last.
-	wasHopeless bool
-	// unreachable says that a connection to it failed during the current series of failures,
-	// and lostRuns counts the runs lost in that series.
+	// wasUnservable is the latest result of isUnservable.
+	wasUnservable bool
+	// unreachable reports that a connection to it failed during the current series of
+	// failures, and lostRuns counts the runs lost in that series.
 	unreachable bool
 	lostRuns    int
-	// errors counts runs in a row that ended with the target's error.
-	errors   int
-	prefixes prefixSet
-	timer    timer
+	// consecutiveErrors counts the latest consecutive runs that ended with the target's
+	// error.
+	consecutiveErrors int
+	prefixes          prefixSet
+	timer             timer
 }
 
 func newTarget(now Instant, s *shard, name string) *target {
 	return &target{shard: s, name: name, hash: member.HashOf(name), window: sched.NewWindow(now, 1), loadAt: -1}
 }
 
-// startedAnew says whether a declaration is of a later start of the target than the
-// one known here. A declaration that lags behind what the target told itself is not.
-func (t *target) startedAnew(decl config.Target) bool {
-	return t.start != 0 && decl.Start != 0 && decl.Start != t.start && decl.Start != t.listed
+// isNewStart reports whether a declaration is of a later start of the target than the one
+// known here. A declaration that lags behind what the target reported itself is not.
+func (t *target) isNewStart(decl config.Target) bool {
+	return t.start != 0 && decl.Start != 0 && decl.Start != t.start && decl.Start != t.declaredStart
 }
 
 func (t *target) declare(decl config.Target) {
 	if t.start == 0 {
 		t.start = decl.Start
 	}
-	t.listed = decl.Start
+	t.declaredStart = decl.Start
 	t.leaving = decl.Leaving
 	t.evacuated = decl.Evacuated
 	t.dataCentre = decl.DataCentre
 	t.window.Declare(decl.Slots)
 }
 
-// room returns how many grants the target may be given now.
+// room returns how many more grants the target may currently be given.
 func (t *target) room(now Instant) int {
 	if !t.takesWork() || now < t.downUntil {
 		return 0
@@ -100,7 +104,7 @@
 	room := 0
 	switch {
 	case t.failures > 0:
-		room = max(0, 1-t.window.Out()) // one run probes it
+		room = max(0, 1-t.window.Out()) // a single run as a probe
 	case t.engine != nil:
 		room = t.engine.FreeSlots()
 	default:
@@ -112,10 +116,10 @@
 	return room
 }
 
-// hopeless says that the target cannot be expected to serve again soon. One
-// that may be probed is not hopeless: only a ticket can show that it serves.
-func (t *target) hopeless(now Instant) bool {
-	failing := t.failures > 1 && now-t.failingSince >= hopelessAfter && now < t.downUntil
+// isUnservable reports whether the target cannot be expected to serve again soon. A target
+// that may be probed is servable: only a ticket can show whether it works again.
+func (t *target) isUnservable(now Instant) bool {
+	failing := t.failures > 1 && now-t.failingSince >= unservableAfter && now < t.downUntil
 	return !t.takesWork() || failing
 }
 
@@ -125,12 +129,12 @@
 	return !t.leaving && !t.reportedLeaving && !t.saidLeaving && !t.evacuated
 }
 
-// isCurrent says whether the target is listed still, in this start. Runs on earlier
-// starts go on being counted on those, and say nothing of the present one.
-func (t *target) isCurrent() bool { return t.shard.byName[t.name] == t }
+// isCurrent reports whether the target is still listed with this start. Runs on earlier
+// starts continue to be counted there, and say nothing about the present start.
+func (t *target) isCurrent() bool { return t.shard.targetsByName[t.name] == t }
 
-// targetHere returns a target of the shards scheduled here, or nil.
-func (m *Machine) targetHere(name string) *target {
+// localTarget returns a target of the shards scheduled here, or nil.
+func (m *Machine) localTarget(name string) *target {
 	if m.topo == nil {
 		return nil
 	}
@@ -138,11 +142,11 @@
 	if !ok || m.sched.shards[id] == nil {
 		return nil
 	}
-	return m.sched.shards[id].byName[name]
+	return m.sched.shards[id].targetsByName[name]
 }
 
-func (m *Machine) targetLoad(ev TargetLoad) {
-	t := m.targetHere(ev.Target)
+func (m *Machine) targetLoadReported(ev TargetLoad) {
+	t := m.localTarget(ev.Target)
 	if t == nil {
 		return
 	}
@@ -152,28 +156,28 @@
 	t.prefixes.report(ev.CachedPrefixes)
 	m.pollAnswered(t.name, ev.StartID)
 	if t.pollFailed {
-		m.targetServes(t, "load poll answered")
+		m.targetSucceeded(t, "load poll answered")
 	}
 	t.reportedLeaving = ev.Leaving
-	m.noteHopeless(t)
-	m.grantAll(t.shard)
+	m.updateUnservable(t)
+	m.grantWaiting(t.shard)
 }
 
 func (m *Machine) targetUnreachable(ev TargetUnreachable) {
-	if t := m.targetHere(ev.Target); t != nil {
+	if t := m.localTarget(ev.Target); t != nil {
 		m.targetFailed(t, true, "load poll failed")
 		m.pollFailed(t.name)
 	}
 }
 
-// targetFailed passes a target over for a while, longer each time. When that
-// time ends one run probes it.
+// targetFailed gives a target no grants for a while, longer after each failure. Afterwards
+// one run probes it.
 func (m *Machine) targetFailed(t *target, poll bool, cause string) {
 	if !t.isCurrent() {
 		return
 	}
 	if m.now < t.downUntil && !poll {
-		return // runs that failed together count once
+		return // runs that failed at the same time count once
 	}
 	m.counters.TargetFailures++
 	if t.failures == 0 {
@@ -182,34 +186,34 @@
 	t.pollFailed = poll
 	t.failures = min(t.failures+1, 16)
 	longest := maxBackoff
-	if !poll && m.now-t.polledAt <= pollFresh {
+	if !poll && m.now-t.polledAt <= pollFreshFor {
 		longest = maxRunBackoff
 	}
-	backoff := min(firstBackoff<<(t.failures-1), longest)
+	backoff := min(minBackoff<<(t.failures-1), longest)
 	t.downUntil = m.now + m.jitter(backoff)
 	m.emit(TargetJudged{Target: t.name, Failing: true, Failures: t.failures, Pause: t.downUntil - m.now, Cause: cause})
 	m.timers.set(&t.timer, t, t.downUntil)
-	m.noteHopeless(t)
+	m.updateUnservable(t)
 }
 
-// noteHopeless refuses what only this target could serve, once it cannot be
-// expected to serve again soon.
-func (m *Machine) noteHopeless(t *target) {
-	was := t.wasHopeless
-	t.wasHopeless = t.hopeless(m.now)
-	if t.wasHopeless && !was {
-		m.refuseHopeless(t.shard)
+// updateUnservable refuses what only this target could serve, once it cannot be expected to
+// serve again soon.
+func (m *Machine) updateUnservable(t *target) {
+	wasUnservable := t.wasUnservable
+	t.wasUnservable = t.isUnservable(m.now)
+	if t.wasUnservable && !wasUnservable {
+		m.refuseUnservable(t.shard)
 	}
 }
 
-// fire implements timed: the target may be probed.
+// fire implements timerOwner: the target may be probed.
 func (t *target) fire(m *Machine) {
-	m.noteHopeless(t)
-	m.grantAll(t.shard)
+	m.updateUnservable(t)
+	m.grantWaiting(t.shard)
 }
 
-// targetServes takes in that a target serves.
-func (m *Machine) targetServes(t *target, cause string) {
+// targetSucceeded records that a target works.
+func (m *Machine) targetSucceeded(t *target, cause string) {
 	if !t.isCurrent() {
 		return
 	}
@@ -217,28 +221,28 @@
 		m.emit(TargetJudged{Target: t.name, Failures: t.failures, Cause: cause})
 	}
 	likelyRestarted := t.unreachable || t.lostRuns >= restartLostRuns
-	t.recovered()
+	t.resetFailures()
 	if likelyRestarted {
 		m.targetRestarted(t)
 	}
 }
 
-func (t *target) recovered() {
+func (t *target) resetFailures() {
 	t.failures = 0
-	t.errors = 0
+	t.consecutiveErrors = 0
 	t.downUntil = 0
 	t.pollFailed = false
 	t.unreachable, t.lostRuns = false, 0
 }
 
-// runOutcome learns about a target's health from the end of a run.
-func (m *Machine) runOutcome(t *target, outcome Outcome) {
+// recordOutcome updates a target's health from the end of a run.
+func (m *Machine) recordOutcome(t *target, outcome Outcome) {
 	if !t.isCurrent() {
 		return
 	}
 	switch outcome {
 	case OutcomeAnswered:
-		m.targetServes(t, outcome.String())
+		m.targetSucceeded(t, outcome.String())
 	case OutcomeUnreachable, OutcomeRefused, OutcomeLost:
 		t.unreachable = t.unreachable || outcome == OutcomeUnreachable
 		if outcome == OutcomeLost {
@@ -246,15 +250,15 @@
 		}
 		m.targetFailed(t, false, outcome.String())
 	case OutcomeFailed:
-		t.errors++
-		if t.errors >= errorsToBackoff {
+		t.consecutiveErrors++
+		if t.consecutiveErrors >= maxConsecutiveErrors {
 			m.targetFailed(t, false, "errors in a row")
 		}
 	}
 }
 
-// prefixSet remembers which prompt beginnings are likely in a target's cache:
-// those it reported and those granted to it of late.
+// prefixSet holds the prompt prefixes that are probably in a target's cache: those that it
+// reported and those recently granted to it.
 type prefixSet struct {
 	reported map[uint64]bool
 	recent   map[uint64]bool
@@ -269,8 +273,8 @@
 	if len(hashes) == 0 && len(p.reported) == 0 {
 		return
 	}
-	p.reported = make(map[uint64]bool, min(len(hashes), prefixesKept))
-	for _, h := range hashes[:min(len(hashes), prefixesKept)] {
+	p.reported = make(map[uint64]bool, min(len(hashes), maxPrefixes))
+	for _, h := range hashes[:min(len(hashes), maxPrefixes)] {
 		p.reported[h] = true
 	}
 }
@@ -282,7 +286,7 @@
 	if p.recent == nil {
 		p.recent = make(map[uint64]bool)
 	}
-	if len(p.order) >= prefixesKept {
+	if len(p.order) >= maxPrefixes {
 		delete(p.recent, p.order[0])
 		p.order = p.order[1:]
 	}
--- a/control/tickets.go
+++ b/control/tickets.go
@@ -9,132 +9,134 @@
 )
 
 const (
-	// resendEvery is the period of sending an unanswered ticket again.
+	// resendEvery is the period of resending an unanswered ticket.
 	resendEvery = 500 * time.Millisecond
-	// refreshEvery is the period of sending a ticket again that is known to wait.
+	// refreshEvery is the period of resending a ticket that is known to wait.
 	refreshEvery = 2 * time.Second
-	// unansweredTries is how many tickets without an answer speak against a
-	// scheduler.
+	// unansweredTries is how many sends of a ticket without an answer mark a scheduler as
+	// unresponsive.
 	unansweredTries = 3
-	// maxAsks bounds the shards that one ticket waits at. Under PolicyAlone
+	// maxTicketsPerRequest bounds the shards at which one request waits. Under PolicyAlone
 	// every shard is scheduled here and there is no bound.
-	maxAsks = 4
-	// usualAsks is how many shards a ticket waits at though they are known to
-	// be backlogged.
-	usualAsks = 2
-	// hintTime is how long the state of a shard is remembered.
-	hintTime = 200 * time.Millisecond
-	// deepFactor is how many tickets for each slot make a backlog deep.
-	deepFactor = 2
-	// avoidFor is how long a scheduler that left a ticket unanswered is not asked.
-	// Each end of it costs the next request Options.LocalAfter if the scheduler is
-	// still away; longer would go on granting without the whole picture.
-	avoidFor = 250 * time.Millisecond
-	// stallGap is the time between two steps of this node beyond which answers may
-	// have arrived that it has not looked at yet. An idle node ticks each 100 ms, but
-	// one with a ticket out has a timer for it.
-	stallGap = 30 * time.Millisecond
+	maxTicketsPerRequest = 4
+	// usualTicketsPerRequest is the number of shards at which a request waits even if they
+	// are known to be backlogged.
+	usualTicketsPerRequest = 2
+	// hintLifetime is how long the state of a shard is remembered.
+	hintLifetime = 200 * time.Millisecond
+	// deepBacklogPerSlot is the number of waiting tickets per slot that make a backlog
+	// deep.
+	deepBacklogPerSlot = 2
+	// avoidDuration is how long a scheduler that left a ticket unanswered is not asked.
+	// Each time it ends, the next request waits for Options.LocalAfter if the scheduler
+	// still does not answer; with a longer duration this node would continue to grant
+	// without knowing the grants of others.
+	avoidDuration = 250 * time.Millisecond
+	// stallThreshold is the time between two steps of this node above which answers may
+	// have arrived that it has not processed yet. An idle node ticks every 100 ms, but one
+	// with an unanswered ticket has a timer for it.
+	stallThreshold = 30 * time.Millisecond
 	// never is later than any deadline.
 	never = Instant(1<<63 - 1)
-	// probeDepth bounds the waiting requests looked at for one probe.
+	// probeDepth bounds the waiting requests examined for one probe.
 	probeDepth = 8
 )
 
-// ask is a ticket sent to one shard.
-type ask struct {
+// sentTicket is a ticket sent to one shard.
+type sentTicket struct {
 	shard  ShardID
 	to     NodeID
 	sentAt Instant
-	// firstAt is when the present run of unanswered sends began.
+	// firstAt is when the current series of unanswered sends began.
 	firstAt Instant
 	tries   int
-	// quiet says that the scheduler need not answer at once.
+	// quiet reports that the scheduler need not answer at once.
 	quiet bool
-	// waiting says that the scheduler answered that the ticket waits.
+	// waiting reports that the scheduler answered that the ticket waits.
 	waiting bool
-	// refused says that the scheduler will not grant.
+	// refused reports that the scheduler will not grant.
 	refused bool
 }
 
-// due returns when the ticket is sent again.
-func (m *Machine) due(a *ask) Instant {
+// resendAt returns when the ticket is sent again.
+func (m *Machine) resendAt(sent *sentTicket) Instant {
 	switch {
-	case a.refused:
+	case sent.refused:
 		return never
-	case a.waiting:
-		return a.sentAt + refreshEvery
-	case m.opts.LocalAfter > 0 && a.to != m.opts.Node:
-		return a.sentAt + m.opts.LocalAfter
+	case sent.waiting:
+		return sent.sentAt + refreshEvery
+	case m.opts.LocalAfter > 0 && sent.to != m.opts.Node:
+		return sent.sentAt + m.opts.LocalAfter
 	default:
-		return a.sentAt + resendEvery
+		return sent.sentAt + resendEvery
 	}
 }
 
-// shardHint is what was last heard of a shard's load.
+// shardHint is the latest known load of a shard.
 type shardHint struct {
 	at Instant
-	// spare is the number of free slots; below zero, that many tickets wait,
-	// and zero means that it is full.
+	// spare is the number of free slots; a negative value is the number of waiting tickets,
+	// and zero means that the shard is full.
 	spare int
 }
 
-// newTicket gives the request a ticket id of its own.
+// newTicket assigns the request a new ticket id.
 func (m *Machine) newTicket(r *request) {
-	m.entry.nextAttempt++
+	m.entry.lastAttempt++
 	r.id = TicketID{
 		Node:        m.opts.Node,
 		Incarnation: m.opts.Incarnation,
 		Request:     r.ev.Request,
-		Attempt:     m.entry.nextAttempt,
+		Attempt:     m.entry.lastAttempt,
 	}
 }
 
-// ask sends the request's ticket to one more shard.
-func (m *Machine) ask(r *request, id ShardID) {
-	a := &ask{shard: id, firstAt: m.now, quiet: m.opts.LocalAfter == 0 && m.deep(id)}
-	r.asks = append(r.asks, a)
-	m.sendTicket(r, a)
-	m.arm(r)
+// addTicket sends the request's ticket to one more shard.
+func (m *Machine) addTicket(r *request, id ShardID) {
+	sent := &sentTicket{shard: id, firstAt: m.now, quiet: m.opts.LocalAfter == 0 && m.hasDeepBacklog(id)}
+	r.tickets = append(r.tickets, sent)
+	m.sendTicket(r, sent)
+	m.armRequest(r)
 }
 
-func (m *Machine) sendTicket(r *request, a *ask) {
-	to := m.schedulerFor(a.shard)
-	if owner := m.owner(a.shard); to != owner && !m.mayGrantAlone(r, a.shard) {
+func (m *Machine) sendTicket(r *request, sent *sentTicket) {
+	to := m.schedulerFor(sent.shard)
+	if owner := m.owner(sent.shard); to != owner && !m.mayGrantLocally(r, sent.shard) {
 		to = owner
 	}
-	m.sendTicketTo(r, a, to)
+	m.sendTicketTo(r, sent, to)
 }
 
-// schedulerFor returns the node to ask for grants of a shard: its owner, or this
-// node while the owner leaves tickets unanswered.
+// schedulerFor returns the node to ask for grants of a shard: its owner, or this node while
+// the owner leaves tickets unanswered.
 func (m *Machine) schedulerFor(id ShardID) NodeID {
 	owner := m.owner(id)
-	if m.now < m.entry.avoid[owner] {
+	if m.now < m.entry.avoidUntil[owner] {
 		return m.opts.Node
 	}
 	return owner
 }
 
-// grantHere asks this node's own queue of the shard for a ticket that its
-// scheduler left unanswered. Both may grant: the second grant is returned.
-func (m *Machine) grantHere(r *request, a *ask) {
+// grantLocally sends a ticket that its scheduler left unanswered to this node's own queue
+// of the shard. Both may grant: the second grant is returned.
+func (m *Machine) grantLocally(r *request, sent *sentTicket) {
 	m.counters.TicketsLocal++
-	if silent := m.now - m.view.HeardAt(string(a.to)); silent >= m.opts.LocalAfter && m.entry.avoid[a.to] < m.now {
-		m.emit(SchedulerAvoided{Node: a.to, Pool: r.ev.Pool, Silent: silent})
-		m.entry.avoid[a.to] = m.now + avoidFor
+	if silent := m.now - m.view.HeardAt(string(sent.to)); silent >= m.opts.LocalAfter && m.entry.avoidUntil[sent.to] < m.now {
+		m.emit(SchedulerAvoided{Node: sent.to, Pool: r.ev.Pool, Silent: silent})
+		m.entry.avoidUntil[sent.to] = m.now + avoidDuration
 	}
-	m.send(a.to, CancelTicket{Ticket: r.id, Shard: a.shard})
-	m.sendTicketTo(r, a, m.opts.Node)
+	m.send(sent.to, CancelTicket{Ticket: r.id, Shard: sent.shard})
+	m.sendTicketTo(r, sent, m.opts.Node)
 }
 
-func (m *Machine) sendTicketTo(r *request, a *ask, to NodeID) {
-	a.to = to
-	a.sentAt = m.now
-	a.tries++
+func (m *Machine) sendTicketTo(r *request, sent *sentTicket, to NodeID) {
+	sent.to = to
+	sent.sentAt = m.now
+	sent.tries++
 	m.counters.TicketsSent++
-	m.send(a.to, Ticket{
+	m.send(sent.to, Ticket{
 		ID:             r.id,
-		Shard:          a.shard,
+		Shard:          sent.shard,
 		Workspace:      r.ev.Workspace,
 		CostHint:       r.ev.CostHint,
 		TimeLeft:       r.ev.Deadline - m.now,
@@ -145,12 +147,12 @@
 		Work:           r.ev.Work,
 		Objective:      objectiveLeft(r.ev, m.now),
 		Again:          r.ev.Attempt > 1,
-		Quiet:          a.quiet,
+		Quiet:          sent.quiet,
 	})
 }
 
-// objectiveLeft is the time until the answer should begin, at least one unit
-// once it has passed; zero if there is no objective.
+// objectiveLeft returns the time until the answer should begin, at least 1 µs once that
+// time has passed; zero if there is no objective.
 func objectiveLeft(ev RequestArrived, now Instant) time.Duration {
 	if ev.Objective <= 0 {
 		return 0
@@ -158,107 +160,107 @@
 	return max(time.Microsecond, ev.Objective-now)
 }
 
-// repeat sends a ticket again. A scheduler that left several unanswered is
-// passed over for a while.
-func (m *Machine) repeat(r *request, a *ask) {
-	a.quiet = false
-	if m.opts.LocalAfter > 0 && !a.waiting && a.to != m.opts.Node {
-		if m.gap >= stallGap {
-			a.sentAt = m.now - m.opts.LocalAfter/2 // this node stood still, not the scheduler
+// resendTicket sends a ticket again. A scheduler that left several unanswered is avoided
+// for a while.
+func (m *Machine) resendTicket(r *request, sent *sentTicket) {
+	sent.quiet = false
+	if m.opts.LocalAfter > 0 && !sent.waiting && sent.to != m.opts.Node {
+		if m.sinceLastStep >= stallThreshold {
+			sent.sentAt = m.now - m.opts.LocalAfter/2 // this node was paused, not the scheduler
 			return
 		}
-		if !m.mayGrantAlone(r, a.shard) {
-			m.waitOn(r, a)
+		if !m.mayGrantLocally(r, sent.shard) {
+			m.keepWaiting(r, sent)
 			return
 		}
-		m.grantHere(r, a)
+		m.grantLocally(r, sent)
 		return
 	}
-	if a.waiting {
-		a.waiting = false
-		a.tries = 0
-		a.firstAt = m.now
+	if sent.waiting {
+		sent.waiting = false
+		sent.tries = 0
+		sent.firstAt = m.now
 	}
-	if a.tries >= unansweredTries && a.to != m.opts.Node {
+	if sent.tries >= unansweredTries && sent.to != m.opts.Node {
 		m.counters.SchedulersUnanswering++
-		m.view.Unresponsive(m.now, a.firstAt, string(a.to))
+		m.view.Unresponsive(m.now, sent.firstAt, string(sent.to))
 	}
 	m.counters.TicketsResent++
-	m.sendTicket(r, a)
+	m.sendTicket(r, sent)
 }
 
-// waitOn goes on waiting for a scheduler that has not answered. The ticket is sent again only
-// now and then: it most likely waits there unread.
-func (m *Machine) waitOn(r *request, a *ask) {
-	if m.now-a.firstAt < resendEvery {
-		a.sentAt = m.now
+// keepWaiting continues to wait for a scheduler that has not answered. The ticket is sent
+// again only at long intervals: most likely it waits there unread.
+func (m *Machine) keepWaiting(r *request, sent *sentTicket) {
+	if m.now-sent.firstAt < resendEvery {
+		sent.sentAt = m.now
 		return
 	}
-	a.firstAt = m.now
+	sent.firstAt = m.now
 	m.counters.TicketsResent++
-	m.sendTicketTo(r, a, m.owner(a.shard))
+	m.sendTicketTo(r, sent, m.owner(sent.shard))
 }
 
-// restart sends a ticket again at once, as to a scheduler that never saw it.
-func (m *Machine) restart(r *request, a *ask) {
-	a.quiet = false
-	a.waiting = false
-	a.refused = false
-	a.tries = 0
-	a.firstAt = m.now
+// restartTicket sends a ticket again at once, as to a scheduler that never received it.
+func (m *Machine) restartTicket(r *request, sent *sentTicket) {
+	sent.quiet = false
+	sent.waiting = false
+	sent.refused = false
+	sent.tries = 0
+	sent.firstAt = m.now
 	m.counters.TicketsResent++
-	m.sendTicket(r, a)
-	m.arm(r)
+	m.sendTicket(r, sent)
+	m.armRequest(r)
 }
 
-// asked returns the request and ask that a scheduler's answer is for, or nil.
-func (m *Machine) asked(id TicketID, shard ShardID) (*request, *ask) {
+// findTicket returns the request and ticket to which a scheduler's answer belongs, or nil.
+func (m *Machine) findTicket(id TicketID, shard ShardID) (*request, *sentTicket) {
 	r := m.entry.requests[id.Request]
 	if r == nil || r.id != id {
 		return nil, nil
 	}
-	for _, a := range r.asks {
-		if a.shard == shard {
-			return r, a
+	for _, sent := range r.tickets {
+		if sent.shard == shard {
+			return r, sent
 		}
 	}
 	return nil, nil
 }
 
 func (m *Machine) waitingReceived(w Waiting) {
-	m.hint(w.Shard, -w.Ahead-1)
-	r, a := m.asked(w.Ticket, w.Shard)
-	if a == nil {
+	m.recordHint(w.Shard, -w.Ahead-1)
+	r, sent := m.findTicket(w.Ticket, w.Shard)
+	if sent == nil {
 		return
 	}
-	a.waiting = true
-	a.sentAt = m.now
+	sent.waiting = true
+	sent.sentAt = m.now
 	if id, ok := m.nextShard(r); ok {
-		m.ask(r, id)
+		m.addTicket(r, id)
 		return
 	}
-	m.arm(r)
+	m.armRequest(r)
 }
 
 func (m *Machine) refusalReceived(f Refusal) {
-	r, a := m.asked(f.Ticket, f.Shard)
-	if a == nil {
+	r, sent := m.findTicket(f.Ticket, f.Shard)
+	if sent == nil {
 		return
 	}
-	a.refused = true
-	if f.Code == result.Overloaded && a.to != m.opts.Node {
-		m.entry.fullAt[f.Shard] = m.now
+	sent.refused = true
+	if f.Code == result.Overloaded && sent.to != m.opts.Node {
+		m.entry.overloadedAt[f.Shard] = m.now
 		if f.Excess {
-			m.entry.beyondShare[workspaceAt{f.Shard, r.ev.Workspace}] = m.now
+			m.entry.beyondShareAt[shardWorkspace{f.Shard, r.ev.Workspace}] = m.now
 		}
 	}
-	if isOfTargets(f.Code) {
+	if isTargetShortage(f.Code) {
 		if id, ok := m.nextShard(r); ok {
-			m.ask(r, id)
+			m.addTicket(r, id)
 			return
 		}
-		if slices.ContainsFunc(r.asks, func(a *ask) bool { return !a.refused }) {
-			m.arm(r)
+		if slices.ContainsFunc(r.tickets, func(sent *sentTicket) bool { return !sent.refused }) {
+			m.armRequest(r)
 			return
 		}
 	}
@@ -266,14 +268,14 @@
 	if after <= 0 {
 		after = m.retryAfter(r.ev.Workspace)
 	}
-	after = m.afterHoldOff(r.ev, f.Code, after)
-	m.withdraw(r)
-	m.refuseWith(r.ev, Refuse{Code: f.Code, RetryAfter: after, Scheduler: a.to, Excess: f.Excess, Ahead: f.Ahead})
+	after = m.capRetryAfter(r.ev, f.Code, after)
+	m.withdrawRequest(r)
+	m.refuseWith(r.ev, Refuse{Code: f.Code, RetryAfter: after, Scheduler: sent.to, Excess: f.Excess, Ahead: f.Ahead})
 }
 
-// isOfTargets says whether a shard refused for want of a target that may serve: another shard
-// may have one.
-func isOfTargets(code result.Code) bool {
+// isTargetShortage reports whether a shard refused for lack of a target that may serve:
+// another shard may have one.
+func isTargetShortage(code result.Code) bool {
 	switch code {
 	case result.NoTarget, result.TargetsEvacuated, result.NoHomeTarget, result.TargetsUnavailable:
 		return true
@@ -281,21 +283,21 @@
 	return false
 }
 
-// nextShard chooses one more shard to ask: one with free slots, else one whose
-// state is not known, else any while few were asked.
+// nextShard chooses one more shard to ask: one with free slots, otherwise one whose state
+// is unknown, otherwise any while few were asked.
 func (m *Machine) nextShard(r *request) (ShardID, bool) {
-	open, found := ShardID{}, false
-	waits := 0
-	for _, a := range r.asks {
-		if !a.refused {
-			waits++
+	fallback, found := ShardID{}, false
+	openTickets := 0
+	for _, sent := range r.tickets {
+		if !sent.refused {
+			openTickets++
 		}
 	}
-	if waits >= maxAsks && m.opts.Policy != PolicyAlone {
-		return open, false
+	if openTickets >= maxTicketsPerRequest && m.opts.Policy != PolicyAlone {
+		return fallback, false
 	}
 	for _, id := range r.shards {
-		if r.hasAsked(id) {
+		if r.hasTicketAt(id) {
 			continue
 		}
 		h := m.freshHint(id)
@@ -303,44 +305,44 @@
 			h.spare--
 			return id, true
 		}
-		if !found && (h == nil || waits < usualAsks || m.opts.Policy == PolicyAlone) {
-			open, found = id, true
+		if !found && (h == nil || openTickets < usualTicketsPerRequest || m.opts.Policy == PolicyAlone) {
+			fallback, found = id, true
 		}
 	}
-	return open, found
+	return fallback, found
 }
 
-// askFirst sends a new request's ticket to its first shard and, if that one's
-// backlog is deep, at once to another whose backlog is not.
-func (m *Machine) askFirst(r *request) {
-	m.ask(r, r.shards[0])
-	if !m.deep(r.shards[0]) {
+// sendFirstTickets sends a new request's ticket to its first shard and, if the backlog
+// there is deep, at once to another whose backlog is not.
+func (m *Machine) sendFirstTickets(r *request) {
+	m.addTicket(r, r.shards[0])
+	if !m.hasDeepBacklog(r.shards[0]) {
 		return
 	}
 	for _, id := range r.shards[1:] {
-		if !m.deep(id) {
-			m.ask(r, id)
+		if !m.hasDeepBacklog(id) {
+			m.addTicket(r, id)
 			return
 		}
 	}
 }
 
-// deep says that so many tickets wait in a shard that none of its slots falls
-// idle before this node hears of it again.
-func (m *Machine) deep(id ShardID) bool {
+// hasDeepBacklog reports whether so many tickets wait in a shard that none of its slots
+// becomes idle before this node receives its state again.
+func (m *Machine) hasDeepBacklog(id ShardID) bool {
 	if m.opts.Policy == PolicyAlone {
-		return false // its queues are all here, and asking is free
+		return false // all queues are local, and asking costs nothing
 	}
 	h := m.freshHint(id)
 	decl := m.topo.shards[id]
-	return h != nil && decl != nil && -h.spare >= deepFactor*decl.slots
+	return h != nil && decl != nil && -h.spare >= deepBacklogPerSlot*decl.slots
 }
 
-func (r *request) hasAsked(id ShardID) bool {
-	return slices.ContainsFunc(r.asks, func(a *ask) bool { return a.shard == id })
+func (r *request) hasTicketAt(id ShardID) bool {
+	return slices.ContainsFunc(r.tickets, func(sent *sentTicket) bool { return sent.shard == id })
 }
 
-func (m *Machine) hint(id ShardID, spare int) {
+func (m *Machine) recordHint(id ShardID, spare int) {
 	h := m.entry.hints[id]
 	if h == nil {
 		h = &shardHint{}
@@ -349,43 +351,43 @@
 	h.at, h.spare = m.now, spare
 }
 
-// freshHint returns what was heard of a shard of late, or nil.
+// freshHint returns the recently reported state of a shard, or nil.
 func (m *Machine) freshHint(id ShardID) *shardHint {
 	h := m.entry.hints[id]
-	if h == nil || m.now-h.at > hintTime {
+	if h == nil || m.now-h.at > hintLifetime {
 		return nil
 	}
 	return h
 }
 
-// cancelAsks withdraws a request's tickets, but for the one at the shard except.
-func (m *Machine) cancelAsks(r *request, except ShardID) {
-	for _, a := range r.asks {
-		if a.shard != except && !a.refused {
-			m.send(a.to, CancelTicket{Ticket: r.id, Shard: a.shard})
+// cancelTickets withdraws a request's tickets, except for the one at the shard except.
+func (m *Machine) cancelTickets(r *request, except ShardID) {
+	for _, sent := range r.tickets {
+		if sent.shard != except && !sent.refused {
+			m.send(sent.to, CancelTicket{Ticket: r.id, Shard: sent.shard})
 		}
 	}
 }
 
-// entryTick probes shards whose state is not known while requests wait.
+// entryTick probes shards whose state is unknown while requests wait.
 func (m *Machine) entryTick() {
-	if m.now < m.entry.nextProbe {
+	if m.now < m.entry.nextProbeAt {
 		return
 	}
-	m.entry.nextProbe = m.now + hintTime
-	maps.DeleteFunc(m.entry.beyondShare, func(_ workspaceAt, at Instant) bool { return m.now-at > fullKept })
-	for _, pool := range sortedKeys(m.entry.pools) {
+	m.entry.nextProbeAt = m.now + hintLifetime
+	maps.DeleteFunc(m.entry.beyondShareAt, func(_ shardWorkspace, at Instant) bool { return m.now-at > overloadedFor })
+	for _, pool := range sortedKeys(m.entry.waitingByPool) {
 		for _, id := range m.topo.pools[pool] {
 			if m.freshHint(id) == nil {
-				m.offer(id, 1)
+				m.offerTickets(id, 1)
 			}
 		}
 	}
 }
 
-// offer sends tickets of waiting requests to a shard that did not get them yet.
-func (m *Machine) offer(id ShardID, count int) {
-	waiting := m.entry.pools[id.Pool]
+// offerTickets sends tickets of waiting requests to a shard that has not received them yet.
+func (m *Machine) offerTickets(id ShardID, count int) {
+	waiting := m.entry.waitingByPool[id.Pool]
 	if waiting == nil {
 		return
 	}
@@ -393,8 +395,8 @@
 	for e := waiting.Front(); e != nil && count > 0 && looked < count+probeDepth; e = e.Next() {
 		looked++
 		r := e.Value.(*request)
-		if len(r.asks) < maxAsks && slices.Contains(r.shards, id) && !r.hasAsked(id) {
-			m.ask(r, id)
+		if len(r.tickets) < maxTicketsPerRequest && slices.Contains(r.shards, id) && !r.hasTicketAt(id) {
+			m.addTicket(r, id)
 			count--
 		}
 	}
--- a/control/timers.go
+++ b/control/timers.go
@@ -2,42 +2,43 @@
 
 import "container/heap"
 
-// timer is one pending moment of an object. The zero value is not set.
+// timer is a pending wake-up of an object. The zero value is not set.
 type timer struct {
-	at    Instant
-	seq   uint64
-	place int // index in the heap plus one; zero if not set
-	owner timed
+	at      Instant
+	seq     uint64
+	heapPos int // index in the heap plus 1; 0 if not set
+	owner   timerOwner
 }
 
-// timed is an object with a timer.
-type timed interface{ fire(m *Machine) }
+// timerOwner is an object with a timer.
+type timerOwner interface{ fire(m *Machine) }
 
-// timers is a heap of timers; those of the same time fire in the order set.
+// timers is a heap of timers; timers with the same time fire in the order in which they
+// were set.
 type timers struct {
 	heap []*timer
 	seq  uint64
 }
 
 // set sets or moves a timer.
-func (ts *timers) set(t *timer, owner timed, at Instant) {
+func (ts *timers) set(t *timer, owner timerOwner, at Instant) {
 	ts.seq++
 	t.at, t.seq, t.owner = at, ts.seq, owner
-	if t.place > 0 {
-		heap.Fix(ts, t.place-1)
+	if t.heapPos > 0 {
+		heap.Fix(ts, t.heapPos-1)
 		return
 	}
 	heap.Push(ts, t)
 }
 
-// stop unsets a timer.
+// stop cancels a timer.
 func (ts *timers) stop(t *timer) {
-	if t.place > 0 {
-		heap.Remove(ts, t.place-1)
+	if t.heapPos > 0 {
+		heap.Remove(ts, t.heapPos-1)
 	}
 }
 
-// first returns the earliest time set; false if none is.
+// first returns the earliest time set; false if no timer is set.
 func (ts *timers) first() (Instant, bool) {
 	if len(ts.heap) == 0 {
 		return 0, false
@@ -45,7 +46,7 @@
 	return ts.heap[0].at, true
 }
 
-// pop unsets and returns the first timer that is due, or nil.
+// pop removes and returns the first timer that is due, or nil.
 func (ts *timers) pop(now Instant) *timer {
 	if len(ts.heap) == 0 || ts.heap[0].at > now {
 		return nil
@@ -68,14 +69,14 @@
 // Swap implements heap.Interface.
 func (ts *timers) Swap(i, j int) {
 	ts.heap[i], ts.heap[j] = ts.heap[j], ts.heap[i]
-	ts.heap[i].place = i + 1
-	ts.heap[j].place = j + 1
+	ts.heap[i].heapPos = i + 1
+	ts.heap[j].heapPos = j + 1
 }
 
 // Push implements heap.Interface.
 func (ts *timers) Push(x any) {
 	t := x.(*timer)
-	t.place = len(ts.heap) + 1
+	t.heapPos = len(ts.heap) + 1
 	ts.heap = append(ts.heap, t)
 }
 
@@ -85,6 +86,6 @@
 	t := ts.heap[last]
 	ts.heap[last] = nil
 	ts.heap = ts.heap[:last]
-	t.place = 0
+	t.heapPos = 0
 	return t
 }
--- a/control/topology.go
+++ b/control/topology.go
@@ -10,7 +10,7 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// topology is what the machine derives from a configuration version.
+// topology is the state that the machine derives from a configuration version.
 type topology struct {
 	order config.Order
 	decl  *config.Declarations
@@ -19,15 +19,16 @@
 	shards map[ShardID]*shardDecl
 	// objectives holds the tightest objective of the routes to each pool.
 	objectives map[string]time.Duration
-	// groups is how many groups the workspaces are accounted for in.
+	// groups is the number of groups into which workspaces are divided for accounting.
 	groups uint64
 }
 
-// accountGroupSize is about how many declared workspaces are accounted for at
-// one node, so that a scheduler exchanges few messages.
+// accountGroupSize is the approximate number of declared workspaces accounted for at one
+// node, so that a scheduler exchanges few messages.
 const accountGroupSize = 64
 
-// accountGroups is a power of two, so that a few more workspaces move nothing.
+// accountGroups returns the number of account groups. It is a power of two, so that a few
+// more workspaces do not change it.
 func accountGroups(workspaces int) uint64 {
 	groups := uint64(1)
 	for groups*accountGroupSize < uint64(workspaces) {
@@ -36,15 +37,16 @@
 	return groups
 }
 
-// shardDecl is the declared side of a shard.
+// shardDecl is the declared part of a shard.
 type shardDecl struct {
 	id ShardID
 	// hash is the shard's key for rendezvous hashing.
 	hash uint64
-	// targets and open hold the names of all targets and of those that take work.
-	targets []string
-	open    []string
-	// slots is how many runs the shard serves at once, as declared.
+	// targets and accepting hold the names of all targets and of those that accept new
+	// requests.
+	targets   []string
+	accepting []string
+	// slots is the declared number of runs that the shard serves at once.
 	slots int
 }
 
@@ -58,7 +60,7 @@
 		groups:     accountGroups(len(s.Declarations.Workspaces)),
 	}
 	for name, target := range s.Declarations.Targets {
-		t.add(name, target)
+		t.addTarget(name, target)
 	}
 	for _, route := range s.Declarations.Routes {
 		t.addObjective(route)
@@ -68,12 +70,12 @@
 	}
 	for _, d := range t.shards {
 		slices.Sort(d.targets)
-		slices.Sort(d.open)
+		slices.Sort(d.accepting)
 	}
 	return t
 }
 
-func (t *topology) add(name string, target config.Target) {
+func (t *topology) addTarget(name string, target config.Target) {
 	id := t.shardFor(target)
 	d := t.shards[id]
 	if d == nil {
@@ -84,7 +86,7 @@
 	d.targets = append(d.targets, name)
 	d.slots += max(1, target.Slots)
 	if target.TakesWork() {
-		d.open = append(d.open, name)
+		d.accepting = append(d.accepting, name)
 	}
 }
 
@@ -110,8 +112,8 @@
 	return t.shardFor(decl), ok
 }
 
-// shardFor returns the shard that schedules a target: that of its pool in its
-// data centre, or the only one of a pool with one queue.
+// shardFor returns the shard that schedules a target: that of its pool in its data centre,
+// or the only one of a pool with a single queue.
 func (t *topology) shardFor(target config.Target) ShardID {
 	if t.decl.Pools[target.Pool].OneQueue {
 		return ShardID{Pool: target.Pool}
@@ -120,20 +122,21 @@
 }
 
 // share returns the weight of a workspace; 1 if it is unknown.
-func (t *topology) share(workspace string) float64 {
+func (t *topology) shareOf(workspace string) float64 {
 	if ws, ok := t.decl.Workspaces[workspace]; ok && ws.Share > 0 {
 		return ws.Share
 	}
 	return 1
 }
 
-// mayRun reports whether a target is declared, takes work and may serve a workspace.
+// mayRun reports whether a target is declared, accepts new requests and may serve a
+// workspace.
 func (t *topology) mayRun(target, workspace string, excluded []string) bool {
 	return t.decl.Targets[target].TakesWork() && t.isAllowed(target, workspace, excluded)
 }
 
 // isAllowed reports whether a target is declared and may serve a workspace, regardless of
-// whether it takes work.
+// whether it accepts new requests.
 func (t *topology) isAllowed(target, workspace string, excluded []string) bool {
 	decl, ok := t.decl.Targets[target]
 	if !ok || slices.Contains(excluded, target) {
@@ -149,10 +152,10 @@
 	return len(ws.Targets) == 0 || slices.Contains(ws.Targets, target)
 }
 
-// serves reports whether a shard has a target that takes work, may serve a request and is in
-// one of the allowed regions.
+// serves reports whether a shard has a target that accepts new requests, may serve a
+// request and is in one of the allowed regions.
 func (t *topology) serves(id ShardID, ev RequestArrived, regions config.AllowedRegions) bool {
-	names := t.shards[id].open
+	names := t.shards[id].accepting
 	if only := t.decl.Workspaces[ev.Workspace].Targets; len(only) > 0 {
 		names = only
 	}
@@ -179,7 +182,7 @@
 			case decl.Evacuated:
 				return result.TargetsEvacuated
 			default:
-				code = result.TargetsUnavailable // only the request excludes it
+				code = result.TargetsUnavailable // excluded only by the request itself
 			}
 		}
 	}
@@ -191,14 +194,14 @@
 	return t.decl.AllowedRegions(ev.Route, ev.Workspace)
 }
 
-// mayServe reports whether a target is declared, takes work, may serve the workspace of a
-// request and is in a region allowed for it.
+// mayServe reports whether a target is declared, accepts new requests, may serve the
+// workspace of a request and is in a region allowed for it.
 func (t *topology) mayServe(target string, ev RequestArrived) bool {
 	return t.mayRun(target, ev.Workspace, ev.Excluded) && t.allowedRegions(ev).Allows(t.decl.Targets[target].Region)
 }
 
-// candidates returns the shards of a pool that may serve a workspace: the near
-// one first, then the others in an order that differs between requests.
+// candidates returns the shards of a pool that may serve a workspace: the one in the near
+// data centre first, then the others in an order that differs between requests.
 func (t *topology) candidates(ev RequestArrived, near string) []ShardID {
 	var ids []ShardID
 	regions := t.allowedRegions(ev)
@@ -207,12 +210,12 @@
 			ids = append(ids, id)
 		}
 	}
-	turn := uint64(ev.Request)
+	seed := uint64(ev.Request)
 	sort.SliceStable(ids, func(i, j int) bool {
 		if a, b := ids[i].DataCentre == near, ids[j].DataCentre == near; a != b {
 			return a
 		}
-		return member.Score(t.shards[ids[i]].hash, turn) > member.Score(t.shards[ids[j]].hash, turn)
+		return member.Score(t.shards[ids[i]].hash, seed) > member.Score(t.shards[ids[j]].hash, seed)
 	})
 	return ids
 }
--- a/control/watch_test.go
+++ b/control/watch_test.go
@@ -43,7 +43,7 @@
 	if _, dispatch, _ := f.arrive("a", own(1)); dispatch == nil {
 		t.Error("no grant from a router that knows no other")
 	}
-	if targets, told := watchedTargets(f.pass(watchAfter - 100*time.Millisecond)); told {
+	if targets, told := watchedTargets(f.pass(watchDelay - 100*time.Millisecond)); told {
 		t.Errorf("watches %v before it can have heard of others", targets)
 	}
 	f.hearsLarger()
@@ -56,7 +56,7 @@
 // once another one owns them.
 func TestLoneRouterWatches(t *testing.T) {
 	f := newTokenFleet("e1", "e2")
-	if targets, _ := watchedTargets(f.pass(watchAfter + 100*time.Millisecond)); len(targets) != 2 {
+	if targets, _ := watchedTargets(f.pass(watchDelay + 100*time.Millisecond)); len(targets) != 2 {
 		t.Errorf("watches %v", targets)
 	}
 	commands := f.hearsLarger()
