--- a/control/accounting.go
+++ b/control/accounting.go
@@ -109,9 +109,9 @@
 	return m.opts.Policy == PolicyAlone || m.view.Others() == 0
 }
 
-// commitLift makes a flow's lift part of the workspace's level. While the fleet-wide level
-// is unknown, the lift stays with the flow: if it were reported to others, it would erase
-// the workspace's credit.
+// commitLift makes a flow's lift, by which its level was raised when it began to wait, part
+// of the workspace's level. While the fleet-wide level is unknown, the lift stays with the
+// flow: if it were reported to others, it would erase the workspace's credit.
 func (m *Machine) commitLift(w *workspace, flow *sched.Flow[*queuedTicket]) {
 	if !m.isOnlyScheduler() && !w.account.Known() {
 		return
@@ -148,8 +148,8 @@
 	return e
 }
 
-// updateFlows passes the workspace's new total to its flows, of which the given shard
-// contributed amount.
+// updateFlows passes the workspace's new total to its flows. amount is the part of the
+// change that the given shard contributed.
 func (w *workspace) updateFlows(s *shard, amount float64) {
 	total := w.account.Total()
 	for id, f := range w.flows {
--- a/control/cold.go
+++ b/control/cold.go
@@ -154,7 +154,7 @@
 // armCold sets the timer of a cold target that may not be granted now to the time at which
 // it may be.
 func (m *Machine) armCold(t *target) {
-	if !t.isCold(m.now) || m.now < t.downUntil || t.coldRoom(m.now) > 0 {
+	if !t.isCold(m.now) || m.now < t.backoffUntil || t.coldRoom(m.now) > 0 {
 		return
 	}
 	at := t.coldUntil
--- a/control/deferred.go
+++ b/control/deferred.go
@@ -61,14 +61,14 @@
 
 // setWaitLimits sets how long a ticket of a pool that counts in slots may wait.
 func (m *Machine) setWaitLimits(q *queuedTicket) {
-	answer := time.Duration(0) // objectives of streams apply to the first event
+	answerTime := time.Duration(0) // objectives of streams apply to the first event
 	if m.topo.decl.Pools[q.shard.id.Pool].Kind == config.KindService {
-		answer = q.shard.meanService()
+		answerTime = q.shard.meanService()
 	}
-	q.latestStart = max(m.now, q.deadline-answer)
+	q.latestStart = max(m.now, q.deadline-answerTime)
 	q.waitUntil = q.latestStart
-	if objective := q.ticket.Objective; objective > answer {
-		q.waitUntil = min(q.waitUntil, m.now+scale(timelyWaitFraction, objective-answer))
+	if objective := q.ticket.Objective; objective > answerTime {
+		q.waitUntil = min(q.waitUntil, m.now+scale(timelyWaitFraction, objective-answerTime))
 	}
 }
 
--- a/control/entry.go
+++ b/control/entry.go
@@ -29,7 +29,7 @@
 	ended     map[endedKey]*endedRun
 	// workspaces counts the waiting requests here by workspace.
 	workspaces map[string]*workspaceBacklog
-	// waitingByPool holds the requests that wait here, oldest first.
+	// waitingByPool holds the requests that wait here by pool, oldest first.
 	waitingByPool map[string]*list.List
 	hints         map[ShardID]*shardHint
 	// overloadedAt is when another node's scheduler last refused a request for lack of
@@ -118,7 +118,7 @@
 	}
 	r := &request{ev: ev, shards: shards, regions: m.topo.allowedRegions(ev)}
 	m.addWaiting(r)
-	m.newTicket(r)
+	m.assignTicketID(r)
 	m.sendFirstTickets(r)
 }
 
@@ -176,12 +176,12 @@
 // retryAfter estimates how long the workspace's queue here takes to empty and adds jitter,
 // so that refused callers do not retry all at once.
 func (m *Machine) retryAfter(workspace string) time.Duration {
-	drain := minRetryAfter
+	wait := minRetryAfter
 	if w := m.entry.workspaces[workspace]; w != nil && w.count > 0 {
 		perGrant := (m.now - w.since) / time.Duration(w.grants+1)
-		drain = min(max(perGrant*time.Duration(w.count), minRetryAfter), maxRetryAfter)
+		wait = min(max(perGrant*time.Duration(w.count), minRetryAfter), maxRetryAfter)
 	}
-	return m.jitter(drain)
+	return m.jitter(wait)
 }
 
 // addWaiting counts a request as waiting here.
@@ -267,7 +267,7 @@
 			r.regions = regions
 			m.cancelTickets(r, ShardID{})
 			r.tickets = nil
-			m.newTicket(r)
+			m.assignTicketID(r)
 			m.sendFirstTickets(r)
 		}
 	}
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -52,13 +52,13 @@
 }
 
 func (m *Machine) heartbeat() Heartbeat {
-	beat := Heartbeat{Incarnation: m.epoch, Leaving: m.draining, Follows: m.fleet.feeds.following}
+	msg := Heartbeat{Incarnation: m.epoch, Leaving: m.draining, Follows: m.fleet.feeds.following}
 	if m.topo != nil {
-		beat.ConfigVersion = uint64(m.topo.order.Version)
-		beat.ConfigRevision = m.topo.order.Config
-		beat.TargetsRevision = m.topo.order.Targets
+		msg.ConfigVersion = uint64(m.topo.order.Version)
+		msg.ConfigRevision = m.topo.order.Config
+		msg.TargetsRevision = m.topo.order.Targets
 	}
-	return beat
+	return msg
 }
 
 func (m *Machine) heartbeatReceived(from NodeID, msg Heartbeat) {
@@ -75,13 +75,13 @@
 
 // hasNewerState reports whether a heartbeat announces a newer configuration, or a newer
 // listing of targets, than this node has.
-func (m *Machine) hasNewerState(beat Heartbeat) bool {
+func (m *Machine) hasNewerState(msg Heartbeat) bool {
 	if m.topo == nil {
 		return true
 	}
 	own := m.topo.order
-	rewritten := beat.ConfigVersion == uint64(own.Version) && beat.ConfigRevision > own.Config
-	return beat.ConfigVersion > uint64(own.Version) || rewritten || beat.TargetsRevision > own.Targets
+	rewritten := msg.ConfigVersion == uint64(own.Version) && msg.ConfigRevision > own.Config
+	return msg.ConfigVersion > uint64(own.Version) || rewritten || msg.TargetsRevision > own.Targets
 }
 
 func (m *Machine) suspectNoticeReceived(from NodeID, msg SuspectNotice) {
@@ -163,7 +163,7 @@
 		m.fleet.assignedVersion = m.view.Version()
 		clear(m.fleet.owners)
 		m.fleet.feeds.roleStale = true
-		m.reassign()
+		m.reassignShards()
 		m.updateColdLimits()
 		m.dropUnreachable()
 		m.resendMoved()
--- a/control/grants.go
+++ b/control/grants.go
@@ -247,7 +247,7 @@
 // fire implements timerOwner.
 func (g *grant) fire(m *Machine) {
 	if m.now >= g.reportedAt+grantLease {
-		m.reclaim(g)
+		m.reclaimGrant(g)
 		return
 	}
 	if !g.confirmed && m.now >= g.sentAt+confirmTimeout {
--- a/control/local.go
+++ b/control/local.go
@@ -20,6 +20,7 @@
 // the owner does not answer and the pool is overloaded. Such a node does not see the grants
 // of other nodes, so full targets look idle to it.
 type localLimit struct {
+	// credit is the service, in seconds, that may still be granted.
 	credit    float64
 	updatedAt Instant
 }
@@ -61,8 +62,8 @@
 // workspace whose callers use all nodes would get all parts, and one whose callers use only
 // a few nodes only theirs.
 func (m *Machine) exceedsLocalLimit(s *shard, workspace string, task sched.EngineTask) bool {
-	fullAt, wasFull := m.entry.overloadedAt[s.id]
-	if s.owned || !wasFull || m.now-fullAt > overloadedFor {
+	refusedAt, wasOverloaded := m.entry.overloadedAt[s.id]
+	if s.owned || !wasOverloaded || m.now-refusedAt > overloadedFor {
 		return false
 	}
 	if m.isBeyondShare(s.id, workspace) {
--- a/control/place.go
+++ b/control/place.go
@@ -96,15 +96,15 @@
 	return defaultMaxWait
 }
 
-// placement is a choice of target for a ticket and the prediction it rests on.
+// placement is a possible target for a ticket, with its predicted start and cost.
 type placement struct {
 	target *target
 	// start is the predicted time from now until the answer begins.
 	start time.Duration
 	// reads is the number of prompt tokens that the target has to read.
 	reads int
-	// fetchFrom has the shared parts that the target lacks in its cache; nil if they are
-	// not to be fetched.
+	// fetchFrom is the target whose cache provides the shared parts that this one lacks;
+	// nil if they are not to be fetched.
 	fetchFrom *target
 	cost      time.Duration
 }
@@ -145,8 +145,8 @@
 	return t.engine.Reads(task)
 }
 
-// chooseTokenTarget returns the target of a class with the lowest cost for a queued ticket;
-// without a target if none can take it now.
+// chooseTokenTarget returns the target of a class with the lowest cost for a queued ticket.
+// The placement has no target if none can take the ticket now.
 func (m *Machine) chooseTokenTarget(c *class, q *queuedTicket) placement {
 	policy := &m.opts.Tokens
 	limit := m.maxWait(q.shard)
@@ -213,7 +213,8 @@
 }
 
 // bestCacheHolder returns the target that has most of the shared parts of a prompt in its
-// cache; of several, the one with the shortest wait. Without a target if none has any.
+// cache; of several, the one with the shortest wait. The candidate has no target if none
+// has any of them.
 func (m *Machine) bestCacheHolder(all []candidate, task sched.EngineTask) candidate {
 	var holder candidate
 	if len(task.Parts) < 2 {
@@ -221,7 +222,7 @@
 	}
 	shared := task.Shared()
 	for _, c := range all {
-		if c.sharedReads >= shared || m.now < c.target.downUntil {
+		if c.sharedReads >= shared || m.now < c.target.backoffUntil {
 			continue
 		}
 		if holder.target == nil || c.sharedReads < holder.sharedReads || c.sharedReads == holder.sharedReads && c.wait < holder.wait {
--- a/control/rank.go
+++ b/control/rank.go
@@ -6,7 +6,7 @@
 	"github.com/walnutcove/walnutcove/control/policy"
 )
 
-// Order and refusal of requests at targets that count their work in tokens.
+// Precedence and refusal of requests at targets that count their work in tokens.
 
 const (
 	// refusedRetention is how long a refused request is recognised when it is retried.
@@ -40,8 +40,8 @@
 // isExcess reports whether a request exceeds its workspace's share.
 func (r rank) isExcess() bool { return r == rankExcess || r == rankReturning }
 
-// spareFor returns how much of a target a rank may use. Returning requests keep a part, so
-// that lightly loaded engines do not refuse them.
+// spareFor returns how much of a target a rank may use. Returning requests may use a part,
+// so that lightly loaded engines do not refuse them.
 func (m *Machine) spareFor(r rank) policy.Spare {
 	switch r {
 	case rankExcess:
--- a/control/release.go
+++ b/control/release.go
@@ -17,7 +17,7 @@
 	}
 	g := m.sched.grants[r.Grant]
 	if g == nil {
-		m.adopt(from, r)
+		m.adoptRun(from, r)
 		return
 	}
 	g.from = from
@@ -29,10 +29,10 @@
 	}
 }
 
-// adopt counts a run that another scheduler granted, or that this one had given up. It
+// adoptRun counts a run that another scheduler granted, or that this one had given up. It
 // sends the grant to the entry as unconfirmed: if the report was late and the run has
 // ended, the entry returns it.
-func (m *Machine) adopt(from NodeID, r Report) {
+func (m *Machine) adoptRun(from NodeID, r Report) {
 	if !m.mayScheduleHere() {
 		return
 	}
@@ -164,8 +164,8 @@
 	}
 }
 
-// reclaim frees the slot of a grant on which no reports arrive.
-func (m *Machine) reclaim(g *grant) {
+// reclaimGrant frees the slot of a grant on which no reports arrive.
+func (m *Machine) reclaimGrant(g *grant) {
 	m.counters.GrantsReclaimed++
 	g.target.window.Released(m.now)
 	m.settleGrant(g, g.usedTime(m.now, g.reportedAt-g.grantedAt))
@@ -193,7 +193,7 @@
 	}
 	slices.SortFunc(gone, func(a, b *grant) int { return compareGrants(a.id, b.id) })
 	for _, g := range gone {
-		m.reclaim(g)
+		m.reclaimGrant(g)
 	}
 }
 
--- a/control/remembered.go
+++ b/control/remembered.go
@@ -18,30 +18,30 @@
 }
 
 // add adds a key; a later expiry that is already set stays.
-func (r *expiringSet) add(now Instant, key any, ttl time.Duration) {
-	r.expire(now)
+func (s *expiringSet) add(now Instant, key any, ttl time.Duration) {
+	s.expire(now)
 	until := now + ttl
-	if r.until[key] >= until {
+	if s.until[key] >= until {
 		return
 	}
-	r.until[key] = until
-	r.order = append(r.order, expiringKey{key, until})
+	s.until[key] = until
+	s.order = append(s.order, expiringKey{key, until})
 }
 
 // has reports whether a key is in the set and has not expired.
-func (r *expiringSet) has(now Instant, key any) bool {
-	until, ok := r.until[key]
+func (s *expiringSet) has(now Instant, key any) bool {
+	until, ok := s.until[key]
 	return ok && now < until
 }
 
 // expire removes expired keys. Keys are only approximately ordered by time, so some stay a
 // little longer.
-func (r *expiringSet) expire(now Instant) {
-	for len(r.order) > 0 && r.order[0].until <= now {
-		first := r.order[0]
-		if r.until[first.key] <= now {
-			delete(r.until, first.key)
+func (s *expiringSet) expire(now Instant) {
+	for len(s.order) > 0 && s.order[0].until <= now {
+		first := s.order[0]
+		if s.until[first.key] <= now {
+			delete(s.until, first.key)
 		}
-		r.order = r.order[1:]
+		s.order = s.order[1:]
 	}
 }
--- a/control/runs.go
+++ b/control/runs.go
@@ -52,7 +52,7 @@
 func (m *Machine) grantReceived(from NodeID, g Grant) {
 	if run := m.entry.runs[g.ID]; run != nil {
 		// The scheduler does not know of the run yet.
-		run.addTold(from)
+		run.markTold(from)
 		m.send(from, run.report(m.now, PhaseRunning))
 		return
 	}
@@ -144,7 +144,7 @@
 }
 
 // replaceTickets requests another grant after one for a target that this node's
-// configuration version does not let the request use.
+// configuration version, or a notice of the target, does not let the request use.
 func (m *Machine) replaceTickets(r *request, target string) {
 	m.cancelTickets(r, ShardID{})
 	r.ev.Excluded = append(r.ev.Excluded[:len(r.ev.Excluded):len(r.ev.Excluded)], target)
@@ -157,7 +157,7 @@
 		m.refuseNoCandidate(r.ev)
 		return
 	}
-	m.newTicket(r)
+	m.assignTicketID(r)
 	m.addTicket(r, r.shards[0])
 }
 
@@ -188,8 +188,8 @@
 	}
 }
 
-// addTold records that a node is informed of the run.
-func (r *run) addTold(node NodeID) {
+// markTold records that a node is informed of the run.
+func (r *run) markTold(node NodeID) {
 	if !slices.Contains(r.toldNodes, node) {
 		r.toldNodes = append(r.toldNodes, node)
 	}
@@ -261,6 +261,6 @@
 func (m *Machine) reportRunning(r *run, report Report) {
 	m.timers.set(&r.timer, r, m.now+reportInterval)
 	r.reportedTo = m.owner(r.shard)
-	r.addTold(r.reportedTo)
+	r.markTold(r.reportedTo)
 	m.send(r.reportedTo, report)
 }
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -78,7 +78,7 @@
 		m.sched.workspaces[name].applyConfig(m)
 	}
 	clear(m.fleet.owners)
-	m.reassign()
+	m.reassignShards()
 	for _, s := range m.sched.sortedShards() {
 		m.declareTargets(s)
 	}
@@ -86,9 +86,9 @@
 	m.sendHeartbeats()
 }
 
-// reassign creates the shards that this node owns and releases the others once they have no
-// work.
-func (m *Machine) reassign() {
+// reassignShards creates the shards that this node owns and releases the others once they
+// have no work.
+func (m *Machine) reassignShards() {
 	if m.topo == nil {
 		return
 	}
@@ -271,7 +271,7 @@
 		f.Code = result.DeadlineBeforeGrant
 	case m.isConvicted(t.Fingerprint):
 		f.Code = result.Quarantined
-	case m.classUnservable(s, c):
+	case m.isClassUnservable(s, c):
 		f.Code = m.unservableCode(s, c)
 		f.RetryAfter = m.jitter(2 * minRetryAfter)
 	default:
--- a/control/shard.go
+++ b/control/shard.go
@@ -170,17 +170,17 @@
 
 // classOf returns the class of a ticket.
 func (m *Machine) classOf(s *shard, t Ticket, r rank) *class {
-	name, only := "", ""
+	name, onlyWorkspace := "", ""
 	ws, known := m.topo.decl.Workspaces[t.Workspace]
 	if known && (len(ws.Targets) > 0 || !slices.Contains(ws.Pools, s.id.Pool)) {
-		only = t.Workspace
+		onlyWorkspace = t.Workspace
 	}
 	// A crashed engine ran some tens of requests. Keeping all of them on separate targets
 	// would leave the other engines idle; a request that crashes a second one is convicted
 	// anyway.
 	suspect := m.isSuspect(t.Fingerprint) && !m.countsTokens(s)
-	if only != "" || len(t.Excluded) > 0 || suspect {
-		name = only + "\x00" + strings.Join(t.Excluded, "\x00")
+	if onlyWorkspace != "" || len(t.Excluded) > 0 || suspect {
+		name = onlyWorkspace + "\x00" + strings.Join(t.Excluded, "\x00")
 	}
 	if suspect {
 		name += "\x00\x00suspect"
@@ -193,7 +193,7 @@
 	}
 	c := s.classes[name]
 	if c == nil {
-		c = &class{name: name, workspace: only, excluded: t.Excluded, regions: t.AllowedRegions, suspect: suspect, rank: r}
+		c = &class{name: name, workspace: onlyWorkspace, excluded: t.Excluded, regions: t.AllowedRegions, suspect: suspect, rank: r}
 		s.classes[name] = c
 		m.fillClass(s, c)
 	}
@@ -211,9 +211,9 @@
 	}
 }
 
-// classUnservable reports whether no target of the class can be expected to serve soon.
+// isClassUnservable reports whether no target of the class can be expected to serve soon.
 // Targets of a shard that this node's configuration does not contain yet may serve.
-func (m *Machine) classUnservable(s *shard, c *class) bool {
+func (m *Machine) isClassUnservable(s *shard, c *class) bool {
 	if m.topo.shards[s.id] == nil {
 		return false
 	}
--- a/control/slots.go
+++ b/control/slots.go
@@ -46,8 +46,7 @@
 	return next
 }
 
-// usedTime returns the slot time of a run whose service time, as measured by the entry, is
-// given.
+// usedTime returns the slot time of a run, given the service time that the entry measured.
 func (g *grant) usedTime(now Instant, service time.Duration) time.Duration {
 	if g.waitsInTarget || g.startedAt == g.grantedAt && !g.adopted {
 		return service
--- a/control/status.go
+++ b/control/status.go
@@ -11,22 +11,22 @@
 	TicketsSent           uint64
 	TicketsResent         uint64
 	TicketsQueued         uint64
-	TicketsLapsed         uint64
-	TicketsHopeless       uint64
+	TicketsLapsed         uint64 // dropped as their entry no longer refreshed them or became unreachable
+	TicketsHopeless       uint64 // refused while waiting: no target can be expected to serve them, or the request was convicted
 	TicketsOverloaded     uint64
 	TicketsDeferred       uint64
-	TicketsLocal          uint64
-	UnreadWhileOwed       uint64
+	TicketsLocal          uint64 // sent to this node's own queue after no answer
+	UnreadWhileOwed       uint64 // requests refused unread while their workspace had share left and a target had room
 	ShareGaps             uint64
 	Dispatches            uint64
 	GrantsMade            uint64
 	GrantsResent          uint64
 	GrantsReturned        uint64
-	GrantsWithheld        uint64
+	GrantsWithheld        uint64 // returned because of a notice of their target
 	GrantsAdopted         uint64
 	GrantsEnded           uint64
 	GrantsReclaimed       uint64
-	GrantsDisowned        uint64
+	GrantsDisowned        uint64 // no longer tracked as their entry node was unreachable
 	ReportsResent         uint64
 	SchedulersUnanswering uint64
 	NodesSuspected        uint64
@@ -35,7 +35,7 @@
 	Convictions           uint64
 	MessagesSent          uint64
 	StaleMessages         uint64
-	Thaws                 uint64
+	Thaws                 uint64 // long pauses of the process
 }
 
 // Counters returns the counts so far.
@@ -161,7 +161,7 @@
 			Room:      t.room(m.now),
 			Leaving:   t.leaving || t.reportedLeaving,
 			Evacuated: t.evacuated,
-			DownFor:   max(0, t.downUntil-m.now),
+			DownFor:   max(0, t.backoffUntil-m.now),
 			LoadAge:   t.loadAge(m.now),
 		})
 	}
@@ -169,8 +169,8 @@
 }
 
 func (t *target) loadAge(now Instant) time.Duration {
-	if t.loadAt < 0 {
+	if t.loadReportedAt < 0 {
 		return -1
 	}
-	return now - t.loadAt
+	return now - t.loadReportedAt
 }
--- a/control/suspicion.go
+++ b/control/suspicion.go
@@ -165,8 +165,8 @@
 	}
 	for _, name := range sortedKeys(m.topo.decl.Targets) {
 		before := m.topo.decl.Targets[name]
-		after, still := next.decl.Targets[name]
-		if before.Leaving || still && after.Start == before.Start {
+		after, stillListed := next.decl.Targets[name]
+		if before.Leaving || stillListed && after.Start == before.Start {
 			continue
 		}
 		st := m.crashEvidence.starts[name]
--- a/control/target.go
+++ b/control/target.go
@@ -55,9 +55,9 @@
 	cold         coldLimit
 	failures     int
 	failingSince Instant
-	downUntil    Instant
-	// loadAt is when the last load report arrived; negative if none did.
-	loadAt Instant
+	backoffUntil Instant
+	// loadReportedAt is when the last load report arrived; negative if none did.
+	loadReportedAt Instant
 	// polledAt is when a load poll was last answered.
 	polledAt Instant
 	// pollFailed reports whether the latest failure was of a load poll.
@@ -76,7 +76,7 @@
 }
 
 func newTarget(now Instant, s *shard, name string) *target {
-	return &target{shard: s, name: name, hash: member.HashOf(name), window: sched.NewWindow(now, 1), loadAt: -1}
+	return &target{shard: s, name: name, hash: member.HashOf(name), window: sched.NewWindow(now, 1), loadReportedAt: -1}
 }
 
 // isNewStart reports whether a declaration is of a later start of the target than the one
@@ -98,7 +98,7 @@
 
 // room returns how many more grants the target may currently be given.
 func (t *target) room(now Instant) int {
-	if !t.takesWork() || now < t.downUntil {
+	if !t.takesWork() || now < t.backoffUntil {
 		return 0
 	}
 	room := 0
@@ -119,7 +119,7 @@
 // isUnservable reports whether the target cannot be expected to serve again soon. A target
 // that may be probed is servable: only a ticket can show whether it works again.
 func (t *target) isUnservable(now Instant) bool {
-	failing := t.failures > 1 && now-t.failingSince >= unservableAfter && now < t.downUntil
+	failing := t.failures > 1 && now-t.failingSince >= unservableAfter && now < t.backoffUntil
 	return !t.takesWork() || failing
 }
 
@@ -150,7 +150,7 @@
 	if t == nil {
 		return
 	}
-	t.loadAt = m.now
+	t.loadReportedAt = m.now
 	t.window.Reported(m.now, ev.Running, ev.Queued, ev.Slots)
 	t.polledAt = m.now
 	t.prefixes.report(ev.CachedPrefixes)
@@ -176,7 +176,7 @@
 	if !t.isCurrent() {
 		return
 	}
-	if m.now < t.downUntil && !poll {
+	if m.now < t.backoffUntil && !poll {
 		return // runs that failed at the same time count once
 	}
 	m.counters.TargetFailures++
@@ -190,9 +190,9 @@
 		longest = maxRunBackoff
 	}
 	backoff := min(minBackoff<<(t.failures-1), longest)
-	t.downUntil = m.now + m.jitter(backoff)
-	m.emit(TargetJudged{Target: t.name, Failing: true, Failures: t.failures, Pause: t.downUntil - m.now, Cause: cause})
-	m.timers.set(&t.timer, t, t.downUntil)
+	t.backoffUntil = m.now + m.jitter(backoff)
+	m.emit(TargetJudged{Target: t.name, Failing: true, Failures: t.failures, Pause: t.backoffUntil - m.now, Cause: cause})
+	m.timers.set(&t.timer, t, t.backoffUntil)
 	m.updateUnservable(t)
 }
 
@@ -230,7 +230,7 @@
 func (t *target) resetFailures() {
 	t.failures = 0
 	t.consecutiveErrors = 0
-	t.downUntil = 0
+	t.backoffUntil = 0
 	t.pollFailed = false
 	t.unreachable, t.lostRuns = false, 0
 }
--- a/control/tickets.go
+++ b/control/tickets.go
@@ -13,9 +13,9 @@
 	resendEvery = 500 * time.Millisecond
 	// refreshEvery is the period of resending a ticket that is known to wait.
 	refreshEvery = 2 * time.Second
-	// unansweredTries is how many sends of a ticket without an answer mark a scheduler as
-	// unresponsive.
-	unansweredTries = 3
+	// maxUnansweredTries is how many sends of a ticket without an answer mark a scheduler
+	// as unresponsive.
+	maxUnansweredTries = 3
 	// maxTicketsPerRequest bounds the shards at which one request waits. Under PolicyAlone
 	// every shard is scheduled here and there is no bound.
 	maxTicketsPerRequest = 4
@@ -80,8 +80,8 @@
 	spare int
 }
 
-// newTicket assigns the request a new ticket id.
-func (m *Machine) newTicket(r *request) {
+// assignTicketID gives the request a new ticket id.
+func (m *Machine) assignTicketID(r *request) {
 	m.entry.lastAttempt++
 	r.id = TicketID{
 		Node:        m.opts.Node,
@@ -181,7 +181,7 @@
 		sent.tries = 0
 		sent.firstAt = m.now
 	}
-	if sent.tries >= unansweredTries && sent.to != m.opts.Node {
+	if sent.tries >= maxUnansweredTries && sent.to != m.opts.Node {
 		m.counters.SchedulersUnanswering++
 		m.view.Unresponsive(m.now, sent.firstAt, string(sent.to))
 	}
@@ -391,9 +391,9 @@
 	if waiting == nil {
 		return
 	}
-	looked := 0
-	for e := waiting.Front(); e != nil && count > 0 && looked < count+probeDepth; e = e.Next() {
-		looked++
+	examined := 0
+	for e := waiting.Front(); e != nil && count > 0 && examined < count+probeDepth; e = e.Next() {
+		examined++
 		r := e.Value.(*request)
 		if len(r.tickets) < maxTicketsPerRequest && slices.Contains(r.shards, id) && !r.hasTicketAt(id) {
 			m.addTicket(r, id)
--- a/control/topology.go
+++ b/control/topology.go
@@ -121,7 +121,7 @@
 	return ShardID{Pool: target.Pool, DataCentre: target.DataCentre}
 }
 
-// share returns the weight of a workspace; 1 if it is unknown.
+// shareOf returns the weight of a workspace; 1 if it is unknown.
 func (t *topology) shareOf(workspace string) float64 {
 	if ws, ok := t.decl.Workspaces[workspace]; ok && ws.Share > 0 {
 		return ws.Share
