--- a/control/commands.go
+++ b/control/commands.go
@@ -20,7 +20,7 @@
 	Attempt uint32
 	Grant   GrantID
 	Target  string
-	// Start, Reads and FetchFrom have the same meaning as in Grant.
+	// PredictedStart, Reads and FetchFrom have the same meaning as in Grant.
 	Start     time.Duration
 	Reads     int
 	FetchFrom string
@@ -76,8 +76,8 @@
 	Quarantined bool
 }
 
-// VersionSeen reports that a member announced a configuration version newer than the one in
-// force here; the follower fetches it from that member.
+// VersionSeen reports that a member announced a configuration version, or a listing of
+// targets, newer than the one in force here; the follower fetches it from that member.
 type VersionSeen struct {
 	From    NodeID
 	Version uint64
--- a/control/messages.go
+++ b/control/messages.go
@@ -42,8 +42,9 @@
 	// Spare is the number of slots still free in the shard after this grant; if negative,
 	// the number of tickets waiting there.
 	Spare int
-	// Start is the predicted time from now until the answer begins, and Reads the number of
-	// prompt tokens that the target has to read; for targets that count in tokens.
+	// PredictedStart is the predicted time from now until the answer begins, and Reads the
+	// number of prompt tokens that the target has to read; for targets that count in
+	// tokens.
 	Start time.Duration
 	Reads int
 	// FetchFrom is the target that has the shared parts of the prompt in its cache, if they
@@ -136,8 +137,8 @@
 // on.
 type ServiceTotals struct{ Counts []ServiceCount }
 
-// Heartbeat announces that a node is alive. It is sent to a bounded number of watchers,
-// never to the whole fleet.
+// Heartbeat announces that a node is alive. Periodic heartbeats are sent to a bounded
+// number of watchers, never to the whole fleet.
 type Heartbeat struct {
 	Incarnation   Incarnation
 	ConfigVersion uint64
