--- a/control/grants.go
+++ b/control/grants.go
@@ -177,7 +177,7 @@
 		t.cold.record(m.now)
 		m.armCold(t)
 	}
-	t.prefixes.granted(q.ticket.PrefixHash)
+	t.prefixes.addRecent(q.ticket.PrefixHash)
 	estimate := g.workspace.estimate(q.shard.id.Pool).Charge(g.costHint, m.typicalService(q.shard.id.Pool))
 	if t.engine != nil {
 		g.engineRun = t.engine.Start(m.now, q.task, p.reads)
--- a/control/target.go
+++ b/control/target.go
@@ -153,7 +153,7 @@
 	t.loadReportedAt = m.now
 	t.window.Reported(m.now, ev.Running, ev.Queued, ev.Slots)
 	t.polledAt = m.now
-	t.prefixes.report(ev.CachedPrefixes)
+	t.prefixes.setReported(ev.CachedPrefixes)
 	m.pollAnswered(t.name, ev.StartID)
 	if t.pollFailed {
 		m.targetSucceeded(t, "load poll answered")
@@ -269,7 +269,7 @@
 	return hash != 0 && (p.recent[hash] || p.reported[hash])
 }
 
-func (p *prefixSet) report(hashes []uint64) {
+func (p *prefixSet) setReported(hashes []uint64) {
 	if len(hashes) == 0 && len(p.reported) == 0 {
 		return
 	}
@@ -279,7 +279,7 @@
 	}
 }
 
-func (p *prefixSet) granted(hash uint64) {
+func (p *prefixSet) addRecent(hash uint64) {
 	if hash == 0 || p.recent[hash] {
 		return
 	}
