--- a/control/status.go
+++ b/control/status.go
@@ -4,29 +4,29 @@
 	"time"
 )
 
-// Counters counts what a machine did since it was made.
+// Counters counts what a machine did since it was created.
 type Counters struct {
 	RequestsArrived       uint64
 	RequestsRefused       uint64
 	TicketsSent           uint64
 	TicketsResent         uint64
 	TicketsQueued         uint64
-	TicketsLapsed         uint64
-	TicketsHopeless       uint64
+	TicketsLapsed         uint64 // dropped as their entry no longer refreshed them or became unreachable
+	TicketsHopeless       uint64 // refused while waiting: no target can be expected to serve them, or the request was convicted
 	TicketsOverloaded     uint64
 	TicketsDeferred       uint64
-	TicketsLocal          uint64
-	UnreadWhileOwed       uint64
+	TicketsLocal          uint64 // sent to this node's own queue after no answer
+	UnreadWhileOwed       uint64 // requests refused unread while their workspace had share left and a target had room
 	ShareGaps             uint64
 	Dispatches            uint64
 	GrantsMade            uint64
 	GrantsResent          uint64
 	GrantsReturned        uint64
-	GrantsWithheld        uint64
+	GrantsWithheld        uint64 // returned because of a notice of their target
 	GrantsAdopted         uint64
 	GrantsEnded           uint64
 	GrantsReclaimed       uint64
-	GrantsDisowned        uint64
+	GrantsDisowned        uint64 // no longer tracked as their entry node was unreachable
 	ReportsResent         uint64
 	SchedulersUnanswering uint64
 	NodesSuspected        uint64
@@ -35,13 +35,13 @@
 	Convictions           uint64
 	MessagesSent          uint64
 	StaleMessages         uint64
-	Thaws                 uint64
+	Thaws                 uint64 // long pauses of the process
 }
 
 // Counters returns the counts so far.
 func (m *Machine) Counters() Counters { return m.counters }
 
-// Status is a read-only picture of a machine for operators.
+// Status is a read-only snapshot of a machine for operators.
 type Status struct {
 	Node        NodeID
 	Incarnation Incarnation
@@ -71,7 +71,7 @@
 type MemberStatus struct {
 	Node       NodeID
 	DataCentre string
-	// Alive says that the node may be given work.
+	// Alive reports whether the node may be given work.
 	Alive   bool
 	Leaving bool
 }
@@ -79,7 +79,7 @@
 // ShardStatus is one shard scheduled here.
 type ShardStatus struct {
 	Shard ShardID
-	// Owned says that this node owns the shard in its own view.
+	// Owned reports whether this node owns the shard in its own view.
 	Owned bool
 	// Queued and Granted count the waiting tickets and the grants held.
 	Queued  int
@@ -92,22 +92,22 @@
 // TargetStatus is one target of a shard scheduled here.
 type TargetStatus struct {
 	Target string
-	// Slots is what the target serves at once, Granted the grants held, and
-	// Room how many more may be granted now.
+	// Slots is the number of requests the target serves at once, Granted the number of
+	// grants held, and Room how many more may be granted now.
 	Slots   int
 	Granted int
 	Room    int
 	Leaving bool
-	// Evacuated says that the target's data centre is being evacuated.
+	// Evacuated reports whether the target's data centre is being evacuated.
 	Evacuated bool
-	// DownFor is how long the target is still passed over.
+	// DownFor is how much longer the target gets no grants after failures.
 	DownFor time.Duration
 	// LoadAge is the age of the last load report; negative if there is none.
 	LoadAge time.Duration
 }
 
-// Status returns the present state. It reads everything: call it for operators,
-// not for each request.
+// Status returns the present state. It reads all of it, so call it for operators, not for
+// each request.
 func (m *Machine) Status() Status {
 	st := Status{
 		Node:        m.opts.Node,
@@ -161,7 +161,7 @@
 			Room:      t.room(m.now),
 			Leaving:   t.leaving || t.reportedLeaving,
 			Evacuated: t.evacuated,
-			DownFor:   max(0, t.downUntil-m.now),
+			DownFor:   max(0, t.backoffUntil-m.now),
 			LoadAge:   t.loadAge(m.now),
 		})
 	}
@@ -169,8 +169,8 @@
 }
 
 func (t *target) loadAge(now Instant) time.Duration {
-	if t.loadAt < 0 {
+	if t.loadReportedAt < 0 {
 		return -1
 	}
-	return now - t.loadAt
+	return now - t.loadReportedAt
 }
