--- a/router/acquire.go
+++ b/router/acquire.go
@@ -122,7 +122,7 @@
 	ex.Address = declared.Address
 	ex.TargetServes = func() bool { return g.serves(ex, answer.dispatch.Target, declared.Address) }
 	ex.FetchAddress = g.inForce().Declarations.Targets[answer.dispatch.FetchFrom].Address
-	ex.Placement = pipeline.Placement{PredictedStart: answer.dispatch.Start, UncachedTokens: answer.dispatch.Reads, FetchFrom: answer.dispatch.FetchFrom}
+	ex.Placement = pipeline.Placement{PredictedStart: answer.dispatch.PredictedStart, UncachedTokens: answer.dispatch.Reads, FetchFrom: answer.dispatch.FetchFrom}
 	return nil
 }
 
--- a/targets/cachewatch/cachewatch.go
+++ b/targets/cachewatch/cachewatch.go
@@ -64,7 +64,7 @@
 type Watcher struct {
 	source Source
 	// onUpdate receives what a target keeps.
-	onUpdate func(control.TargetKept)
+	onUpdate func(control.TargetCacheReported)
 	log      *slog.Logger
 
 	mu      sync.Mutex
@@ -80,7 +80,7 @@
 }
 
 // New returns a watcher without targets.
-func New(source Source, onUpdate func(control.TargetKept), log *slog.Logger) *Watcher {
+func New(source Source, onUpdate func(control.TargetCacheReported), log *slog.Logger) *Watcher {
 	return &Watcher{source: source, onUpdate: onUpdate, log: log, watched: make(map[string]*watch)}
 }
 
@@ -137,7 +137,7 @@
 			listed = false
 			continue
 		default:
-			w.onUpdate(control.TargetKept{Target: name, Start: update.Start, Whole: !listed, Parts: update.Parts})
+			w.onUpdate(control.TargetCacheReported{Target: name, Start: update.Start, Full: !listed, Parts: update.Parts})
 			last, listed, pause = update, true, meanInterval
 		}
 		wait.For(ctx, pause/2+rand.N(pause))
