--- a/control/sched/doc.go
+++ b/control/sched/doc.go
@@ -1,6 +1,7 @@
-// Package sched holds the parts of the scheduler of one shard that need no
-// knowledge of messages: the fair queue over workspaces, the window that keeps
-// a target just full, and the estimate of a request's cost.
+// Package sched holds the parts of one shard's scheduler that don't depend on messages:
+// the fair queue over workspaces, the max-min shares of a pool, the window of grants
+// that keeps a target just full, the model of targets that read prompts and generate
+// tokens, and the estimate of a request's cost.
 //
 // Nothing here reads a clock: callers pass the time.
 package sched
--- a/control/sched/gap.go
+++ b/control/sched/gap.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// gapPart is the part of what another workspace was granted, or of what it asked for itself,
-// below which a workspace with refused requests has a gap.
-const gapPart = 0.5
+// maxGapRatio defines a gap: a workspace with refused requests has one if it was granted
+// less than this fraction of what the best served workspace was granted, and of its own
+// demand.
+const maxGapRatio = 0.5
 
-// Gap is a workspace that was granted much less than another one while its own requests were
-// refused. Amounts are averages a second over demandTime.
+// Gap describes a workspace that was granted much less than another one while its own
+// requests were refused. Amounts are averages per second over demandTimeConstant.
 type Gap struct {
 	Workspace string
-	// Asked is what its requests asked for here, and Unread an estimate of what those asked
-	// for that routers refused before they read them.
+	// Asked is the amount that its requests asked for here, and Unread an estimate of
+	// the amount of those that routers refused before reading them.
 	Asked, Unread, Granted float64
-	// RefusedHere says that some were refused here of late.
+	// RefusedHere is set if requests were refused here within refusalWindow.
 	RefusedHere bool
 	// Best is the workspace that was granted most.
 	Best        string
 	BestGranted float64
 }
 
-// WidestGap returns the workspace that was granted least of those with a gap; false if none
-// has one.
+// WidestGap returns the gap of the workspace that was granted least; false if no
+// workspace has a gap.
 func (s *Shares) WidestGap(now time.Duration) (Gap, bool) {
 	best, bestGranted := "", 0.0
 	for name, f := range s.flows {
-		if granted := perSecond(f.granted, now-f.at); granted > bestGranted || granted == bestGranted && name < best {
+		if granted := ratePerSecond(f.granted, now-f.updatedAt); granted > bestGranted || granted == bestGranted && name < best {
 			best, bestGranted = name, granted
 		}
 	}
 	var widest Gap
 	found := false
 	for name, f := range s.flows {
-		if name == best || !f.refusedOfLate(now) {
+		if name == best || !f.recentlyRefused(now) {
 			continue
 		}
 		gap := Gap{
 			Workspace:   name,
-			Asked:       perSecond(f.asked, now-f.at),
-			Unread:      perSecond(f.unread, now-f.at),
-			Granted:     perSecond(f.granted, now-f.at),
-			RefusedHere: f.refused && now-f.refusedAt <= refusedTime,
+			Asked:       ratePerSecond(f.demand, now-f.updatedAt),
+			Unread:      ratePerSecond(f.unread, now-f.updatedAt),
+			Granted:     ratePerSecond(f.granted, now-f.updatedAt),
+			RefusedHere: f.refused && now-f.refusedAt <= refusalWindow,
 			Best:        best,
 			BestGranted: bestGranted,
 		}
-		if gap.Granted >= gapPart*min(gap.Asked+gap.Unread, bestGranted) {
+		if gap.Granted >= maxGapRatio*min(gap.Asked+gap.Unread, bestGranted) {
 			continue
 		}
 		if !found || gap.Granted < widest.Granted || gap.Granted == widest.Granted && name < widest.Workspace {
@@ -54,12 +55,14 @@
 	return widest, found
 }
 
-// refusedOfLate says whether requests of the workspace were refused here or, unread, by routers.
-func (f *shareFlow) refusedOfLate(now time.Duration) bool {
-	return f.refused && now-f.refusedAt <= refusedTime || f.unread > 0 && now-f.unreadAt <= refusedTime
+// recentlyRefused reports whether requests of the workspace were refused here, or unread
+// by routers, within refusalWindow.
+func (f *shareFlow) recentlyRefused(now time.Duration) bool {
+	return f.refused && now-f.refusedAt <= refusalWindow || f.unread > 0 && now-f.unreadAt <= refusalWindow
 }
 
-// perSecond is the rate behind an average some time later.
-func perSecond(value float64, passed time.Duration) float64 {
-	return decayed(value, passed) / demandTime.Seconds()
+// ratePerSecond returns the rate that corresponds to an average which was last updated
+// the given time ago.
+func ratePerSecond(value float64, passed time.Duration) float64 {
+	return decayed(value, passed) / demandTimeConstant.Seconds()
 }
--- a/control/sched/gap_test.go
+++ b/control/sched/gap_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestGapIsFound: a workspace with refused requests that was granted less than half of
-// another one has a gap, wherever its requests were refused; one that got what it asked for,
-// or more than half, has none.
+// TestGapIsFound checks that a workspace with refused requests that was granted less
+// than half of another one has a gap, whether its requests were refused here or unread
+// by routers, and that one which got its demand, or more than half, has none.
 func TestGapIsFound(t *testing.T) {
 	const now = time.Second
 	for _, c := range []struct {
@@ -32,7 +32,7 @@
 		if found != c.gap || found && (gap.Workspace != "small" || gap.Best != "large") {
 			t.Errorf("%s: %+v, %v", c.name, gap, found)
 		}
-		if _, found := s.WidestGap(now + 2*refusedTime); found {
+		if _, found := s.WidestGap(now + 2*refusalWindow); found {
 			t.Errorf("%s: still has a gap long after the refusal", c.name)
 		}
 	}
--- a/control/sched/kept.go
+++ b/control/sched/kept.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// freshGrant is how long after a grant its prompt may not be read, or not be told
-// of yet: targets tell some hundred milliseconds late.
-const freshGrant = 2 * time.Second
+// grantGrace is how long after its grant a prompt may not be read, or not be reported as
+// kept: targets report some hundred milliseconds late.
+const grantGrace = 2 * time.Second
 
-// keptParts guesses which parts of prompts a target keeps: what was granted and
-// what it told, the most recently used ones, as far as its memory reaches.
+// keptParts estimates which prompt parts a target keeps: the most recently used of those
+// that it was granted or reported, up to the size of its memory.
 type keptParts struct {
 	capacity int64
 	tokens   int64
@@ -21,48 +21,49 @@
 
 type keptPart struct {
 	EnginePart
-	// usedAt is when a prompt with it was last granted.
-	usedAt time.Duration
+	// grantedAt is when a prompt with this part was last granted.
+	grantedAt time.Duration
 }
 
-// neverUsed is when a part was granted that the target alone told of.
-const neverUsed = time.Duration(math.MinInt64)
+// neverGranted is the grantedAt of a part that is known only from the target's reports.
+const neverGranted = time.Duration(math.MinInt64)
 
 func newKeptParts(capacity int64) keptParts {
 	return keptParts{capacity: capacity, order: list.New(), byID: make(map[uint64]*list.Element)}
 }
 
-func (k *keptParts) tokensOf(id uint64) int {
+func (k *keptParts) keptTokens(id uint64) int {
 	if element := k.byID[id]; element != nil {
 		return element.Value.(keptPart).Tokens
 	}
 	return 0
 }
 
-// use notes that a prompt with these parts is read or was found kept. The last
-// parts yield first: nothing of a prompt is kept without what stands before it.
+// use records that a prompt with these parts is read or was found kept. The last parts
+// are evicted first: no part of a prompt is kept without the parts before it.
 func (k *keptParts) use(now time.Duration, parts []EnginePart) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		k.remove(parts[i].ID)
-		k.add(keptPart{EnginePart: parts[i], usedAt: now})
+		k.add(keptPart{EnginePart: parts[i], grantedAt: now})
 	}
 	for k.capacity > 0 && k.tokens > k.capacity {
 		k.remove(k.order.Back().Value.(keptPart).ID)
 	}
 }
 
-// set takes in how much of a part is kept, unless it was granted just now.
-func (k *keptParts) set(now time.Duration, part EnginePart) {
-	usedAt := neverUsed
+// report records how many tokens of a part the target keeps, unless the part was granted
+// within grantGrace.
+func (k *keptParts) report(now time.Duration, part EnginePart) {
+	usedAt := neverGranted
 	if element := k.byID[part.ID]; element != nil {
-		usedAt = element.Value.(keptPart).usedAt
-		if usedAt > now-freshGrant {
+		usedAt = element.Value.(keptPart).grantedAt
+		if usedAt > now-grantGrace {
 			return
 		}
 	}
 	k.remove(part.ID)
 	if part.Tokens > 0 {
-		k.add(keptPart{EnginePart: part, usedAt: usedAt})
+		k.add(keptPart{EnginePart: part, grantedAt: usedAt})
 	}
 }
 
@@ -81,10 +82,10 @@
 	delete(k.byID, id)
 }
 
-// forgetBefore forgets all parts that were not granted since a time.
+// forgetBefore removes all parts that were last granted before since.
 func (k *keptParts) forgetBefore(since time.Duration) {
 	for id, element := range k.byID {
-		if element.Value.(keptPart).usedAt < since {
+		if element.Value.(keptPart).grantedAt < since {
 			k.remove(id)
 		}
 	}
--- a/control/sched/queue.go
+++ b/control/sched/queue.go
@@ -8,64 +8,66 @@
 )
 
 const (
-	// starveAfter is how long a workspace may be held back in one shard by
+	// starveAfter is how long a workspace may be held back in one shard because of
 	// service that it received in other shards.
 	starveAfter = 3 * time.Second
 	// forgetAfter is how long a flow with nothing waiting is remembered.
 	forgetAfter = 10 * time.Second
 )
 
-// Queue is the fair queue of one shard. It orders workspaces by normalised
-// service: the service received in the whole fleet divided by the share. The
-// least goes first; within a workspace and class, first in is first out.
+// Queue is the fair queue of one shard. It orders workspaces by normalised service: the
+// service received in the whole fleet divided by the share. The workspace with the least
+// goes first; items of one workspace and class are served in order of arrival.
 //
-// A workspace that had nothing waiting starts at the least of those that wait,
-// so that idleness banks no credit; it keeps a lead that it built up here.
+// A workspace that had nothing waiting is raised to the least service of those that
+// wait, so that it gains no credit while idle. A workspace that has received more keeps
+// its higher value.
 //
-// A class is a set of targets that may run a ticket. The queue only compares
-// class names; the caller says which classes have room.
+// A class is a set of targets that may run a ticket. The queue only compares class
+// names; the caller says which classes have free targets.
 type Queue[T any] struct {
 	flows   map[string]*Flow[T]
 	classes map[string]*class[T]
-	// order holds the flows with something waiting, least recently served first.
-	order *list.List
-	// idle holds the flows with nothing waiting, longest idle first.
+	// active holds the flows with waiting items, least recently served first.
+	active *list.List
+	// idle holds the flows without waiting items, longest idle first.
 	idle *list.List
-	// virtual is the received service at which a flow was last served; it is
-	// where a workspace starts when nothing waits.
-	virtual float64
-	waiting int
-	nextSeq uint64
-	// Pending, if set, returns the part of a workspace's total that is only
-	// expected yet. A workspace that wakes is lifted to what others received
-	// without it: a lift stays, and an estimate may be far too high.
+	// virtualService is the received service of the flow that was served last. A
+	// workspace starts there if no other has items waiting.
+	virtualService float64
+	waiting        int
+	nextSeq        uint64
+	// Pending, if set, returns the part of a workspace's total that is only estimated.
+	// It is left out where a workspace that becomes active is raised to the service of
+	// others: the raise is permanent, and an estimate may be far too high.
 	Pending func(workspace string) float64
 }
 
-// Flow is one workspace's presence in the queue.
+// Flow holds the waiting items and the received service of one workspace.
 type Flow[T any] struct {
 	// Workspace is the workspace's name.
 	Workspace string
 
 	queue *Queue[T]
 	lanes map[string]*lane[T]
-	// total is the workspace's normalised service in the fleet and here the
-	// part of it that this shard gave.
-	total, here float64
-	// offset is what the flow was lifted by here and its total does not hold.
-	offset  float64
+	// total is the workspace's normalised service in the fleet, and servedHere the part
+	// of it that this shard gave.
+	total, servedHere float64
+	// lift is the amount that the flow was raised by in this queue and that its total
+	// does not include.
+	lift    float64
 	waiting int
-	// servedAt and servedElsewhere are the time and the service received in
-	// other shards when this shard, or another of the pool, last served the flow.
-	servedAt        time.Duration
-	servedElsewhere float64
-	starved         bool
-	element         *list.Element
+	// servedAt is when this shard, or another shard of the pool, last served the flow,
+	// and elsewhereAtService the service received in other shards by then.
+	servedAt           time.Duration
+	elsewhereAtService float64
+	starved            bool
+	element            *list.Element
 }
 
 // Item is one waiting ticket.
 type Item[T any] struct {
-	// Value is the caller's.
+	// Value is opaque to the queue.
 	Value T
 
 	lane       *lane[T]
@@ -73,17 +75,17 @@
 	seq        uint64
 }
 
-// lane is the FIFO of one flow in one class.
+// lane is the FIFO queue of one flow in one class.
 type lane[T any] struct {
 	flow        *Flow[T]
 	class       *class[T]
 	first, last *Item[T]
 	index       int
-	// deferred says that the flow's other lanes go first.
+	// deferred lanes are served after the other lanes of their flow.
 	deferred bool
 }
 
-// class is the heap of the lanes with something waiting in one class.
+// class is the heap of the lanes with waiting items in one class.
 type class[T any] struct {
 	name  string
 	lanes laneHeap[T]
@@ -94,7 +96,7 @@
 	return &Queue[T]{
 		flows:   make(map[string]*Flow[T]),
 		classes: make(map[string]*class[T]),
-		order:   list.New(),
+		active:  list.New(),
 		idle:    list.New(),
 	}
 }
@@ -102,7 +104,7 @@
 // Len returns the number of waiting items.
 func (q *Queue[T]) Len() int { return q.waiting }
 
-// HasClass says whether something waits in a class.
+// HasClass reports whether items wait in a class.
 func (q *Queue[T]) HasClass(name string) bool { return q.classes[name] != nil }
 
 // Flow returns the flow of a workspace, or nil.
@@ -111,19 +113,19 @@
 // Waiting returns the number of items that wait for the workspace.
 func (f *Flow[T]) Waiting() int { return f.waiting }
 
-// Key returns the flow's place in the order: the least goes first.
-func (f *Flow[T]) Key() float64 { return f.total + f.offset }
+// Key returns the value that flows are ordered by: the least is served first.
+func (f *Flow[T]) Key() float64 { return f.total + f.lift }
 
-func (f *Flow[T]) elsewhere() float64 { return f.total - f.here }
+func (f *Flow[T]) receivedElsewhere() float64 { return f.total - f.servedHere }
 
-// Push adds an item for a workspace whose normalised service in the fleet is
-// total, and returns its flow and item.
+// Push adds an item for a workspace whose normalised service in the fleet is total, and
+// returns its flow and item.
 func (q *Queue[T]) Push(now time.Duration, workspace, className string, total float64, value T) (*Flow[T], *Item[T]) {
 	return q.PushWithCredit(now, workspace, className, total, 0, value)
 }
 
-// PushWithCredit is Push for a workspace that may have credit, since it waits
-// elsewhere: it is lifted only to what lies its credit below the others.
+// PushWithCredit is Push for a workspace that may have credit because it waits
+// elsewhere: it is raised only to credit below the others.
 func (q *Queue[T]) PushWithCredit(now time.Duration, workspace, className string, total, credit float64, value T) (*Flow[T], *Item[T]) {
 	f := q.flows[workspace]
 	if f == nil {
@@ -132,7 +134,7 @@
 	}
 	f.total = total
 	if f.waiting == 0 {
-		q.wake(now, f, className, credit)
+		q.activate(now, f, className, credit)
 	}
 	item := &Item[T]{Value: value, seq: q.nextSeq}
 	q.nextSeq++
@@ -142,28 +144,29 @@
 	return f, item
 }
 
-// wake puts a flow among those that wait, without credit for its idleness.
-func (q *Queue[T]) wake(now time.Duration, f *Flow[T], className string, credit float64) {
+// activate moves a flow to those that wait, and raises it so that it has no credit for
+// the time it was idle.
+func (q *Queue[T]) activate(now time.Duration, f *Flow[T], className string, credit float64) {
 	if f.element != nil {
 		q.idle.Remove(f.element)
 	}
-	if short := q.start(className) - credit - f.received(); short > 0 {
-		f.offset += short
+	if shortfall := q.startingService(className) - credit - f.received(); shortfall > 0 {
+		f.lift += shortfall
 	}
 	f.markServed(now)
-	f.element = q.order.PushBack(f)
+	f.element = q.active.PushBack(f)
 }
 
-// start returns the received service at which a workspace starts in a class: that
-// of the flow to be served next there, or of the flow served last.
-func (q *Queue[T]) start(className string) float64 {
+// startingService returns the received service at which a workspace starts in a class:
+// that of the flow to be served next there, or else of the flow served last.
+func (q *Queue[T]) startingService(className string) float64 {
 	if c := q.classes[className]; c != nil && len(c.lanes) > 0 {
-		return c.lanes.least(0).received()
+		return c.lanes.minFlow(0).received()
 	}
-	return q.virtual
+	return q.virtualService
 }
 
-// received returns the flow's key without what is only expected yet.
+// received returns the flow's key without the part that is only estimated.
 func (f *Flow[T]) received() float64 {
 	if f.queue.Pending == nil {
 		return f.Key()
@@ -171,27 +174,28 @@
 	return f.Key() - f.queue.Pending(f.Workspace)
 }
 
-// TakeLift returns what the flow was lifted by and takes it off: the caller adds
-// it to the total. It may be called only with the flow's new total set next.
+// TakeLift returns the flow's lift and resets it to zero. The caller has to add it to
+// the workspace's total and call SetTotal next.
 func (f *Flow[T]) TakeLift() float64 {
-	lift := f.offset
-	f.offset = 0
+	lift := f.lift
+	f.lift = 0
 	return lift
 }
 
-// Relift works a waiting flow's lift out anew: its total is known better now.
+// ResetLift recomputes the lift of a waiting flow after its total became known more
+// exactly.
 func (f *Flow[T]) Relift(credit float64) {
-	f.offset = 0
-	least := f.queue.leastBut(f)
-	if short := least - credit - f.received(); short > 0 && !math.IsInf(least, 1) {
-		f.offset = short
+	f.lift = 0
+	least := f.queue.minReceivedExcept(f)
+	if shortfall := least - credit - f.received(); shortfall > 0 && !math.IsInf(least, 1) {
+		f.lift = shortfall
 	}
-	f.fix()
+	f.restoreOrder()
 }
 
 func (f *Flow[T]) markServed(now time.Duration) {
 	f.servedAt = now
-	f.servedElsewhere = f.elsewhere()
+	f.elsewhereAtService = f.receivedElsewhere()
 }
 
 func (f *Flow[T]) lane(className string) *lane[T] {
@@ -223,16 +227,16 @@
 	}
 }
 
-// SetTotal updates the normalised service that the workspace received in the
-// fleet. hereDelta is the part of the change that this shard gave.
+// SetTotal updates the normalised service that the workspace received in the fleet.
+// hereDelta is the part of the change that this shard gave.
 func (f *Flow[T]) SetTotal(total, hereDelta float64) {
 	f.total = total
-	f.here += hereDelta
-	f.fix()
+	f.servedHere += hereDelta
+	f.restoreOrder()
 }
 
-// fix restores the order after the flow's key changed.
-func (f *Flow[T]) fix() {
+// restoreOrder restores the heaps after the flow's key changed.
+func (f *Flow[T]) restoreOrder() {
 	for _, l := range f.lanes {
 		if l.index >= 0 {
 			heap.Fix(&l.class.lanes, l.index)
@@ -240,8 +244,8 @@
 	}
 }
 
-// Next returns the item to serve next among the classes that usable accepts,
-// or nil. It does not remove the item.
+// Next returns the item to serve next among the classes that usable accepts, or nil. It
+// does not remove the item.
 func (q *Queue[T]) Next(usable func(class string) bool) *Item[T] {
 	var best *lane[T]
 	for name, c := range q.classes {
@@ -262,32 +266,32 @@
 func (q *Queue[T]) Serve(now time.Duration, item *Item[T]) {
 	f := item.lane.flow
 	if !f.starved {
-		q.virtual = f.received()
+		q.virtualService = f.received()
 	}
 	q.setStarved(f, false)
 	f.markServed(now)
-	q.order.MoveToBack(f.element)
+	q.active.MoveToBack(f.element)
 	q.Remove(now, item)
 }
 
-// Withdraw removes an item that was served by another shard of the same pool.
-// Its workspace does not starve there.
+// Withdraw removes an item that was served by another shard of the same pool. It counts
+// as service to the workspace, which is therefore not starved here.
 func (q *Queue[T]) Withdraw(now time.Duration, item *Item[T]) {
 	if item.lane == nil {
 		return
 	}
 	f := item.lane.flow
 	f.markServed(now)
-	q.order.MoveToBack(f.element)
+	q.active.MoveToBack(f.element)
 	q.Remove(now, item)
 }
 
-// Defer moves an item to the end of a class of its own, which its flow is served from only
-// while nothing else of it can be. Its workspace keeps its place.
+// Defer moves an item to the end of a separate class, from which its flow is served only
+// while none of its other items can be. The workspace keeps its position in the queue.
 func (q *Queue[T]) Defer(item *Item[T], className string) {
 	old := item.lane
 	old.unlink(item)
-	q.settle(old)
+	q.updateLane(old)
 	l := old.flow.lane(className)
 	l.deferred = true
 	l.push(item)
@@ -304,17 +308,17 @@
 	q.waiting--
 	f := l.flow
 	f.waiting--
-	q.settle(l)
+	q.updateLane(l)
 	if f.waiting == 0 {
-		q.order.Remove(f.element)
+		q.active.Remove(f.element)
 		f.starved = false
 		f.servedAt = now
 		f.element = q.idle.PushBack(f)
 	}
 }
 
-// settle restores the order after an item left a lane.
-func (q *Queue[T]) settle(l *lane[T]) {
+// updateLane restores the heap order, or drops the lane, after an item left it.
+func (q *Queue[T]) updateLane(l *lane[T]) {
 	if l.first != nil {
 		heap.Fix(&l.class.lanes, l.index)
 		return
--- a/control/sched/queue_test.go
+++ b/control/sched/queue_test.go
@@ -11,7 +11,7 @@
 
 func anyClass(string) bool { return true }
 
-// serve serves the next item and charges its workspace.
+// serve takes the next item and charges its workspace.
 func serve(q *Queue[int], now time.Duration, charge float64) (string, int) {
 	item := q.Next(anyClass)
 	if item == nil {
@@ -23,7 +23,7 @@
 	return f.Workspace, item.Value
 }
 
-func TestWakingBanksNoCredit(t *testing.T) {
+func TestIdleWorkspaceGainsNoCredit(t *testing.T) {
 	q := NewQueue[int]()
 	q.Push(0, "sleeper", "", 0, 0)
 	serve(q, 0, 1)
@@ -33,8 +33,8 @@
 	for range 50 {
 		serve(q, time.Second, 1)
 	}
-	// The sleeper is remembered with its old service. It must not win more than
-	// every second turn.
+	// The idle workspace is remembered with its old service. It must not be served more
+	// often than every second time.
 	for i := range 20 {
 		q.Push(2*time.Second, "sleeper", "", q.total("sleeper"), i)
 	}
@@ -45,11 +45,11 @@
 		}
 	}
 	if served < 9 || served > 11 {
-		t.Errorf("the sleeper was served %d of 20 times", served)
+		t.Errorf("the workspace that was idle was served %d of 20 times", served)
 	}
 }
 
-// total returns a workspace's total as the queue last heard it.
+// total returns a workspace's total as last passed to the queue.
 func (q *Queue[T]) total(workspace string) float64 {
 	if f := q.flows[workspace]; f != nil {
 		return f.total
@@ -57,7 +57,7 @@
 	return 0
 }
 
-func TestServiceElsewhereHoldsBackForAWhileOnly(t *testing.T) {
+func TestServiceElsewhereDelaysOnlyUntilStarved(t *testing.T) {
 	q := NewQueue[int]()
 	for i := range 100 {
 		q.Push(0, "small", "", q.total("small"), i)
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestQueueServesTheLeast compares the queue with a plain search.
-func TestQueueServesTheLeast(t *testing.T) {
+// TestQueueServesLeastKey compares the queue's choice with a linear search.
+func TestQueueServesLeastKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue[int]()
 		var items []*Item[int]
@@ -107,8 +107,8 @@
 	})
 }
 
-// checkNext fails if the queue's choice, with one class full, is not the first
-// item of the workspace with the least key.
+// checkNext fails if the queue's choice, with one class full, is not the first item of
+// the workspace with the least key.
 func checkNext(t *rapid.T, q *Queue[int], items []*Item[int], full string) {
 	least, count := math.Inf(1), 0
 	for _, item := range items {
@@ -121,23 +121,24 @@
 		}
 	}
 	if q.Len() != count {
-		t.Fatalf("the queue counts %d items, not %d", q.Len(), count)
+		t.Fatalf("the queue has %d items, want %d", q.Len(), count)
 	}
 	next := q.Next(func(class string) bool { return class != full })
 	if next == nil {
 		if !math.IsInf(least, 1) {
-			t.Fatalf("nothing is served though items wait")
+			t.Fatalf("Next returned nothing though items wait")
 		}
 		return
 	}
 	if next.lane.flow.Key() != least || next.lane.first != next {
-		t.Fatalf("served key %v, least is %v", next.lane.flow.Key(), least)
+		t.Fatalf("Next chose key %v, the least is %v", next.lane.flow.Key(), least)
 	}
 }
 
-// TestWakingIsNotChargedWithEstimates has a workspace wake beside one whose
-// runs are charged far too much: the lift must not outlast the correction.
-func TestWakingIsNotChargedWithEstimates(t *testing.T) {
+// TestActivationIgnoresPendingEstimates guards against a permanent lift from a temporary
+// estimate: a workspace becomes active beside one whose runs are charged far too much,
+// and must start at the service that the other has really received.
+func TestActivationIgnoresPendingEstimates(t *testing.T) {
 	q := NewQueue[int]()
 	pending := 0.0
 	q.Pending = func(workspace string) float64 {
@@ -150,16 +151,17 @@
 		q.Push(0, "busy", "", q.total("busy"), i)
 	}
 	serve(q, 0, 7)
-	pending = 6 // of the 7 charged, 1 was received
+	pending = 6 // 7 are charged, of which 1 is received
 	woken, _ := q.Push(time.Second, "woken", "", 0, 0)
 	if key := woken.Key(); key != 1 {
-		t.Errorf("the workspace starts at %v, not at what the other received", key)
+		t.Errorf("the workspace starts at %v, want the other's received service, 1", key)
 	}
 }
 
-// TestDeferredItemsGoLastOfTheirWorkspace guards against deferral taking a workspace's place:
-// its other items go before a deferred one, and it goes before a workspace that received more.
-func TestDeferredItemsGoLastOfTheirWorkspace(t *testing.T) {
+// TestDeferredItemsAreServedLastOfTheirWorkspace guards against a deferred item that
+// costs its workspace its position: the workspace's other items go before the deferred
+// one, which still goes before a workspace that has received more.
+func TestDeferredItemsAreServedLastOfTheirWorkspace(t *testing.T) {
 	q := NewQueue[int]()
 	_, old := q.Push(0, "light", "", 0, 1)
 	q.Push(0, "heavy", "", 0, 10)
--- a/control/sched/shares.go
+++ b/control/sched/shares.go
@@ -7,84 +7,85 @@
 )
 
 const (
-	// demandTime is the time constant of the average of what a workspace asks for.
-	// Shorter follows a burst sooner, and takes chance for demand.
-	demandTime = 1500 * time.Millisecond
-	// shareBurst is how much of its share a workspace may use at once after it
-	// asked for less.
-	shareBurst = 1500 * time.Millisecond
-	// levelEvery is the period of working out the level anew.
-	levelEvery = 100 * time.Millisecond
-	// refusedTime is how long a refusal counts as a sign that a workspace could use
-	// more capacity.
-	refusedTime = time.Second
-	// sizeWeight is the weight of a request in the average of what one asks for: some
-	// twenty of them count, as requests of a workspace differ by ten times.
+	// demandTimeConstant is the time constant of the demand average. A shorter one
+	// follows bursts sooner, but mistakes random variation for demand.
+	demandTimeConstant = 1500 * time.Millisecond
+	// shareBurstWindow is the time's worth of its share that a workspace may use at once
+	// after it asked for less.
+	shareBurstWindow = 1500 * time.Millisecond
+	// levelInterval is how often the level is recomputed.
+	levelInterval = 100 * time.Millisecond
+	// refusalWindow is how long a refusal shows that a workspace could use more
+	// capacity.
+	refusalWindow = time.Second
+	// sizeWeight is the weight of one request in the average request size. About twenty
+	// requests count, as those of one workspace differ by a factor of ten.
 	sizeWeight = 0.05
-	// behindPart is the part of its share below which a workspace is behind it. Chance alone
-	// keeps some below their share for a while.
-	behindPart = 0.7
-	// forgetShare is how long a workspace that asks for nothing is remembered.
-	forgetShare = 30 * time.Second
+	// behindShareRatio is the fraction of its share below which a workspace counts as
+	// behind it. By chance alone, some workspaces are a little below their share for a
+	// while.
+	behindShareRatio = 0.7
+	// shareIdleTimeout is how long a workspace without requests is remembered.
+	shareIdleTimeout = 30 * time.Second
 )
 
-// Shares says which requests lie within their workspace's max-min share of a
-// pool's capacity: each workspace gets what it asks for up to one level that is
-// the same for all, and the level is where the capacity is used up. What is
-// asked beyond may be served from spare capacity, but must not make others late.
+// Shares decides which requests are within their workspace's max-min share of a pool's
+// capacity. Each workspace gets its demand up to one level that is the same for all,
+// chosen so that the capacity is used up. Requests beyond the share may be served from
+// spare capacity, but must not make others late.
 type Shares struct {
-	perSecond float64
-	flows     map[string]*shareFlow
-	level     float64
-	levelAt   time.Duration
-	known     bool
+	capacityPerSecond float64
+	flows             map[string]*shareFlow
+	level             float64
+	levelAt           time.Duration
+	levelKnown        bool
 }
 
-// shareFlow is what one workspace asks for and may use.
+// shareFlow holds the demand and the service of one workspace.
 type shareFlow struct {
-	// asked decays with demandTime; divided by it, it is the demand a second.
-	asked float64
-	// granted decays like asked, and counts what the workspace was granted.
+	// demand decays with demandTimeConstant; divided by it, it is the demand per second.
+	demand float64
+	// granted decays like demand and sums what the workspace was granted.
 	granted float64
-	// served is granted, and what the workspace counts as served beside that: it is what
-	// workspaces are compared by.
+	// served is granted plus any amount that the workspace counts as served in addition.
+	// Workspaces are compared by it.
 	served float64
-	// size is about how much one of its requests asks for, and unread, which decays like
-	// granted, what those asked for that routers refused unread.
+	// size is the average amount of one of its requests. unread decays like granted and
+	// estimates the amount of the requests that routers refused unread.
 	size   float64
 	unread float64
-	// credit is what the workspace may use at once.
-	credit float64
-	at     time.Duration
-	// refusedAt is when a request was last refused for want of capacity; refused says
-	// that one was.
+	// credit is the amount that the workspace may use at once.
+	credit    float64
+	updatedAt time.Duration
+	// refusedAt is when a request was last refused for lack of capacity, if refused is
+	// set.
 	refusedAt time.Duration
 	refused   bool
-	// unreadAt is when routers last refused some unread.
+	// unreadAt is when routers last refused requests unread.
 	unreadAt time.Duration
 }
 
-// NewShares returns shares of a capacity per second; zero: there is no bound.
+// NewShares returns the shares of a capacity per second; zero means unbounded.
 func NewShares(perSecond float64) *Shares {
-	return &Shares{perSecond: perSecond, flows: make(map[string]*shareFlow), level: math.Inf(1)}
+	return &Shares{capacityPerSecond: perSecond, flows: make(map[string]*shareFlow), level: math.Inf(1)}
 }
 
-// Declare changes the capacity.
-func (s *Shares) Declare(perSecond float64) { s.perSecond = perSecond }
+// SetCapacity changes the capacity.
+func (s *Shares) Declare(perSecond float64) { s.capacityPerSecond = perSecond }
 
-// Level is the share per second of each workspace that asks for more.
+// Level returns the share per second of each workspace whose demand exceeds it.
 func (s *Shares) Level() float64 { return s.level }
 
-// Ask counts a request and says whether it lies within its workspace's share. The
-// share is used up by requests that do.
+// Request records a request and reports whether it is within its workspace's share.
+// Requests within the share use it up.
 func (s *Shares) Ask(now time.Duration, workspace string, amount float64) bool {
-	if s.perSecond <= 0 {
+	if s.capacityPerSecond <= 0 {
 		return true
 	}
 	f := s.flow(now, workspace)
-	f.asked += amount
-	f.sized(amount)
-	s.findLevel(now)
+	f.demand += amount
+	f.updateSize(amount)
+	s.updateLevel(now)
 	if math.IsInf(s.level, 1) {
 		return true
 	}
@@ -95,102 +96,104 @@
 	return true
 }
 
-// Return gives back what a request within its workspace's share took of it, as it is not served,
-// if the workspace is behind its share: what cannot be placed must not cost it what it is owed.
-// Others have their share with what else they are granted, and more requests within it would only
-// wait for one another until they are late.
+// Refund gives back the part of the share that a request used which is not served after
+// all, if the workspace is behind its share: a request that cannot be placed must not
+// reduce the share. A workspace that is not behind already gets its share through its
+// other grants, and more requests within the share would only wait for one another until
+// they are late.
 func (s *Shares) Return(now time.Duration, workspace string, amount float64) {
 	f := s.flow(now, workspace)
-	if f.granted < behindPart*s.bounded()*demandTime.Seconds() {
-		f.credit = min(f.credit+amount, s.burst())
+	if f.granted < behindShareRatio*s.shareRate()*demandTimeConstant.Seconds() {
+		f.credit = min(f.credit+amount, s.maxCredit())
 	}
 }
 
-// HasLeft says whether a workspace has not used up its share.
+// HasCredit reports whether a workspace has not used up its share.
 func (s *Shares) HasLeft(now time.Duration, workspace string) bool {
-	if s.perSecond <= 0 || math.IsInf(s.level, 1) {
+	if s.capacityPerSecond <= 0 || math.IsInf(s.level, 1) {
 		return true
 	}
 	return s.flow(now, workspace).credit > 0
 }
 
-// Served counts a request that is granted.
+// Served records a request that is granted.
 func (s *Shares) Served(now time.Duration, workspace string, amount float64) {
 	f := s.flow(now, workspace)
 	f.granted += amount
 	f.served += amount
 }
 
-// Refused notes that a request was refused for want of capacity.
+// Refused records that a request was refused for lack of capacity.
 func (s *Shares) Refused(now time.Duration, workspace string) {
 	f := s.flow(now, workspace)
-	wanted := f.wants(now)
+	wantedBefore := f.wantsMore(now)
 	f.refused, f.refusedAt = true, now
-	s.turnedHot(now, f, wanted)
+	s.raiseServed(now, f, wantedBefore)
 }
 
-// Unread notes that routers refused requests of a workspace before they read them. If
-// that exceeds what it was granted, the routers are its bottleneck, and others yield to it as
-// to one that is refused here. A few refused requests have no effect, as their retries are
-// served through other routers.
+// RefusedUnread records that routers refused requests of a workspace before reading
+// them. If these exceed what it was granted, the routers are its bottleneck, and others
+// yield to it as they do to a workspace that is refused here. A few refused requests
+// have no effect, as their retries are served through other routers.
 func (s *Shares) Unread(now time.Duration, workspace string, count int) {
 	f := s.flow(now, workspace)
-	wanted := f.wants(now)
+	wantedBefore := f.wantsMore(now)
 	f.unread += float64(count) * f.size
 	f.unreadAt = now
-	s.turnedHot(now, f, wanted)
+	s.raiseServed(now, f, wantedBefore)
 }
 
-// turnedHot raises the served amount of a workspace that begins to want more capacity to that
-// of the least served of the others that do. Capacity that it did not use before must not give
-// it precedence over workspaces that were refused meanwhile.
-func (s *Shares) turnedHot(now time.Duration, f *shareFlow, wanted bool) {
-	if wanted || !f.wants(now) {
+// raiseServed raises the served amount of a workspace that begins to want more capacity
+// to the least of the others that want more. Capacity that it did not use before must
+// not give it precedence over workspaces that were refused in that time.
+func (s *Shares) raiseServed(now time.Duration, f *shareFlow, wantedBefore bool) {
+	if wantedBefore || !f.wantsMore(now) {
 		return
 	}
-	f.served = max(f.served, s.leastServed(now, f))
+	f.served = max(f.served, s.minServed(now, f))
 }
 
-// wants says whether the workspace could use more capacity than it gets.
-func (f *shareFlow) wants(now time.Duration) bool {
-	refusedHere := f.refused && now-f.refusedAt <= refusedTime
-	refusedUnread := f.unread > f.granted && now-f.unreadAt <= refusedTime
+// wantsMore reports whether the workspace could use more capacity than it gets.
+func (f *shareFlow) wantsMore(now time.Duration) bool {
+	refusedHere := f.refused && now-f.refusedAt <= refusalWindow
+	refusedUnread := f.unread > f.granted && now-f.unreadAt <= refusalWindow
 	return refusedHere || refusedUnread
 }
 
-// sized takes in how much a request asks for.
-func (f *shareFlow) sized(amount float64) {
+// updateSize adds the amount of a request to the average request size.
+func (f *shareFlow) updateSize(amount float64) {
 	if f.size == 0 {
 		f.size = amount
 	}
 	f.size += sizeWeight * (amount - f.size)
 }
 
-// leastServed is the least that another workspace which could use more has been served;
-// zero if there is none.
-func (s *Shares) leastServed(now time.Duration, but *shareFlow) float64 {
-	least, found := 0.0, false
+// minServed returns the least served amount of the other workspaces that want more; zero
+// if there are none.
+func (s *Shares) minServed(now time.Duration, except *shareFlow) float64 {
+	lowest, found := 0.0, false
 	for _, f := range s.flows {
-		if f == but || !f.wants(now) {
+		if f == except || !f.wantsMore(now) {
 			continue
 		}
-		if served := decayed(f.served, now-f.at); !found || served < least {
-			least, found = served, true
+		if served := decayed(f.served, now-f.updatedAt); !found || served < lowest {
+			lowest, found = served, true
 		}
 	}
-	return least
+	return lowest
 }
 
-// Yields says whether a workspace is to leave spare capacity to another one that
-// was refused of late and has been served less than the given part of what it has.
-func (s *Shares) Yields(now time.Duration, workspace string, part float64) bool {
-	mine := s.flow(now, workspace).served
+// Yields reports whether a workspace has to leave spare capacity to another one that
+// wants more and has been served less than the given fraction of its own service.
+func (s *Shares) Yields(now time.Duration, workspace string, ratio float64) bool {
+	own := s.flow(now, workspace).served
 	for name, f := range s.flows {
-		if name == workspace || !f.wants(now) {
+		if name == workspace || !f.wantsMore(now) {
 			continue
 		}
-		// The flow is left as it is: the order of the map must not show in its figures.
-		if decayed(f.served, now-f.at) < part*mine {
+		// The flow must not be changed here, or its values would depend on the order of
+		// map iteration.
+		if decayed(f.served, now-f.updatedAt) < ratio*own {
 			return true
 		}
 	}
@@ -201,50 +204,50 @@
 func (s *Shares) flow(now time.Duration, workspace string) *shareFlow {
 	f := s.flows[workspace]
 	if f == nil {
-		f = &shareFlow{at: now, credit: s.burst()}
+		f = &shareFlow{updatedAt: now, credit: s.maxCredit()}
 		s.flows[workspace] = f
 	}
-	s.advance(now, f)
+	s.decayTo(now, f)
 	return f
 }
 
-func (s *Shares) advance(now time.Duration, f *shareFlow) {
-	passed := now - f.at
-	f.at = now
-	f.asked = decayed(f.asked, passed)
+func (s *Shares) decayTo(now time.Duration, f *shareFlow) {
+	passed := now - f.updatedAt
+	f.updatedAt = now
+	f.demand = decayed(f.demand, passed)
 	f.granted = decayed(f.granted, passed)
 	f.served = decayed(f.served, passed)
 	f.unread = decayed(f.unread, passed)
-	f.credit = min(f.credit+passed.Seconds()*s.bounded(), s.burst())
+	f.credit = min(f.credit+passed.Seconds()*s.shareRate(), s.maxCredit())
 }
 
-// decayed is what is left of an average some time later.
+// decayed returns what remains of an average after the given time.
 func decayed(value float64, passed time.Duration) float64 {
-	return value * math.Exp(-passed.Seconds()/demandTime.Seconds())
+	return value * math.Exp(-passed.Seconds()/demandTimeConstant.Seconds())
 }
 
-// bounded is the level, or the whole capacity where there is no level.
-func (s *Shares) bounded() float64 { return min(s.level, s.perSecond) }
+// shareRate returns the level, or the whole capacity if there is no level.
+func (s *Shares) shareRate() float64 { return min(s.level, s.capacityPerSecond) }
 
-func (s *Shares) burst() float64 { return s.bounded() * shareBurst.Seconds() }
+func (s *Shares) maxCredit() float64 { return s.shareRate() * shareBurstWindow.Seconds() }
 
-// findLevel works out the level by which what the workspaces get adds up to the
-// capacity.
-func (s *Shares) findLevel(now time.Duration) {
-	if s.known && now-s.levelAt < levelEvery {
+// updateLevel computes the level at which the amounts that the workspaces get add up to
+// the capacity.
+func (s *Shares) updateLevel(now time.Duration) {
+	if s.levelKnown && now-s.levelAt < levelInterval {
 		return
 	}
-	s.known, s.levelAt = true, now
+	s.levelKnown, s.levelAt = true, now
 	demands := make([]float64, 0, len(s.flows))
 	for name, f := range s.flows {
-		if now-f.at > forgetShare {
+		if now-f.updatedAt > shareIdleTimeout {
 			delete(s.flows, name)
 			continue
 		}
-		demands = append(demands, decayed(f.asked, now-f.at)/demandTime.Seconds())
+		demands = append(demands, decayed(f.demand, now-f.updatedAt)/demandTimeConstant.Seconds())
 	}
 	slices.Sort(demands)
-	left := s.perSecond
+	left := s.capacityPerSecond
 	for i, demand := range demands {
 		share := left / float64(len(demands)-i)
 		if demand > share {
--- a/control/sched/shares_test.go
+++ b/control/sched/shares_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// play lets workspaces ask for so much a second each, in requests of 10, and
-// returns what each was told to be within its share, a second.
-func play(s *Shares, from, seconds int, demands []float64) []float64 {
+// simulateDemand has workspaces request the given demands per second, in requests of 10,
+// and returns how much of each was within its share, per second.
+func simulateDemand(s *Shares, from, seconds int, demands []float64) []float64 {
 	within := make([]float64, len(demands))
 	asked := make([]float64, len(demands))
 	const step = 10 * time.Millisecond
@@ -29,13 +29,13 @@
 	return within
 }
 
-// TestSharesAreMaxMin: small demands are within their shares whole, and large
-// ones up to one level at which the capacity is used up.
+// TestSharesAreMaxMin checks that small demands are entirely within their shares, and
+// large ones up to one level at which the capacity is used up.
 func TestSharesAreMaxMin(t *testing.T) {
 	s := NewShares(1000)
 	demands := []float64{100, 200, 900, 5000}
-	play(s, 0, 10, demands) // the first burst, while nothing is known
-	got := play(s, 10, 60, demands)
+	simulateDemand(s, 0, 10, demands) // the first burst, before the level is known
+	got := simulateDemand(s, 10, 60, demands)
 	for i, want := range []float64{100, 200, 350, 350} {
 		if math.Abs(got[i]-want) > 0.1*want {
 			t.Errorf("workspace %d has %.0f of %.0f a second", i, got[i], want)
@@ -43,10 +43,10 @@
 	}
 }
 
-// TestNoBoundBelowCapacity: while all ask for less than the capacity, everything
-// is within the shares.
+// TestNoBoundBelowCapacity checks that everything is within the shares while the total
+// demand is below the capacity.
 func TestNoBoundBelowCapacity(t *testing.T) {
-	got := play(NewShares(1000), 0, 20, []float64{100, 200, 600})
+	got := simulateDemand(NewShares(1000), 0, 20, []float64{100, 200, 600})
 	for i, want := range []float64{100, 200, 600} {
 		if got[i] < 0.98*want {
 			t.Errorf("workspace %d has %.0f of %.0f a second", i, got[i], want)
@@ -54,10 +54,11 @@
 	}
 }
 
-// TestIdlenessBanksLittle: a workspace that wakes up has at most a burst.
-func TestIdlenessBanksLittle(t *testing.T) {
+// TestIdleWorkspaceCreditIsBounded checks that a workspace which was idle may use at
+// most one burst at once.
+func TestIdleWorkspaceCreditIsBounded(t *testing.T) {
 	s := NewShares(1000)
-	play(s, 0, 20, []float64{0, 5000})
+	simulateDemand(s, 0, 20, []float64{0, 5000})
 	burst := 0.0
 	at := 20*time.Second + time.Millisecond
 	for s.Ask(at, "late", 10) {
@@ -66,48 +67,49 @@
 		}
 	}
 	if burst > 1600 {
-		t.Errorf("%.0f at once after idling", burst)
+		t.Errorf("%.0f at once after an idle time", burst)
 	}
 }
 
-// TestYieldsToTheLeastServed: spare capacity goes to a workspace that was refused
-// and has been served much less.
+// TestYieldsToTheLeastServed checks that spare capacity goes to a workspace that was
+// refused and has been served much less.
 func TestYieldsToTheLeastServed(t *testing.T) {
 	s := NewShares(1000)
 	s.Served(0, "large", 1000)
 	s.Served(0, "small", 100)
 	if s.Yields(0, "large", 0.7) {
-		t.Error("yields though nobody was refused")
+		t.Error("yields though no workspace was refused")
 	}
 	s.Refused(0, "small")
 	if !s.Yields(0, "large", 0.7) {
-		t.Error("does not yield to one that was refused")
+		t.Error("does not yield to a workspace that was refused")
 	}
 	if s.Yields(0, "small", 0.7) {
-		t.Error("the least served yields")
+		t.Error("the least served workspace yields")
 	}
 	if s.Yields(2*time.Second, "large", 0.7) {
 		t.Error("yields for an old refusal")
 	}
 }
 
-// TestTurningHotIsNoCredit plays the load in which a workspace had less than half of what
-// another one had for six seconds: one asks for more than it gets all the time, another one
-// begins to, and a second later targets crash, so that there is little to share from then
-// on. The second had little before; that is not owed to it, so that neither has less than
-// half of what the other has, which is what callers are promised.
-func TestTurningHotIsNoCredit(t *testing.T) {
+// TestRisingDemandGainsNoCredit reproduces a load in which one workspace was served less
+// than half of another for six seconds. The first always asks for more than it gets, the
+// second begins to, and one second later targets crash, which leaves little capacity to
+// share. The second had received little before, but it must have no claim for that:
+// neither may be served less than half of the other, which is what callers are promised.
+func TestRisingDemandGainsNoCredit(t *testing.T) {
 	const (
 		step     = 10 * time.Millisecond
 		turnsHot = 6 * time.Second
 		length   = 6 * time.Second
 		each     = 10.0
-		// spare is what targets take a second beyond the shares, and rest what is left of
-		// it from crashAt on.
+		// spare is the capacity per second beyond the shares, and rest what remains of
+		// it after crashAt.
 		spare   = 1000.0
 		rest    = 250.0
 		crashAt = turnsHot + time.Second
-		// yieldPart is the usual one, and promised the part that none has less than.
+		// yieldPart is the default of the policy, and promised the least fraction of the
+		// other's service.
 		yieldPart = 0.7
 		promised  = 0.5
 	)
@@ -132,7 +134,7 @@
 		}
 		left = min(left+perSecond*step.Seconds(), 2*each)
 		for turn := range 6 {
-			// Neither comes first more often than the other.
+			// Neither workspace comes first more often than the other.
 			if workspace := [2]string{"first", "second"}[(turn+int(now/step))%2]; workspace == "first" || now >= turnsHot {
 				ask(now, workspace, &left)
 			}
@@ -143,14 +145,14 @@
 	}
 }
 
-// TestWhatEntriesRefuseIsWanted plays a workspace whose callers all come by one small router
-// that has to refuse most of them unread, beside one whose callers come by all. The second
-// leaves spare capacity to the first; to one of which a few are refused in passing it
-// leaves none.
-func TestWhatEntriesRefuseIsWanted(t *testing.T) {
+// TestUnreadRefusalsCountAsDemand compares a workspace whose callers all use one small
+// router, which has to refuse most of them unread, with one whose callers use all
+// routers. The second must yield spare capacity to the first, but not if only a few of
+// the first's requests are refused.
+func TestUnreadRefusalsCountAsDemand(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// unread is how many requests are refused unread for each one that is served.
+		// unread is the number of requests refused unread for each one that is served.
 		unread int
 		yields bool
 	}{
@@ -171,26 +173,26 @@
 		}
 		s.Unread(now, "by one", 1)
 		if got := s.Yields(now, "by all", 0.7); got != c.yields {
-			t.Errorf("%s: the other one yields: %v", c.name, got)
+			t.Errorf("%s: the other workspace yields: %v", c.name, got)
 		}
 		if s.Yields(now, "by one", 0.7) {
-			t.Errorf("%s: yields itself", c.name)
+			t.Errorf("%s: the refused workspace yields", c.name)
 		}
-		// The first one goes on alone.
+		// From here on only the first workspace sends requests.
 		for end := now + 5*time.Second; now < end; now += 10 * time.Millisecond {
 			s.Ask(now, "by all", 10)
 			s.Served(now, "by all", 10)
 		}
 		if s.Yields(now, "by all", 0.7) {
-			t.Errorf("%s: yields for what is long past", c.name)
+			t.Errorf("%s: yields for old refusals", c.name)
 		}
 	}
 }
 
-// TestTurningHotUnreadIsNoCredit: a workspace that its entries begin to hold back counts as
-// served like the least served of the others that want more, as one does that is refused
-// here. What it had before is not owed to it.
-func TestTurningHotUnreadIsNoCredit(t *testing.T) {
+// TestUnreadRefusalsGainNoCredit checks that a workspace whose requests routers begin to
+// refuse unread counts as served like the least served of the others that want more, as
+// does one that is refused here. It has no claim for the time before.
+func TestUnreadRefusalsGainNoCredit(t *testing.T) {
 	s := NewShares(100)
 	s.Served(0, "first", 1000)
 	s.Refused(0, "first")
@@ -198,21 +200,22 @@
 	s.Served(0, "second", 10)
 	s.Unread(0, "second", 4)
 	if s.Yields(0, "first", 0.7) {
-		t.Error("the first yields for what the second did not ask for before")
+		t.Error("the first yields for capacity that the second did not ask for before")
 	}
 	s.Served(0, "first", 1000)
 	if !s.Yields(0, "first", 0.7) {
-		t.Error("the first does not yield for what it has from now on")
+		t.Error("the first does not yield for what it was served since")
 	}
 }
 
-// TestReturnedShareIsUsed: a workspace of whose requests within its share three of four are given
-// back, as they cannot be placed, is served no less than it may be behind its share.
-func TestReturnedShareIsUsed(t *testing.T) {
+// TestRefundedShareIsUsed has three of four requests within a workspace's share refunded
+// because they cannot be placed. The workspace must still be served at least
+// behindShareRatio of its share.
+func TestRefundedShareIsUsed(t *testing.T) {
 	const (
 		capacity, demand, each = 1000.0, 5000.0, 10.0
 		seconds                = 30
-		step                   = 2 * time.Millisecond // one request of each at a time
+		step                   = 2 * time.Millisecond // the time between two requests of each workspace
 	)
 	s := NewShares(capacity)
 	served := map[string]float64{}
@@ -235,7 +238,7 @@
 		serve(now, "crowded")
 	}
 	const share = capacity / 2
-	if got := served["crowded"] / seconds; got < behindPart*share {
-		t.Errorf("%.0f of a share of %.0f a second, the other has %.0f", got, share, served["placed"]/seconds)
+	if got := served["crowded"] / seconds; got < behindShareRatio*share {
+		t.Errorf("%.0f of a share of %.0f per second, the other workspace has %.0f", got, share, served["placed"]/seconds)
 	}
 }
--- a/control/sched/starve.go
+++ b/control/sched/starve.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Tick finds the flows that service in other shards has held back for too long
-// and moves each to the front for one item. It also forgets flows that have
-// been idle for long and returns their workspaces. The cost is that of the
-// flows whose time has come.
+// Tick finds the flows that have been held back for too long because of service in other
+// shards, and moves each to the front for one item. It also forgets flows that have been
+// idle for too long and returns their workspaces. Its cost is proportional to the number
+// of flows that are due.
 func (q *Queue[T]) Tick(now time.Duration) []string {
 	q.findStarved(now)
-	return q.forget(now)
+	return q.forgetIdle(now)
 }
 
-// NextTick returns when Tick has something to do; false if nothing is due.
+// NextTick returns when Tick is next due; false if it has nothing to do.
 func (q *Queue[T]) NextTick() (time.Duration, bool) {
 	var at time.Duration
 	found := false
-	if e := q.order.Front(); e != nil {
+	if e := q.active.Front(); e != nil {
 		at, found = e.Value.(*Flow[T]).servedAt+starveAfter, true
 	}
 	if e := q.idle.Front(); e != nil {
@@ -30,36 +30,36 @@
 }
 
 func (q *Queue[T]) findStarved(now time.Duration) {
-	for e := q.order.Front(); e != nil; e = q.order.Front() {
+	for e := q.active.Front(); e != nil; e = q.active.Front() {
 		f := e.Value.(*Flow[T])
 		if now-f.servedAt < starveAfter {
 			return
 		}
-		held := f.elsewhere() - f.servedElsewhere
-		if held > 0 && f.Key()-held <= q.least() {
+		heldBack := f.receivedElsewhere() - f.elsewhereAtService
+		if heldBack > 0 && f.Key()-heldBack <= q.minKey() {
 			q.setStarved(f, true)
 		}
-		f.servedAt = now // looked at again after another period
-		q.order.MoveToBack(e)
+		f.servedAt = now // check it again after another period
+		q.active.MoveToBack(e)
 	}
 }
 
-// least returns the least key of the flows that wait; something must wait.
-func (q *Queue[T]) least() float64 {
+// minKey returns the least key of the waiting flows. At least one must be waiting.
+func (q *Queue[T]) minKey() float64 {
 	best := math.Inf(1)
 	for _, c := range q.classes {
 		if len(c.lanes) > 0 {
-			best = min(best, c.lanes.least(0).Key())
+			best = min(best, c.lanes.minFlow(0).Key())
 		}
 	}
 	return best
 }
 
-// leastBut returns the least received service of the other flows that wait, or
+// minReceivedExcept returns the least received service of the other waiting flows, or
 // infinity.
-func (q *Queue[T]) leastBut(f *Flow[T]) float64 {
+func (q *Queue[T]) minReceivedExcept(f *Flow[T]) float64 {
 	best := math.Inf(1)
-	for e := q.order.Front(); e != nil; e = e.Next() {
+	for e := q.active.Front(); e != nil; e = e.Next() {
 		if other := e.Value.(*Flow[T]); other != f {
 			best = min(best, other.received())
 		}
@@ -72,11 +72,11 @@
 		return
 	}
 	f.starved = starved
-	f.fix()
+	f.restoreOrder()
 }
 
-func (q *Queue[T]) forget(now time.Duration) []string {
-	var gone []string
+func (q *Queue[T]) forgetIdle(now time.Duration) []string {
+	var forgotten []string
 	for e := q.idle.Front(); e != nil; e = q.idle.Front() {
 		f := e.Value.(*Flow[T])
 		if now-f.servedAt < forgetAfter {
@@ -84,12 +84,12 @@
 		}
 		q.idle.Remove(e)
 		delete(q.flows, f.Workspace)
-		gone = append(gone, f.Workspace)
+		forgotten = append(forgotten, f.Workspace)
 	}
-	return gone
+	return forgotten
 }
 
-// before says whether l is served before other.
+// before reports whether l is served before other.
 func (l *lane[T]) before(other *lane[T]) bool {
 	if l.flow.starved != other.flow.starved {
 		return l.flow.starved
@@ -115,9 +115,9 @@
 	h[j].index = j
 }
 
-// least returns the flow with the least key in the subtree at i, or nil. Starved
-// flows stand before others whatever their key, so it looks behind them.
-func (h laneHeap[T]) least(i int) *Flow[T] {
+// minFlow returns the flow with the least key in the subtree at i, or nil. Starved flows
+// precede others regardless of their key, so it also searches below them.
+func (h laneHeap[T]) minFlow(i int) *Flow[T] {
 	if i >= len(h) {
 		return nil
 	}
@@ -126,7 +126,7 @@
 		return best
 	}
 	for child := 2*i + 1; child <= 2*i+2; child++ {
-		if f := h.least(child); f != nil && f.Key() < best.Key() {
+		if f := h.minFlow(child); f != nil && f.Key() < best.Key() {
 			best = f
 		}
 	}
--- a/control/sched/window.go
+++ b/control/sched/window.go
@@ -6,184 +6,186 @@
 )
 
 const (
-	// settleTime is how long a new window waits for the first load report
-	// before it trusts its own count alone.
-	settleTime = 500 * time.Millisecond
-	// lagTime is the longest lag of a load report that the window allows for.
-	lagTime = 2 * time.Second
-	// foreignTime is how long load of unknown origin counts without a new report.
-	foreignTime = 3 * time.Second
-	// worthwhileLoop is the part of a run's slot time that may be lost between
-	// runs before the window admits more than the target's slots.
-	worthwhileLoop = 0.0025
-	// handover is the least time between two runs, also where entry and
-	// scheduler are one process: the last part of an answer has to reach the
-	// entry, and the next request the target.
-	handover = 2 * time.Millisecond
+	// settleTimeout is how long a new window waits for the first load report before it
+	// relies on its own count alone.
+	settleTimeout = 500 * time.Millisecond
+	// maxReportLag is the longest delay of a load report that the window allows for.
+	maxReportLag = 2 * time.Second
+	// foreignTimeout is how long load of other schedulers counts without a new report.
+	foreignTimeout = 3 * time.Second
+	// minOverheadRatio is the fraction of a run's slot time that may be lost between
+	// runs before the window allows more grants than the target's slots.
+	minOverheadRatio = 0.0025
+	// minOverhead is the least time between two runs, also if entry and scheduler are in
+	// one process: the last part of an answer has to reach the entry, and the next
+	// request the target.
+	minOverhead = 2 * time.Millisecond
 	// averageWeight is the weight of a new sample in the moving averages.
 	averageWeight = 0.1
-	// slowRun and verySlowRun compare a run with the average: up to the first
-	// the target copes, past the second it is crowded.
-	slowRun     = 1.5
-	verySlowRun = 2.5
+	// slowRunRatio and verySlowRunRatio compare a run with the average. Up to the first
+	// the target is not overloaded; beyond the second it is.
+	slowRunRatio     = 1.5
+	verySlowRunRatio = 2.5
 )
 
-// Window says how many grants a target may hold. It keeps the target just full.
+// Window limits how many grants a target may hold, so that the target is just full.
 //
-// The scheduler's own count of grants is the authority: a load report that is
-// too low never admits more. A report that is higher than anything this
-// scheduler granted of late shows load of another scheduler, which is left
-// room for. If such a report is a lie, the runs still end in their usual time
-// and the window opens again step by step.
+// The scheduler's own count of grants decides: a load report that is too low never
+// allows more. A report that is higher than any count which this scheduler had within
+// maxReportLag shows load of another scheduler, and the window leaves room for it. If
+// such a report is false, runs still end in their usual time, and the window opens again
+// step by step.
 //
-// The limit is never over the slots by more than MaxExtra.
+// The limit never exceeds the slots by more than MaxExtra.
 type Window struct {
-	declared, reported int
-	out                int
-	// peak and lastPeak are the highest counts in this and the last lagTime.
+	declaredSlots, reportedSlots int
+	held                         int
+	// peak and lastPeak are the highest counts in the current and the previous
+	// maxReportLag.
 	peak, lastPeak int
 	rotateAt       time.Duration
 	foreign        int
 	foreignUntil   time.Duration
-	// allowance is what may be granted in spite of foreign load.
-	allowance float64
-	settledAt time.Duration
-	service   average
-	loop      average
+	// allowance is how many grants are allowed regardless of foreign load.
+	allowance   float64
+	settleUntil time.Duration
+	service     average
+	overhead    average
 }
 
 // NewWindow returns the window of a target with the declared slots.
 func NewWindow(now time.Duration, slots int) *Window {
-	return &Window{declared: max(1, slots), allowance: 1, settledAt: now + settleTime, rotateAt: now + lagTime}
+	return &Window{declaredSlots: max(1, slots), allowance: 1, settleUntil: now + settleTimeout, rotateAt: now + maxReportLag}
 }
 
-// MaxExtra bounds how far the limit may be over the slots.
+// MaxExtra returns how far the limit may exceed the slots.
 func MaxExtra(slots int) int { return max(1, slots/4) }
 
-// Declare changes the declared slots.
-func (w *Window) Declare(slots int) { w.declared = max(1, slots) }
+// SetSlots changes the declared slots.
+func (w *Window) Declare(slots int) { w.declaredSlots = max(1, slots) }
 
 // Slots returns how many runs the target serves at once.
 func (w *Window) Slots() int {
-	if w.reported > 0 {
-		return min(w.declared, w.reported)
+	if w.reportedSlots > 0 {
+		return min(w.declaredSlots, w.reportedSlots)
 	}
-	return w.declared
+	return w.declaredSlots
 }
 
-// Service returns how long a run takes in the mean; zero before the first ended.
-func (w *Window) Service() time.Duration { return seconds(w.service.value) }
+// MeanService returns the average time of a run; zero before the first one ended.
+func (w *Window) Service() time.Duration { return toDuration(w.service.value) }
 
-// Out returns the number of grants held.
-func (w *Window) Out() int { return w.out }
+// Held returns the number of grants held.
+func (w *Window) Out() int { return w.held }
 
-// Room returns how many more grants the target may hold now.
-func (w *Window) Room(now time.Duration) int { return max(0, w.limit(now)-w.out) }
+// Free returns how many more grants the target may hold now.
+func (w *Window) Room(now time.Duration) int { return max(0, w.limit(now)-w.held) }
 
-// Fill returns the part of the slots in use, as far as is known.
+// Utilisation returns the fraction of the slots in use, including known load of other
+// schedulers.
 func (w *Window) Fill(now time.Duration) float64 {
-	return float64(w.out+w.foreignNow(now)) / float64(w.Slots())
+	return float64(w.held+w.currentForeign(now)) / float64(w.Slots())
 }
 
 func (w *Window) limit(now time.Duration) int {
-	if now < w.settledAt {
+	if now < w.settleUntil {
 		return 1
 	}
 	full := w.Slots() + w.extra()
-	foreign := w.foreignNow(now)
+	foreign := w.currentForeign(now)
 	return min(full, max(full-foreign, int(w.allowance)))
 }
 
-func (w *Window) foreignNow(now time.Duration) int {
+func (w *Window) currentForeign(now time.Duration) int {
 	if now >= w.foreignUntil {
 		return 0
 	}
 	return w.foreign
 }
 
-// extra returns how many grants beyond the slots cover the time between the
-// end of a run and the next one's start.
+// extra returns how many grants beyond the slots fill the time between the end of one
+// run and the start of the next.
 func (w *Window) extra() int {
-	service, loop := w.service.value, max(w.loop.value, handover.Seconds())
-	if service <= 0 || loop < service*worthwhileLoop {
+	service, overhead := w.service.value, max(w.overhead.value, minOverhead.Seconds())
+	if service <= 0 || overhead < service*minOverheadRatio {
 		return 0
 	}
-	need := math.Ceil(float64(w.Slots()) * loop / service)
+	need := math.Ceil(float64(w.Slots()) * overhead / service)
 	return int(min(need, float64(MaxExtra(w.Slots()))))
 }
 
-// Granted counts a new grant.
+// Granted records a new grant.
 func (w *Window) Granted(now time.Duration) {
-	w.out++
-	w.notePeak(now)
+	w.held++
+	w.updatePeak(now)
 }
 
-// Adopted counts a run that another scheduler granted. It was foreign load
-// until now, if the target reported it.
+// Adopted records a run that another scheduler granted. Until now it was foreign load,
+// if the target reported it.
 func (w *Window) Adopted(now time.Duration) {
 	w.Granted(now)
 	w.foreign = max(0, w.foreign-1)
 }
 
-// Disowned counts a grant whose run cannot be followed any more as foreign
-// load, until the next load report tells.
+// Disowned turns a grant whose run can no longer be followed into foreign load, until
+// the next load report.
 func (w *Window) Disowned(now time.Duration) {
 	w.Released(now)
-	w.peak = max(w.out, w.peak-1)
+	w.peak = max(w.held, w.peak-1)
 	w.lastPeak = max(0, w.lastPeak-1)
-	w.foreign = w.foreignNow(now) + 1
-	w.foreignUntil = now + foreignTime
+	w.foreign = w.currentForeign(now) + 1
+	w.foreignUntil = now + foreignTimeout
 }
 
-// Released counts a grant that ended without a measure.
+// Released records the end of a grant whose run was not measured.
 func (w *Window) Released(now time.Duration) {
-	w.notePeak(now)
-	w.out = max(0, w.out-1)
+	w.updatePeak(now)
+	w.held = max(0, w.held-1)
 }
 
-// Ended counts a grant whose run took service in a slot; loop is the time that
-// the messages took, from the grant to the news of its end.
-func (w *Window) Ended(now time.Duration, service, loop time.Duration) {
+// Ended records the end of a grant whose run used a slot for service. overhead is the
+// time that messages took between the grant and the news of the run's end.
+func (w *Window) Ended(now time.Duration, service, overhead time.Duration) {
 	usual := w.service.value
 	w.Released(now)
 	w.service.add(service.Seconds())
-	w.loop.add(max(0, loop).Seconds())
+	w.overhead.add(max(0, overhead).Seconds())
 	w.adapt(service.Seconds(), usual)
 }
 
-// adapt opens the window in spite of reported foreign load while runs end in
-// their usual time, and closes it when they slow down.
+// adapt raises the allowance in spite of reported foreign load while runs end in their
+// usual time, and lowers it when they slow down.
 func (w *Window) adapt(service, usual float64) {
 	switch {
 	case w.foreign == 0:
 		w.allowance = 1
-	case usual == 0 || service <= usual*slowRun:
+	case usual == 0 || service <= usual*slowRunRatio:
 		w.allowance = min(w.allowance+1/w.allowance, float64(w.Slots()))
-	case service > usual*verySlowRun:
+	case service > usual*verySlowRunRatio:
 		w.allowance = max(1, w.allowance/2)
 	}
 }
 
-// Reported takes a load report in.
+// Reported records a load report.
 func (w *Window) Reported(now time.Duration, running, queued, slots int) {
-	w.notePeak(now)
-	w.reported = max(0, slots)
-	w.settledAt = min(w.settledAt, now)
+	w.updatePeak(now)
+	w.reportedSlots = max(0, slots)
+	w.settleUntil = min(w.settleUntil, now)
 	w.foreign = max(0, max(0, running)+max(0, queued)-max(w.peak, w.lastPeak))
-	w.foreignUntil = now + foreignTime
+	w.foreignUntil = now + foreignTimeout
 }
 
-// notePeak keeps the highest count of the last one to two lag times.
-func (w *Window) notePeak(now time.Duration) {
+// updatePeak keeps the highest count of the last one to two times maxReportLag.
+func (w *Window) updatePeak(now time.Duration) {
 	if now >= w.rotateAt {
 		w.lastPeak = w.peak
-		if now >= w.rotateAt+lagTime {
-			w.lastPeak = w.out
+		if now >= w.rotateAt+maxReportLag {
+			w.lastPeak = w.held
 		}
-		w.peak = w.out
-		w.rotateAt = now + lagTime
+		w.peak = w.held
+		w.rotateAt = now + maxReportLag
 	}
-	w.peak = max(w.peak, w.out)
+	w.peak = max(w.peak, w.held)
 }
 
 // average is an exponentially weighted moving average in seconds.
--- a/control/sched/window_test.go
+++ b/control/sched/window_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestWindowNeverFloods lets reports say anything: the grants held stay within
-// the slots and the bounded extra.
-func TestWindowNeverFloods(t *testing.T) {
+// TestWindowNeverExceedsLimit makes load reports arbitrary: the grants held stay within
+// the slots and MaxExtra.
+func TestWindowNeverExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 32).Draw(t, "slots")
 		w := NewWindow(0, slots)
@@ -33,7 +33,7 @@
 				t.Fatalf("%d grants for %d slots", w.Out(), slots)
 			}
 			if w.Out() == 0 && w.Room(now) == 0 {
-				t.Fatalf("an empty target is given nothing")
+				t.Fatalf("a target without grants gets none")
 			}
 		}
 	})
@@ -43,18 +43,18 @@
 	w := NewWindow(0, 4)
 	w.Reported(time.Second, 3, 0, 4)
 	if room := w.Room(time.Second); room != 1 {
-		t.Errorf("room is %d beside three foreign runs in four slots", room)
+		t.Errorf("%d free beside three foreign runs in four slots", room)
 	}
 	w.Adopted(time.Second)
 	if room := w.Room(time.Second); room != 1 {
-		t.Errorf("room is %d after one of them was adopted", room)
+		t.Errorf("%d free after one of them was adopted", room)
 	}
-	if room := w.Room(time.Second + foreignTime); room != 3 {
-		t.Errorf("room is %d when the report is old", room)
+	if room := w.Room(time.Second + foreignTimeout); room != 3 {
+		t.Errorf("%d free after the report expired", room)
 	}
 }
 
-func TestWindowBearsLag(t *testing.T) {
+func TestWindowToleratesReportLag(t *testing.T) {
 	w := NewWindow(0, 4)
 	w.Reported(time.Second, 0, 0, 4)
 	for range 4 {
@@ -63,9 +63,9 @@
 	for range 4 {
 		w.Ended(2*time.Second, time.Second, 0)
 	}
-	w.Reported(2100*time.Millisecond, 4, 0, 4) // from before the ends
+	w.Reported(2100*time.Millisecond, 4, 0, 4) // sent before the runs ended
 	if room := w.Room(2100 * time.Millisecond); room != 4 {
-		t.Errorf("room is %d after a late report", room)
+		t.Errorf("%d free after a late report", room)
 	}
 }
 
@@ -78,22 +78,22 @@
 		w.Ended(now, 20*time.Millisecond, 2*time.Millisecond)
 	}
 	if room := w.Room(2 * time.Second); room != 9 {
-		t.Errorf("room is %d for 8 slots with a loop of a tenth of a run", room)
+		t.Errorf("%d free for 8 slots with an overhead of a tenth of a run", room)
 	}
 }
 
 func TestEstimateFollowsOutcomes(t *testing.T) {
 	var e Estimate
 	if got := e.Charge(0, time.Second); got != time.Second {
-		t.Errorf("before any outcome the estimate is %v", got)
+		t.Errorf("estimate %v before any outcome", got)
 	}
 	for range 100 {
 		e.Learn(10*time.Millisecond, 2*time.Second)
 	}
 	if got := e.Charge(10*time.Millisecond, time.Second); got < 1900*time.Millisecond || got > 2100*time.Millisecond {
-		t.Errorf("a hint that is always too low gives %v", got)
+		t.Errorf("estimate %v from a hint that is always too low", got)
 	}
 	if got := e.Charge(time.Millisecond, time.Second); got < 400*time.Millisecond {
-		t.Errorf("a hint far below the others gives %v", got)
+		t.Errorf("estimate %v from a hint far below the others", got)
 	}
 }
