--- a/control/quarantine/completions.go
+++ b/control/quarantine/completions.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// announceEvery is the shortest time between two announcements that the same
-// fingerprint ran to completion, and between two completions of it noted.
-const announceEvery = time.Second
+// completionInterval is the least time between two announcements that the same
+// fingerprint ran to completion, and between two of its completions that are recorded.
+const completionInterval = time.Second
 
-// completions remembers the last runs to completion, oldest first, up to a
-// limit.
+// completions holds the latest runs to completion, oldest first, up to a limit.
 type completions struct {
 	limit int
 	known map[uint64]*completion
@@ -25,20 +24,21 @@
 	return completions{limit: limit, known: make(map[uint64]*completion)}
 }
 
-// add notes a completion unless one at about the same time or later is known.
+// add records a completion unless one later or less than completionInterval earlier is
+// known.
 func (c *completions) add(fingerprint uint64, at Instant) {
-	if last, ok := c.known[fingerprint]; ok && at < last.at+announceEvery {
+	if last, ok := c.known[fingerprint]; ok && at < last.at+completionInterval {
 		return
 	}
-	noted := &completion{fingerprint: fingerprint, at: at}
-	c.known[fingerprint] = noted
-	c.order = append(c.order, noted)
+	added := &completion{fingerprint: fingerprint, at: at}
+	c.known[fingerprint] = added
+	c.order = append(c.order, added)
 	for len(c.order) > c.limit {
 		c.dropOldest()
 	}
 }
 
-// after returns the known completion of a fingerprint if it was after a time.
+// after returns the known completion of a fingerprint if it came after the given time.
 func (c *completions) after(fingerprint uint64, at Instant) *completion {
 	if last, ok := c.known[fingerprint]; ok && last.at > at {
 		return last
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// expire forgets completions before a time.
+// expire removes completions before a time.
 func (c *completions) expire(before Instant) {
 	for len(c.order) > 0 && c.order[0].at < before {
 		c.dropOldest()
@@ -61,10 +61,10 @@
 	}
 }
 
-// announce adds a notice of the completion to out, unless it was announced
-// just now: the same evidence reaches a router on many ways.
+// announce adds a notice of the completion to out, unless it was announced less than
+// completionInterval ago: the same evidence reaches a router from several others.
 func (c *completion) announce(now Instant, out *Output) {
-	if c.announced && now-c.announcedAt < announceEvery {
+	if c.announced && now-c.announcedAt < completionInterval {
 		return
 	}
 	c.announced = true
--- a/control/quarantine/judge.go
+++ b/control/quarantine/judge.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// crashSet is a set of crashes, one bit for each by its index.
+// crashSet is a set of crashes, with one bit for the index of each.
 type crashSet []uint64
 
 func newCrashSet(size int) crashSet { return make(crashSet, (size+63)/64) }
@@ -25,7 +25,7 @@
 	return n
 }
 
-// overlap counts the crashes in both sets.
+// overlap returns the number of crashes in both sets.
 func (s crashSet) overlap(other crashSet) int {
 	n := 0
 	for i, word := range s {
@@ -34,7 +34,7 @@
 	return n
 }
 
-// key is the set as a map key.
+// key returns the set as a map key.
 func (s crashSet) key() string {
 	var buf []byte
 	for _, word := range s {
@@ -43,17 +43,17 @@
 	return string(buf)
 }
 
-// explanation is one set of crashes and the fingerprints that were running at
-// exactly these.
+// explanation is a set of crashes and the fingerprints that were running at exactly
+// these.
 type explanation struct {
 	crashes      crashSet
 	fingerprints []uint64
 }
 
-// judge convicts the fingerprints that the evidence singles out, and adds every
-// verdict that changed to out. It judges afresh each time, so that the verdict
-// depends on the evidence alone and not on the order in which it came.
-func (t *Tracker) judge(out *Output) {
+// updateVerdicts convicts the fingerprints that the evidence identifies as causes, and
+// adds every verdict that changed to out. It starts from scratch each time, so that the
+// verdicts depend on the evidence alone and not on the order in which it arrived.
+func (t *Tracker) updateVerdicts(out *Output) {
 	if !t.changed {
 		return
 	}
@@ -62,18 +62,18 @@
 	for {
 		suspects := t.unexplained()
 		candidates := t.candidates(suspects)
-		guilty := singledOut(candidates)
-		if len(guilty) == 0 {
-			t.report(suspects, candidates, out)
+		causes := uniqueCauses(candidates)
+		if len(causes) == 0 {
+			t.setVerdicts(suspects, candidates, out)
 			return
 		}
-		for _, fingerprint := range guilty {
+		for _, fingerprint := range causes {
 			t.convicted[fingerprint] = t.lastCrash(fingerprint)
 		}
 	}
 }
 
-// lastCrash returns the time of the last known crash of a fingerprint.
+// lastCrash returns the time of the last known crash at which a fingerprint was running.
 func (t *Tracker) lastCrash(fingerprint uint64) Instant {
 	last := Instant(math.MinInt64)
 	for _, c := range t.crashes {
@@ -84,12 +84,12 @@
 	return last
 }
 
-// unexplained returns, for each fingerprint, the crashes at which it was
-// running and no convicted fingerprint was.
+// unexplained returns, for each fingerprint, the crashes at which it was running and no
+// convicted fingerprint was.
 func (t *Tracker) unexplained() map[uint64]crashSet {
 	suspects := make(map[uint64]crashSet)
 	for i, c := range t.crashes {
-		if t.explained(c) {
+		if t.isExplained(c) {
 			continue
 		}
 		for _, fingerprint := range c.running {
@@ -102,8 +102,8 @@
 	return suspects
 }
 
-// explained says whether a convicted fingerprint was running at the crash.
-func (t *Tracker) explained(c *crash) bool {
+// isExplained reports whether a convicted fingerprint was running at the crash.
+func (t *Tracker) isExplained(c *crash) bool {
 	for _, fingerprint := range c.running {
 		if _, ok := t.convicted[fingerprint]; ok {
 			return true
@@ -112,13 +112,13 @@
 	return false
 }
 
-// candidates returns the explanations of crashes of at least two targets.
+// candidates returns the explanations that cover crashes of at least two targets.
 func (t *Tracker) candidates(suspects map[uint64]crashSet) []explanation {
 	index := make(map[string]int)
 	var found []explanation
 	for _, fingerprint := range slices.Sorted(maps.Keys(suspects)) {
 		crashes := suspects[fingerprint]
-		if crashes.len() < 2 || !t.severalTargets(crashes) {
+		if crashes.len() < 2 || !t.onSeveralTargets(crashes) {
 			continue
 		}
 		key := crashes.key()
@@ -133,8 +133,8 @@
 	return found
 }
 
-// severalTargets says whether the crashes are of more than one target.
-func (t *Tracker) severalTargets(crashes crashSet) bool {
+// onSeveralTargets reports whether the crashes are of more than one target.
+func (t *Tracker) onSeveralTargets(crashes crashSet) bool {
 	target := ""
 	for i, c := range t.crashes {
 		if !crashes.has(i) {
@@ -148,22 +148,22 @@
 	return false
 }
 
-// singledOut returns the fingerprints that explain their crashes better than
-// any other: every other candidate explains none of them, or only a part of
-// them and nothing else.
-func singledOut(candidates []explanation) []uint64 {
-	var guilty []uint64
+// uniqueCauses returns the fingerprints that explain their crashes better than any
+// other: every other candidate explains none of these crashes, or only some of them and
+// no further ones.
+func uniqueCauses(candidates []explanation) []uint64 {
+	var causes []uint64
 	for i, candidate := range candidates {
-		if len(candidate.fingerprints) == 1 && !contested(candidates, i) {
-			guilty = append(guilty, candidate.fingerprints[0])
+		if len(candidate.fingerprints) == 1 && !hasRival(candidates, i) {
+			causes = append(causes, candidate.fingerprints[0])
 		}
 	}
-	return guilty
+	return causes
 }
 
-// contested says whether another candidate explains some of the crashes of
-// candidate i, and also others.
-func contested(candidates []explanation, i int) bool {
+// hasRival reports whether another candidate explains some of the crashes of candidate
+// i, and also others.
+func hasRival(candidates []explanation, i int) bool {
 	own := candidates[i].crashes
 	for j, other := range candidates {
 		if j == i {
@@ -177,8 +177,8 @@
 	return false
 }
 
-// report sets the verdicts and adds those that changed to out.
-func (t *Tracker) report(suspects map[uint64]crashSet, candidates []explanation, out *Output) {
+// setVerdicts sets the verdicts and adds those that changed to out.
+func (t *Tracker) setVerdicts(suspects map[uint64]crashSet, candidates []explanation, out *Output) {
 	verdicts := make(map[uint64]Verdict, len(suspects)+len(t.convicted))
 	for fingerprint := range suspects {
 		verdicts[fingerprint] = VerdictSuspect
@@ -195,7 +195,7 @@
 	t.verdicts = verdicts
 }
 
-// changes returns the verdicts that differ, by fingerprint.
+// changes returns the verdicts that differ, in order of fingerprint.
 func changes(before, after map[uint64]Verdict) []Change {
 	var changed []Change
 	for fingerprint, verdict := range after {
--- a/control/quarantine/property_test.go
+++ b/control/quarantine/property_test.go
@@ -11,13 +11,13 @@
 
 const culprit = uint64(1)
 
-// world is a fleet of routers before targets that crash whenever they run the
-// culprit. Each router knows only of its own runs.
-type world struct {
+// simulation is a few routers and targets that crash whenever they run the culprit. Each
+// router knows only of its own runs.
+type simulation struct {
 	now     Instant
 	routers []*Tracker
 	pending []delivery
-	// crashes are what was running at each crash, as nobody knows it whole.
+	// crashes holds all that was running at each crash, which no single router knows.
 	crashes []crash
 }
 
@@ -27,85 +27,85 @@
 	notice Notice
 }
 
-func newWorld() *world {
-	w := &world{now: time.Minute}
+func newSimulation() *simulation {
+	s := &simulation{now: time.Minute}
 	for range 3 {
-		w.routers = append(w.routers, New(Options{}))
+		s.routers = append(s.routers, New(Options{}))
 	}
-	return w
+	return s
 }
 
-func (w *world) send(from int, out Output) {
+func (s *simulation) send(from int, out Output) {
 	for _, notice := range out.Notices {
-		for to := range w.routers {
+		for to := range s.routers {
 			if to != from {
-				w.pending = append(w.pending, delivery{to: to, sentAt: w.now, notice: notice})
+				s.pending = append(s.pending, delivery{to: to, sentAt: s.now, notice: notice})
 			}
 		}
 	}
 }
 
-// run lets a target run fingerprints, each known to one router.
-func (w *world) run(t *rapid.T) {
+// run has a target run fingerprints, each known to one router.
+func (s *simulation) run(t *rapid.T) {
 	target := fmt.Sprintf("t%d", rapid.IntRange(0, 4).Draw(t, "target"))
 	running := rapid.SliceOfNDistinct(rapid.Uint64Range(1, 7), 1, 5, rapid.ID).Draw(t, "running")
-	owners := make([][]uint64, len(w.routers))
+	owners := make([][]uint64, len(s.routers))
 	for _, fingerprint := range running {
 		owner := rapid.IntRange(0, len(owners)-1).Draw(t, "owner")
 		owners[owner] = append(owners[owner], fingerprint)
 	}
-	t.Logf("%s: %s runs %d, owners %d", w.now, target, running, owners)
+	t.Logf("%s: %s runs %d, owners %d", s.now, target, running, owners)
 	if slices.Contains(running, culprit) {
-		w.crash(target, running, owners)
+		s.crash(target, running, owners)
 		return
 	}
 	for owner, fingerprints := range owners {
 		for _, fingerprint := range fingerprints {
 			if rapid.Bool().Draw(t, "completes") {
-				t.Logf("%s: %d completes", w.now, fingerprint)
-				w.send(owner, w.routers[owner].Completed(w.now, fingerprint))
+				t.Logf("%s: %d completes", s.now, fingerprint)
+				s.send(owner, s.routers[owner].Completed(s.now, fingerprint))
 			}
 		}
 	}
 }
 
-func (w *world) crash(target string, running []uint64, owners [][]uint64) {
-	w.crashes = append(w.crashes, crash{target: target, running: running})
+func (s *simulation) crash(target string, running []uint64, owners [][]uint64) {
+	s.crashes = append(s.crashes, crash{target: target, running: running})
 	for owner, fingerprints := range owners {
 		if len(fingerprints) > 0 {
-			w.send(owner, w.routers[owner].Crashed(w.now, target, fingerprints))
+			s.send(owner, s.routers[owner].Crashed(s.now, target, fingerprints))
 		}
 	}
 }
 
-// deliver hands over one notice, in any order, and sometimes leaves it to be
-// handed over again.
-func (w *world) deliver(t *rapid.T) {
-	i := rapid.IntRange(0, len(w.pending)-1).Draw(t, "notice")
-	d := w.pending[i]
+// deliver passes on one notice, in any order, and sometimes keeps it so that it is
+// delivered again.
+func (s *simulation) deliver(t *rapid.T) {
+	i := rapid.IntRange(0, len(s.pending)-1).Draw(t, "notice")
+	d := s.pending[i]
 	if !rapid.Bool().Draw(t, "again") {
-		w.pending = slices.Delete(w.pending, i, i+1)
+		s.pending = slices.Delete(s.pending, i, i+1)
 	}
-	d.notice.Age += w.now - d.sentAt
-	t.Logf("%s: router %d hears %+v", w.now, d.to, d.notice)
-	w.send(d.to, w.routers[d.to].Merge(w.now, d.notice))
+	d.notice.Age += s.now - d.sentAt
+	t.Logf("%s: router %d receives %+v", s.now, d.to, d.notice)
+	s.send(d.to, s.routers[d.to].Merge(s.now, d.notice))
 }
 
-// settle hands over every notice.
-func (w *world) settle() {
-	for len(w.pending) > 0 {
-		d := w.pending[0]
-		w.pending = w.pending[1:]
-		d.notice.Age += w.now - d.sentAt
-		w.send(d.to, w.routers[d.to].Merge(w.now, d.notice))
+// deliverAll passes on every notice.
+func (s *simulation) deliverAll() {
+	for len(s.pending) > 0 {
+		d := s.pending[0]
+		s.pending = s.pending[1:]
+		d.notice.Age += s.now - d.sentAt
+		s.send(d.to, s.routers[d.to].Merge(s.now, d.notice))
 	}
 }
 
-// presentAtAll returns the innocents that were running at every crash.
-func (w *world) presentAtAll() []uint64 {
+// alwaysRunning returns the innocent fingerprints that were running at every crash.
+func (s *simulation) alwaysRunning() []uint64 {
 	var present []uint64
 	for fingerprint := culprit + 1; fingerprint <= 7; fingerprint++ {
-		absent := slices.ContainsFunc(w.crashes, func(c crash) bool { return !slices.Contains(c.running, fingerprint) })
+		absent := slices.ContainsFunc(s.crashes, func(c crash) bool { return !slices.Contains(c.running, fingerprint) })
 		if !absent {
 			present = append(present, fingerprint)
 		}
@@ -113,19 +113,19 @@
 	return present
 }
 
-func (w *world) crashedTargets() int {
+func (s *simulation) crashedTargets() int {
 	targets := make(map[string]bool)
-	for _, c := range w.crashes {
+	for _, c := range s.crashes {
 		targets[c.target] = true
 	}
 	return len(targets)
 }
 
-// naive counts the innocents that a rule without explanations would convict:
-// all that were running at crashes of two targets.
-func (w *world) naive() int {
+// naiveConvictions returns how many innocent fingerprints would be convicted by a rule
+// that convicts all that were running at crashes of two targets.
+func (s *simulation) naiveConvictions() int {
 	targets := make(map[uint64]map[string]bool)
-	for _, c := range w.crashes {
+	for _, c := range s.crashes {
 		for _, fingerprint := range c.running {
 			if targets[fingerprint] == nil {
 				targets[fingerprint] = make(map[string]bool)
@@ -142,28 +142,28 @@
 	return convicted
 }
 
-// TestInnocentsGoFree checks, for any course of runs and any order of notices:
-// once all routers know all, no innocent is convicted, all agree about the
-// culprit, and it is convicted if it was on two targets as they crashed and no
-// innocent was at every crash.
-func TestInnocentsGoFree(t *testing.T) {
-	naiveWasWrong := false
+// TestOnlyTheCulpritIsConvicted checks, for any sequence of runs and any order of
+// notices, that once all routers have the same evidence no innocent fingerprint is
+// convicted and all agree about the culprit. The culprit is convicted if it was running
+// at crashes of two targets and no innocent fingerprint was running at every crash.
+func TestOnlyTheCulpritIsConvicted(t *testing.T) {
+	naiveRuleFailed := false
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		s := newSimulation()
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
-			if len(w.pending) > 0 && rapid.Bool().Draw(t, "deliver") {
-				w.deliver(t)
+			if len(s.pending) > 0 && rapid.Bool().Draw(t, "deliver") {
+				s.deliver(t)
 				continue
 			}
-			w.now += rapid.Custom(drawPause).Draw(t, "pause")
-			w.run(t)
+			s.now += rapid.Custom(drawPause).Draw(t, "pause")
+			s.run(t)
 		}
-		w.settle()
-		w.check(t)
-		naiveWasWrong = naiveWasWrong || w.naive() > 0
+		s.deliverAll()
+		s.check(t)
+		naiveRuleFailed = naiveRuleFailed || s.naiveConvictions() > 0
 	})
-	if !naiveWasWrong {
-		t.Error("no course of runs in which a naive rule convicts an innocent: the test shows nothing")
+	if !naiveRuleFailed {
+		t.Error("no sequence of runs in which the naive rule convicts an innocent fingerprint: the test proves nothing")
 	}
 }
 
@@ -171,16 +171,16 @@
 	return time.Duration(rapid.IntRange(11, 30).Draw(t, "seconds")) * time.Second
 }
 
-func (w *world) check(t *rapid.T) {
-	mustConvict := w.crashedTargets() >= 2 && len(w.presentAtAll()) == 0
-	for i, router := range w.routers {
+func (s *simulation) check(t *rapid.T) {
+	mustConvict := s.crashedTargets() >= 2 && len(s.alwaysRunning()) == 0
+	for i, router := range s.routers {
 		for fingerprint := culprit + 1; fingerprint <= 7; fingerprint++ {
 			if router.Verdict(fingerprint) == VerdictConvicted {
-				t.Fatalf("router %d convicts the innocent %d", i, fingerprint)
+				t.Fatalf("router %d convicts the innocent fingerprint %d", i, fingerprint)
 			}
 		}
-		if got := router.Verdict(culprit); got != w.routers[0].Verdict(culprit) {
-			t.Fatalf("router %d says %s of the culprit, router 0 says %s", i, got, w.routers[0].Verdict(culprit))
+		if got := router.Verdict(culprit); got != s.routers[0].Verdict(culprit) {
+			t.Fatalf("router %d has verdict %s on the culprit, router 0 has %s", i, got, s.routers[0].Verdict(culprit))
 		}
 		if mustConvict && router.Verdict(culprit) != VerdictConvicted {
 			t.Fatalf("router %d does not convict the culprit: %s", i, router.Verdict(culprit))
@@ -214,7 +214,8 @@
 	}
 }
 
-// The same evidence arrives on many ways; it is answered once a second.
+// TestClearanceIsNotRepeatedForEveryNotice checks that evidence which arrives from
+// several routers is answered once per second.
 func TestClearanceIsNotRepeatedForEveryNotice(t *testing.T) {
 	tracker := New(Options{})
 	now := time.Minute
@@ -222,11 +223,11 @@
 	stale := Notice{Kind: NoticeCrash, Target: "t1", Running: []uint64{5}, Age: time.Second}
 	for i, want := range []int{1, 0, 0, 1} {
 		if i == 3 {
-			now += announceEvery
-			stale.Age += announceEvery
+			now += completionInterval
+			stale.Age += completionInterval
 		}
 		if got := len(tracker.Merge(now, stale).Notices); got != want {
-			t.Fatalf("notice %d was answered by %d, want %d", i, got, want)
+			t.Fatalf("notice %d was answered by %d notices, want %d", i, got, want)
 		}
 	}
 }
--- a/control/quarantine/quarantine.go
+++ b/control/quarantine/quarantine.go
@@ -1,22 +1,21 @@
-// Package quarantine finds requests that crash the targets which run them. It
-// is pure: time comes in as an Instant, what must be told to other routers and
-// to the guard filter comes out as an Output.
+// Package quarantine finds requests that crash the targets which run them. It does no
+// I/O and reads no clock: time is passed in as an Instant, and what other routers and
+// the guard filter have to be told is returned as an Output.
 //
-// Evidence is the set of fingerprints that were running on a target as it
-// crashed. A fingerprint that was running on at least two different targets as
-// they crashed is convicted if it alone explains these crashes; where several
-// explain them equally well, each gets VerdictIsolate, and the next run of each
-// alone tells them apart. A run to completion clears a fingerprint.
+// The evidence of a crash is the set of fingerprints that were running on the target. A
+// fingerprint that was running at crashes of at least two different targets is convicted
+// if it alone explains these crashes. If several explain them equally well, each gets
+// VerdictIsolate, and the next run of each without the others shows which one is the
+// cause. A run to completion clears a fingerprint.
 //
-// Routers tell each other evidence, never verdicts: each judges by itself, and
-// routers with the same evidence agree. One that knew only a part judges anew
-// when it learns the rest.
+// Routers exchange evidence, never verdicts: each computes the verdicts itself, and
+// routers with the same evidence agree. A router that knew only a part recomputes the
+// verdicts when it learns the rest.
 //
-// A broken connection is no crash. It counts once the target is known to have
-// gone down or restarted (see Tracker.CrashConfirmed), so that a router which
-// is cut off from its targets convicts nobody. A target that was only out of
-// reach is found still running afterwards, and its crash is retracted (see
-// Tracker.Alive).
+// A broken connection is not a crash. It counts once the target is known to have gone
+// down or restarted (see Tracker.CrashConfirmed), so a router that is cut off from its
+// targets convicts no fingerprint. If a target was only unreachable, it is later found
+// still running, and its crash is retracted (see Tracker.StillRunning).
 package quarantine
 
 import "time"
@@ -24,21 +23,21 @@
 // Instant is a monotonic time; see control.Instant.
 type Instant = time.Duration
 
-// Verdict is what is held against a fingerprint.
+// Verdict is the assessment of one fingerprint.
 type Verdict int
 
-// The verdicts.
+// The verdicts, from harmless to blocked.
 const (
-	// VerdictClear: nothing.
+	// VerdictClear: nothing is known against it.
 	VerdictClear Verdict = iota
-	// VerdictSuspect: it was running on one target as it crashed, and no
-	// convicted fingerprint explains that. It should not share a target with
-	// another suspect.
+	// VerdictSuspect: it was running at a crash of one target, and no convicted
+	// fingerprint explains that crash. It should not share a target with another
+	// suspect.
 	VerdictSuspect
-	// VerdictIsolate: it and others were running on the same two or more
-	// targets as they crashed. It must not share a target with another suspect.
+	// VerdictIsolate: it and others were running at the same crashes of two or more
+	// targets. It must not share a target with another suspect.
 	VerdictIsolate
-	// VerdictConvicted: it must not run anywhere.
+	// VerdictConvicted: it must not run on any target.
 	VerdictConvicted
 )
 
@@ -56,25 +55,25 @@
 	}
 }
 
-// Options configure a Tracker. Zero values take the stated defaults.
+// Options configure a Tracker. Fields that are zero have the stated defaults.
 type Options struct {
 	// EvidenceTTL is how long a crash counts. Default 15m.
 	EvidenceTTL time.Duration
-	// ConvictionTTL is how long a conviction lasts after the last crash. It is
-	// raised to EvidenceTTL if shorter. Default 1h.
+	// ConvictionTTL is how long a conviction lasts after the last crash. It is raised to
+	// EvidenceTTL if shorter. Default 1h.
 	ConvictionTTL time.Duration
-	// ConfirmWindow is how far apart a broken connection and the news that the
-	// target crashed may be, and how far apart two routers may place the same
+	// ConfirmWindow is the longest time between a broken connection and the news that
+	// the target crashed, and between the times that two routers give for the same
 	// crash. Default 10s.
 	ConfirmWindow time.Duration
-	// CompletionTTL is how long before a crash a run to completion still
-	// clears. Default 1m.
+	// CompletionTTL is how long before a crash a run to completion still clears a
+	// fingerprint. Default 1m.
 	CompletionTTL time.Duration
-	// MaxCrashes bounds the crashes held, and MaxRunning the fingerprints of
+	// MaxCrashes bounds the number of crashes held, and MaxRunning the fingerprints of
 	// each. Defaults 256 and 1024.
 	MaxCrashes int
 	MaxRunning int
-	// MaxCompletions bounds the completions remembered. Default 8192.
+	// MaxCompletions bounds the number of completions held. Default 8192.
 	MaxCompletions int
 }
 
@@ -90,37 +89,37 @@
 	return o
 }
 
-// setDefault sets a field that was left zero.
+// setDefault sets a field that is zero.
 func setDefault[T ~int | ~int64](field *T, value T) {
 	if *field == 0 {
 		*field = value
 	}
 }
 
-// NoticeKind is what a Notice tells.
+// NoticeKind is the kind of evidence in a Notice.
 type NoticeKind int
 
 // The kinds of notice.
 const (
-	// NoticeCrash tells of a target's crash and of what was running on it.
+	// NoticeCrash reports a target's crash and what was running on it.
 	NoticeCrash NoticeKind = iota + 1
-	// NoticeClearance tells that a fingerprint ran to completion.
+	// NoticeClearance reports that a fingerprint ran to completion.
 	NoticeClearance
-	// NoticeRetraction tells that a target did not crash since Age ago.
+	// NoticeRetraction reports that a target has not crashed in the last Age.
 	NoticeRetraction
 )
 
-// Notice carries evidence to other routers. Notices bear loss, doubling and
-// reordering. They hold durations, never instants.
+// Notice carries evidence to other routers. Notices may be lost, duplicated or
+// reordered. They contain durations, never instants, as routers do not share a clock.
 type Notice struct {
 	Kind NoticeKind
-	// Target belongs to NoticeCrash and NoticeRetraction, Running to NoticeCrash.
+	// Target is set in NoticeCrash and NoticeRetraction, Running in NoticeCrash.
 	Target  string
 	Running []uint64
-	// Fingerprint belongs to NoticeClearance.
+	// Fingerprint is set in NoticeClearance.
 	Fingerprint uint64
-	// Age is how long ago the crash or completion was, or how long the target
-	// has surely run.
+	// Age is the time since the crash or completion, or how long the target is known to
+	// have run.
 	Age time.Duration
 }
 
@@ -130,10 +129,10 @@
 	Verdict     Verdict
 }
 
-// Output is what follows from a call.
+// Output is the result of a call to a Tracker.
 type Output struct {
-	// Notices are news for every other router.
+	// Notices have to be sent to every other router.
 	Notices []Notice
-	// Changes are the verdicts that changed, by fingerprint.
+	// Changes holds the verdicts that changed, in order of fingerprint.
 	Changes []Change
 }
--- a/control/quarantine/script_test.go
+++ b/control/quarantine/script_test.go
@@ -11,35 +11,35 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// fleet is a few routers that know the same time, and the notices under way.
-type fleet struct {
+// scriptFleet is a few routers with the same clock, and the notices that are in transit.
+type scriptFleet struct {
 	now     Instant
 	routers map[string]*Tracker
-	pending []sent
+	pending []sentNotice
 }
 
-type sent struct {
+type sentNotice struct {
 	from   string
-	at     Instant
+	sentAt Instant
 	notice Notice
 }
 
-func newFleet() *fleet {
-	return &fleet{routers: map[string]*Tracker{"a": New(Options{}), "b": New(Options{})}}
+func newScriptFleet() *scriptFleet {
+	return &scriptFleet{routers: map[string]*Tracker{"a": New(Options{}), "b": New(Options{})}}
 }
 
-// TestScripts runs the scripts of testdata/scripts. Every command names the time (at=)
+// TestScripts runs the scripts of testdata/scripts. A command may name the time (at=)
 // and the router (on=); see run for the commands.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
-		f := newFleet()
+		f := newScriptFleet()
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			return f.run(t, d)
 		})
 	})
 }
 
-func (f *fleet) run(t *testing.T, d *datadriven.TestData) string {
+func (f *scriptFleet) run(t *testing.T, d *datadriven.TestData) string {
 	var name, target string
 	d.MaybeScanArgs(t, "on", &name)
 	d.MaybeScanArgs(t, "target", &target)
@@ -73,8 +73,8 @@
 	return ""
 }
 
-// since is the time from which a target has run; the beginning if not given.
-func (f *fleet) since(t *testing.T, d *datadriven.TestData) Instant {
+// since returns the time from which a target has run; zero if it is not given.
+func (f *scriptFleet) since(t *testing.T, d *datadriven.TestData) Instant {
 	var text string
 	d.MaybeScanArgs(t, "since", &text)
 	if text == "" {
@@ -87,7 +87,7 @@
 	return since
 }
 
-func (f *fleet) advance(t *testing.T, d *datadriven.TestData) {
+func (f *scriptFleet) advance(t *testing.T, d *datadriven.TestData) {
 	var at string
 	d.MaybeScanArgs(t, "at", &at)
 	if at == "" {
@@ -100,14 +100,14 @@
 	f.now = now
 }
 
-// deliver hands up to limit notices, and those that follow from them, to every
-// other router, oldest first.
-func (f *fleet) deliver(limit int) string {
+// deliver passes up to limit notices, and those that follow from them, to every other
+// router, oldest first.
+func (f *scriptFleet) deliver(limit int) string {
 	var report strings.Builder
 	for ; len(f.pending) > 0 && limit > 0; limit-- {
 		next := f.pending[0]
 		f.pending = f.pending[1:]
-		next.notice.Age += f.now - next.at
+		next.notice.Age += f.now - next.sentAt
 		for _, name := range []string{"a", "b"} {
 			if name == next.from {
 				continue
@@ -118,14 +118,14 @@
 	return report.String()
 }
 
-func (f *fleet) send(from string, notices []Notice) {
+func (f *scriptFleet) send(from string, notices []Notice) {
 	for _, notice := range notices {
-		f.pending = append(f.pending, sent{from: from, at: f.now, notice: notice})
+		f.pending = append(f.pending, sentNotice{from: from, sentAt: f.now, notice: notice})
 	}
 }
 
 // report queues the notices of an output and prints its changes.
-func (f *fleet) report(name string, out Output) string {
+func (f *scriptFleet) report(name string, out Output) string {
 	f.send(name, out.Notices)
 	var lines strings.Builder
 	for _, change := range out.Changes {
--- a/control/quarantine/tracker.go
+++ b/control/quarantine/tracker.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-// Tracker holds the evidence that one router knows. Its memory is bounded by
-// Options. It is not safe for concurrent use.
+// Tracker holds the evidence that one router knows, and the verdicts that follow from
+// it. Its memory is bounded by Options. It is not safe for concurrent use.
 type Tracker struct {
 	options Options
-	// crashes are the confirmed crashes, in the order in which they were told.
+	// crashes holds the confirmed crashes, in the order in which they were reported.
 	crashes []*crash
-	// unconfirmed are broken connections of targets not known to have crashed.
+	// unconfirmed holds the broken connections to targets that are not known to have
+	// crashed.
 	unconfirmed []loss
-	// confirmed is when each target was last known to have crashed.
-	confirmed map[string]Instant
-	// alive is the time in which each retracted target did not crash. It keeps
-	// out a notice of a crash that comes after its retraction.
-	alive map[string]span
-	// convicted is the last known crash of each convicted fingerprint.
+	// confirmedAt is when each target was last known to have crashed.
+	confirmedAt map[string]Instant
+	// uptimes holds the time in which each target whose crash was retracted is known to
+	// have run. It rejects a notice of the crash that arrives after the retraction.
+	uptimes map[string]interval
+	// convicted holds the last known crash of each convicted fingerprint.
 	convicted   map[uint64]Instant
 	completions completions
-	// verdicts are the verdicts other than clear, as last reported.
+	// verdicts holds all verdicts except VerdictClear, as last reported.
 	verdicts map[uint64]Verdict
-	// changed says that the evidence changed since the last judgement.
+	// changed is set if the evidence changed since the verdicts were last computed.
 	changed bool
 }
 
@@ -31,9 +32,9 @@
 type crash struct {
 	target string
 	at     Instant
-	// heardAt is when this router heard of it.
-	heardAt Instant
-	// running are the fingerprints that may have caused it, sorted.
+	// reportedAt is when this router learned of it.
+	reportedAt Instant
+	// running holds the fingerprints that may have caused it, sorted.
 	running []uint64
 }
 
@@ -44,18 +45,18 @@
 	running []uint64
 }
 
-// span is a time in which a target is known not to have crashed.
-type span struct{ since, until Instant }
+// interval is a time in which a target is known not to have crashed.
+type interval struct{ since, until Instant }
 
-func (s span) has(at Instant) bool { return at >= s.since && at <= s.until }
+func (s interval) contains(at Instant) bool { return at >= s.since && at <= s.until }
 
 // New returns an empty tracker.
 func New(options Options) *Tracker {
 	options = options.withDefaults()
 	return &Tracker{
 		options:     options,
-		confirmed:   make(map[string]Instant),
-		alive:       make(map[string]span),
+		confirmedAt: make(map[string]Instant),
+		uptimes:     make(map[string]interval),
 		convicted:   make(map[uint64]Instant),
 		completions: newCompletions(options.MaxCompletions),
 		verdicts:    make(map[uint64]Verdict),
@@ -67,64 +68,64 @@
 	return t.verdicts[fingerprint]
 }
 
-// Lost says that the connections to a target broke while it ran fingerprints.
-// It counts as a crash if the target is known to have crashed within
+// ConnectionsLost records that the connections to a target broke while it ran
+// fingerprints. It counts as a crash if the target is known to have crashed within
 // Options.ConfirmWindow before or after.
 func (t *Tracker) Lost(now Instant, target string, running []uint64) Output {
-	if at, ok := t.confirmed[target]; ok && now-at <= t.options.ConfirmWindow {
+	if at, ok := t.confirmedAt[target]; ok && now-at <= t.options.ConfirmWindow {
 		return t.Crashed(now, target, running)
 	}
 	if len(t.unconfirmed) >= t.options.MaxCrashes {
 		t.unconfirmed = t.unconfirmed[1:]
 	}
-	t.unconfirmed = append(t.unconfirmed, loss{target: target, at: now, running: t.bounded(running)})
+	t.unconfirmed = append(t.unconfirmed, loss{target: target, at: now, running: t.normalise(running)})
 	return Output{}
 }
 
-// CrashConfirmed says that a target went down or restarted: its start identity
+// CrashConfirmed records that a target went down or restarted: its start identity
 // changed, or routers of several data centres cannot reach it.
 func (t *Tracker) CrashConfirmed(now Instant, target string) Output {
 	var out Output
 	t.confirm(now, target, &out)
-	t.judge(&out)
+	t.updateVerdicts(&out)
 	return out
 }
 
-// Alive says that a target has run without a restart from since until now: it
-// still reports the start identity that it had then. Broken connections to it
-// are forgotten, and a crash in that time is retracted everywhere.
+// StillRunning records that a target has run without a restart from since until now, as
+// it still reports the start identity that it had then. Broken connections to it are
+// forgotten, and a crash in that time is retracted on all routers.
 func (t *Tracker) Alive(now, since Instant, target string) Output {
 	var out Output
 	t.unconfirmed = slices.DeleteFunc(t.unconfirmed, func(l loss) bool { return l.target == target })
-	if t.alive[target] == (span{}) && !t.crashedWithin(target, span{since, now}) {
+	if t.uptimes[target] == (interval{}) && !t.crashedWithin(target, interval{since, now}) {
 		return out
 	}
-	t.retract(now, target, span{since, now}, &out)
-	t.judge(&out)
+	t.retract(now, target, interval{since, now}, &out)
+	t.updateVerdicts(&out)
 	return out
 }
 
-// Crashed says that a target surely crashed while it ran fingerprints. It may
-// be called for one crash by several routers, each with what it knows.
+// Crashed records that a target certainly crashed while it ran fingerprints. Several
+// routers may report the same crash, each with the fingerprints that it knows of.
 func (t *Tracker) Crashed(now Instant, target string, running []uint64) Output {
 	var out Output
 	t.addCrash(now, now, target, running, &out)
 	t.confirm(now, target, &out)
-	t.judge(&out)
+	t.updateVerdicts(&out)
 	return out
 }
 
-// Completed says that a fingerprint ran to completion, on whichever target. It
-// is cleared of all that was held against it.
+// Completed records that a fingerprint ran to completion, on any target. This removes it
+// from the crashes that are known.
 func (t *Tracker) Completed(now Instant, fingerprint uint64) Output {
 	var out Output
 	t.clear(now, now, fingerprint, &out)
-	t.judge(&out)
+	t.updateVerdicts(&out)
 	return out
 }
 
-// Merge takes in a notice of another router. The notices of the output are to
-// be sent on; there are none if the notice was no news, so that spreading ends.
+// Merge adds a notice from another router. The notices of the output have to be sent on.
+// There are none if the notice contained nothing new, so that forwarding ends.
 func (t *Tracker) Merge(now Instant, notice Notice) Output {
 	var out Output
 	at := now - max(notice.Age, 0)
@@ -134,14 +135,14 @@
 	case NoticeClearance:
 		t.clear(now, at, notice.Fingerprint, &out)
 	case NoticeRetraction:
-		t.retract(now, notice.Target, span{at, now}, &out)
+		t.retract(now, notice.Target, interval{at, now}, &out)
 	}
-	t.judge(&out)
+	t.updateVerdicts(&out)
 	return out
 }
 
-// State returns the evidence known here, for a router that has just been
-// connected or has restarted.
+// Evidence returns the evidence known here, for a router that has just connected or
+// restarted.
 func (t *Tracker) State(now Instant) []Notice {
 	var notices []Notice
 	for _, c := range t.crashes {
@@ -150,7 +151,7 @@
 	return notices
 }
 
-// Expire forgets what is too old. It should be called about once a second.
+// Expire removes evidence that is too old. It should be called about once per second.
 func (t *Tracker) Expire(now Instant) Output {
 	t.crashes = slices.DeleteFunc(t.crashes, func(c *crash) bool {
 		old := t.expired(now, c)
@@ -160,23 +161,23 @@
 	t.unconfirmed = slices.DeleteFunc(t.unconfirmed, func(l loss) bool {
 		return now-l.at > t.options.ConfirmWindow
 	})
-	maps.DeleteFunc(t.confirmed, func(_ string, at Instant) bool {
+	maps.DeleteFunc(t.confirmedAt, func(_ string, at Instant) bool {
 		return now-at > t.options.ConfirmWindow
 	})
-	maps.DeleteFunc(t.alive, func(_ string, s span) bool {
+	maps.DeleteFunc(t.uptimes, func(_ string, s interval) bool {
 		return now-s.until > t.options.ConfirmWindow
 	})
 	t.completions.expire(now - t.options.EvidenceTTL - t.options.CompletionTTL)
 	var out Output
-	t.judge(&out)
+	t.updateVerdicts(&out)
 	return out
 }
 
-// expired says whether a crash no longer counts. One that a conviction
-// explains is kept for as long as the conviction. One heard of just now is
-// kept until the notices that belong to it have arrived.
+// expired reports whether a crash no longer counts. A crash that is explained by a
+// conviction is kept as long as the conviction. One that was reported within
+// Options.ConfirmWindow is kept until the other notices about it have arrived.
 func (t *Tracker) expired(now Instant, c *crash) bool {
-	if now-c.at < t.options.EvidenceTTL || now-c.heardAt < t.options.ConfirmWindow {
+	if now-c.at < t.options.EvidenceTTL || now-c.reportedAt < t.options.ConfirmWindow {
 		return false
 	}
 	for _, fingerprint := range c.running {
@@ -187,10 +188,10 @@
 	return true
 }
 
-// confirm notes that a target crashed, and counts the connections to it that
+// confirm records that a target crashed, with what ran on the connections to it that
 // broke shortly before.
 func (t *Tracker) confirm(now Instant, target string, out *Output) {
-	t.confirmed[target] = now
+	t.confirmedAt[target] = now
 	var running []uint64
 	t.unconfirmed = slices.DeleteFunc(t.unconfirmed, func(l loss) bool {
 		if l.target == target && now-l.at <= t.options.ConfirmWindow {
@@ -201,8 +202,8 @@
 	t.addCrash(now, now, target, running, out)
 }
 
-// mergeCrash takes in another router's notice of a crash. One that is old
-// comes from Tracker.State and need not be sent on.
+// mergeCrash adds another router's notice of a crash. A notice that is older than
+// Options.EvidenceTTL comes from Tracker.Evidence and is not sent on.
 func (t *Tracker) mergeCrash(now, at Instant, notice Notice, out *Output) {
 	t.addCrash(now, at, notice.Target, notice.Running, out)
 	if now-at <= t.options.ConfirmWindow {
@@ -213,33 +214,33 @@
 	}
 }
 
-// retract removes the crashes of a target within a time, and tells the others
-// if there was one.
-func (t *Tracker) retract(now Instant, target string, s span, out *Output) {
-	t.alive[target] = s
-	if s.has(t.confirmed[target]) {
-		delete(t.confirmed, target)
+// retract removes the crashes of a target within an interval, and notifies the other
+// routers if there was one.
+func (t *Tracker) retract(now Instant, target string, s interval, out *Output) {
+	t.uptimes[target] = s
+	if s.contains(t.confirmedAt[target]) {
+		delete(t.confirmedAt, target)
 	}
 	if !t.crashedWithin(target, s) {
 		return
 	}
-	t.crashes = slices.DeleteFunc(t.crashes, func(c *crash) bool { return c.target == target && s.has(c.at) })
+	t.crashes = slices.DeleteFunc(t.crashes, func(c *crash) bool { return c.target == target && s.contains(c.at) })
 	t.changed = true
 	out.Notices = append(out.Notices, Notice{Kind: NoticeRetraction, Target: target, Age: now - s.since})
 }
 
-func (t *Tracker) crashedWithin(target string, s span) bool {
-	return slices.ContainsFunc(t.crashes, func(c *crash) bool { return c.target == target && s.has(c.at) })
+func (t *Tracker) crashedWithin(target string, s interval) bool {
+	return slices.ContainsFunc(t.crashes, func(c *crash) bool { return c.target == target && s.contains(c.at) })
 }
 
-// addCrash adds fingerprints to a crash, and to out what was news.
+// addCrash adds fingerprints to a crash, and a notice to out if any of them was new.
 func (t *Tracker) addCrash(now, at Instant, target string, running []uint64, out *Output) {
-	if s, ok := t.alive[target]; ok && s.has(at) {
+	if s, ok := t.uptimes[target]; ok && s.contains(at) {
 		return
 	}
 	var suspects []uint64
-	for _, fingerprint := range t.bounded(running) {
-		if done := t.clearedOf(fingerprint, at); done != nil {
+	for _, fingerprint := range t.normalise(running) {
+		if done := t.clearingCompletion(fingerprint, at); done != nil {
 			done.announce(now, out)
 			continue
 		}
@@ -248,7 +249,7 @@
 	if len(suspects) == 0 {
 		return
 	}
-	known := t.crashNear(now, at, target)
+	known := t.findOrAddCrash(now, at, target)
 	if !known.add(suspects, t.options.MaxRunning) {
 		return
 	}
@@ -256,27 +257,26 @@
 	out.Notices = append(out.Notices, known.notice(now))
 }
 
-// add adds fingerprints up to a limit, and says whether any was new.
+// add adds fingerprints up to a limit, and reports whether any was new.
 func (c *crash) add(fingerprints []uint64, limit int) bool {
-	news := false
+	added := false
 	for _, fingerprint := range fingerprints {
 		i, found := slices.BinarySearch(c.running, fingerprint)
 		if found || len(c.running) >= limit {
 			continue
 		}
 		c.running = slices.Insert(c.running, i, fingerprint)
-		news = true
+		added = true
 	}
-	return news
+	return added
 }
 
 func (c *crash) notice(now Instant) Notice {
 	return Notice{Kind: NoticeCrash, Target: c.target, Running: slices.Clone(c.running), Age: now - c.at}
 }
 
-// crashNear returns the crash of a target about the time, and adds one if none
-// is known.
-func (t *Tracker) crashNear(now, at Instant, target string) *crash {
+// findOrAddCrash returns the known crash of a target around the given time, or adds one.
+func (t *Tracker) findOrAddCrash(now, at Instant, target string) *crash {
 	for _, c := range t.crashes {
 		if c.target == target && (c.at-at).Abs() <= t.options.ConfirmWindow {
 			return c
@@ -285,45 +285,44 @@
 	if len(t.crashes) >= t.options.MaxCrashes {
 		t.dropCrash()
 	}
-	c := &crash{target: target, at: at, heardAt: now}
+	c := &crash{target: target, at: at, reportedAt: now}
 	t.crashes = append(t.crashes, c)
 	return c
 }
 
-// dropCrash forgets the oldest crash, if it can be one that no conviction
-// rests on.
+// dropCrash removes the oldest crash that no conviction depends on, or else the oldest.
 func (t *Tracker) dropCrash() {
-	i := slices.IndexFunc(t.crashes, func(c *crash) bool { return !t.explained(c) })
+	i := slices.IndexFunc(t.crashes, func(c *crash) bool { return !t.isExplained(c) })
 	i = max(i, 0)
 	t.crashes = slices.Delete(t.crashes, i, i+1)
 }
 
-// clear notes a run to completion at a time.
+// clear records a run to completion at the given time.
 func (t *Tracker) clear(now, at Instant, fingerprint uint64, out *Output) {
 	t.completions.add(fingerprint, at)
-	news := false
+	removed := false
 	for _, c := range t.crashes {
 		i, found := slices.BinarySearch(c.running, fingerprint)
 		if found && at > c.at-t.options.CompletionTTL {
 			c.running = slices.Delete(c.running, i, i+1)
-			news = true
+			removed = true
 		}
 	}
-	if !news {
+	if !removed {
 		return
 	}
 	t.changed = true
 	out.Notices = append(out.Notices, Notice{Kind: NoticeClearance, Fingerprint: fingerprint, Age: now - at})
 }
 
-// clearedOf returns the known completion that clears a fingerprint of a crash
-// at a time, or nil.
-func (t *Tracker) clearedOf(fingerprint uint64, at Instant) *completion {
+// clearingCompletion returns the known completion that clears a fingerprint of a crash
+// at the given time, or nil.
+func (t *Tracker) clearingCompletion(fingerprint uint64, at Instant) *completion {
 	return t.completions.after(fingerprint, at-t.options.CompletionTTL)
 }
 
-// bounded returns up to MaxRunning distinct fingerprints, sorted.
-func (t *Tracker) bounded(running []uint64) []uint64 {
+// normalise returns up to MaxRunning distinct fingerprints, sorted.
+func (t *Tracker) normalise(running []uint64) []uint64 {
 	sorted := slices.Clone(running)
 	slices.Sort(sorted)
 	sorted = slices.Compact(sorted)
