--- a/control/account/main_test.go
+++ b/control/account/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the random tests, unless one is given.
+// TestMain fixes the seed of the random tests unless one is given by flag.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/control/account/totals.go
+++ b/control/account/totals.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// interestTime is how long after its last report a contributor is told levels,
-// and how long it may be silent before the growth of its next report no longer
-// counts. It is also how long what was told of others holds.
-const interestTime = 3 * time.Second
+// reportTTL is how long after its last report a contributor is sent levels, and how long
+// it may be silent before the growth in its next report no longer counts. It is also how
+// long a scheduler relies on what it was sent about others.
+const reportTTL = 3 * time.Second
 
-// rounding is more than a level loses on the way through messages.
-const rounding = 1e-5
+// levelTolerance is more than a level loses by rounding in messages.
+const levelTolerance = 1e-5
 
-// Totals is the accounting node's side.
+// Totals holds the levels of the workspaces that a node accounts for.
 type Totals struct {
 	records map[string]*record
 	// dirty holds the workspaces with a report since the last Push.
@@ -29,16 +29,16 @@
 
 // contributor is one incarnation of a scheduler that gave service.
 type contributor struct {
-	own     float64
-	pending float64
-	waiting bool
-	heardAt time.Duration
-	// stale says that the level may hold more of its service than own: own is
-	// to be heard anew before its growth counts or the level is told to it.
+	own        float64
+	pending    float64
+	waiting    bool
+	reportedAt time.Duration
+	// stale is set if the level may include more of its service than own. A new report
+	// of own is needed before its growth counts or the level is sent to it.
 	stale bool
 }
 
-// Count is one workspace's figures for one contributor.
+// Count holds one workspace's values for one contributor.
 type Count struct {
 	Workspace string
 	// Level is the fleet's level and Own the part of it from the contributor.
@@ -46,7 +46,7 @@
 	Elsewhere  Elsewhere
 }
 
-// NewTotals returns an accounting node that knows nothing.
+// NewTotals returns the totals of a node that has received no reports.
 func NewTotals() *Totals {
 	return &Totals{records: make(map[string]*record), dirty: make(map[string]bool)}
 }
@@ -54,7 +54,7 @@
 // Len returns the number of workspaces that are accounted for here.
 func (t *Totals) Len() int { return len(t.records) }
 
-// Report takes in what a contributor tells of a workspace.
+// Report adds a contributor's report on a workspace.
 func (t *Totals) Report(now time.Duration, from Source, workspace string, report Report) {
 	r := t.records[workspace]
 	if r == nil {
@@ -64,20 +64,21 @@
 	t.dirty[workspace] = true
 	c := r.contributors[from]
 	if c == nil {
-		c = &contributor{own: report.Own, heardAt: now}
+		c = &contributor{own: report.Own, reportedAt: now}
 		r.contributors[from] = c
 	}
-	if now-c.heardAt > interestTime {
-		c.stale = true // another node may have counted meanwhile
+	if now-c.reportedAt > reportTTL {
+		c.stale = true // another node may have counted its service in this time
 	}
-	c.heardAt = now
-	r.take(c, report)
+	c.reportedAt = now
+	r.add(c, report)
 }
 
-// take adds the growth of the contributor's own service, or takes its level over
-// if that is higher. A higher level was lifted or comes from another accounting
-// node: it may hold what the others gave, which they report only now.
-func (r *record) take(c *contributor, report Report) {
+// add adds the growth of the contributor's own service, or adopts its level if that is
+// higher. A higher level was raised by the scheduler or comes from another accounting
+// node. It may include service of the other contributors that they have yet to report
+// here.
+func (r *record) add(c *contributor, report Report) {
 	if report.Own >= c.own {
 		if !c.stale {
 			r.level += report.Own - c.own
@@ -87,7 +88,7 @@
 		c.pending = report.Pending
 		c.waiting = report.Waiting
 	}
-	raised := report.Level > r.level+rounding
+	raised := report.Level > r.level+levelTolerance
 	r.level = max(r.level, report.Level)
 	if !raised {
 		return
@@ -99,10 +100,10 @@
 	}
 }
 
-// Changed says whether Push has something to return.
+// Changed reports whether Push has anything to return.
 func (t *Totals) Changed() bool { return len(t.dirty) > 0 }
 
-// Push returns, for each contributor that reported of late, the figures of the
+// Push returns, for each contributor that reported within reportTTL, the values of the
 // workspaces with a report since the last Push, in order of name.
 func (t *Totals) Push(now time.Duration) map[Source][]Count {
 	if len(t.dirty) == 0 {
@@ -119,11 +120,11 @@
 	return out
 }
 
-// push adds the record's figures for the contributors that reported of late.
+// push adds the record's values for the contributors that reported within reportTTL.
 func (r *record) push(now time.Duration, workspace string, out map[Source][]Count) {
 	pending, waiting := 0.0, 0
 	for _, c := range r.contributors {
-		if now-c.heardAt > interestTime {
+		if now-c.reportedAt > reportTTL {
 			continue
 		}
 		pending += c.pending
@@ -132,7 +133,7 @@
 		}
 	}
 	for from, c := range r.contributors {
-		if now-c.heardAt > interestTime || c.stale {
+		if now-c.reportedAt > reportTTL || c.stale {
 			continue
 		}
 		others := waiting
@@ -148,7 +149,7 @@
 	}
 }
 
-// Forget drops the contributors of a node's other incarnations.
+// Forget removes the contributors that are other incarnations of a node.
 func (t *Totals) Forget(node string, current uint64) {
 	for _, r := range t.records {
 		for from := range r.contributors {
