--- a/control/member/evidence.go
+++ b/control/member/evidence.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// List takes in the platform's list. It returns the nodes that were not known
-// before, in order of name, so that the caller can greet them.
+// ApplyList updates the view from the platform's list. It returns the nodes that were
+// not known before, in order of name, so that the caller can send them a first message.
 func (v *View) List(now time.Duration, listed []Listed) []string {
 	named := make(map[string]bool, len(listed))
 	changed := false
@@ -38,20 +38,20 @@
 	if changed {
 		v.rebuild(now)
 	}
-	return v.newcomers()
+	return v.newNodes()
 }
 
 func (v *View) forget(n *Node) {
 	delete(v.nodes, n.Name)
-	delete(v.uneasy, n.Name)
+	delete(v.recheck, n.Name)
 }
 
-// newcomers returns the nodes that were not returned before.
-func (v *View) newcomers() []string {
+// newNodes returns the nodes that were not returned by an earlier call.
+func (v *View) newNodes() []string {
 	var names []string
 	for _, n := range v.nodes {
-		if !n.greeted {
-			n.greeted = true
+		if !n.returned {
+			n.returned = true
 			names = append(names, n.Name)
 		}
 	}
@@ -59,34 +59,34 @@
 	return names
 }
 
-// Sign is what a message says about its sender.
+// SenderChange is what a message shows about its sender.
 type Sign int
 
-// The signs.
+// The changes of a sender.
 const (
-	// SignNone: nothing new.
+	// SenderUnchanged: nothing new.
 	SignNone Sign = iota
-	// SignBack: the node was not heard before, or was passed over until now.
+	// SenderBack: this is the first message, or the node got no work until now.
 	SignBack
-	// SignRestarted: the node runs another incarnation than before.
+	// SenderRestarted: the node has another incarnation than before.
 	SignRestarted
-	// SignStale: the message is of an incarnation that ended; ignore it.
+	// SenderStale: the message is from an incarnation that has ended; ignore it.
 	SignStale
 )
 
-// Heard takes in that a message came from a node.
+// Heard records that a message from a node arrived.
 func (v *View) Heard(now time.Duration, name string, incarnation uint64) Sign {
 	n := v.node(name)
-	if slices.Contains(n.ended, incarnation) {
+	if slices.Contains(n.endedIncarnations, incarnation) {
 		return SignStale
 	}
 	sign := SignNone
-	if n.heardAt == 0 || n.suspected || now < n.silentUntil {
+	if n.heardAt == 0 || n.suspected || now < n.unresponsiveUntil {
 		sign = SignBack
 	}
 	if n.Incarnation != 0 && n.Incarnation != incarnation {
 		sign = SignRestarted
-		n.end(n.Incarnation)
+		n.addEnded(n.Incarnation)
 		n.Leaving = false
 	}
 	n.Incarnation = incarnation
@@ -94,27 +94,27 @@
 	n.noticeSent = false
 	n.suspected = false
 	n.suspectedBy = nil
-	n.silentUntil = 0
+	n.unresponsiveUntil = 0
 	v.update(now, n)
 	return sign
 }
 
-// end remembers an incarnation that ended.
-func (n *Node) end(incarnation uint64) {
-	n.ended = append(n.ended, incarnation)
-	if len(n.ended) > endedKept {
-		n.ended = n.ended[1:]
+// addEnded remembers an incarnation that ended.
+func (n *Node) addEnded(incarnation uint64) {
+	n.endedIncarnations = append(n.endedIncarnations, incarnation)
+	if len(n.endedIncarnations) > maxEndedIncarnations {
+		n.endedIncarnations = n.endedIncarnations[1:]
 	}
 }
 
-// Beat takes in what a heartbeat says.
+// HeartbeatReceived records the content of a heartbeat.
 func (v *View) Beat(now time.Duration, name string, leaving bool) {
 	n := v.node(name)
 	n.Leaving = leaving
 	v.update(now, n)
 }
 
-// Connected takes in whether a connection to the node works.
+// Connected records whether a connection to the node works.
 func (v *View) Connected(now time.Duration, name string, connected bool) {
 	n := v.node(name)
 	if !connected && !n.disconnected {
@@ -122,24 +122,24 @@
 	}
 	n.disconnected = !connected
 	if connected {
-		n.silentUntil = 0
+		n.unresponsiveUntil = 0
 	}
 	v.update(now, n)
 }
 
-// Unresponsive takes in that a node left messages unanswered since a time.
+// Unresponsive records that a node has left messages unanswered since the given time.
 func (v *View) Unresponsive(now, since time.Duration, name string) {
 	n := v.nodes[name]
 	if n == nil || n.heardAt > since {
 		return
 	}
-	n.silentUntil = now + unresponsiveTime
+	n.unresponsiveUntil = now + unresponsiveTime
 	v.update(now, n)
 }
 
-// Suspected takes in that a watcher, perhaps this node, misses a node. Two
-// watchers, or this node alone, are enough, unless the node was heard of late
-// or has restarted since.
+// Suspected records that a watcher, possibly this node, misses a node. Two watchers, or
+// this node alone, suffice to suspect it, unless a message from it arrived within
+// timeout or it has restarted since.
 func (v *View) Suspected(now time.Duration, name, by string, incarnation uint64) {
 	n := v.nodes[name]
 	if n == nil || (n.Incarnation != 0 && incarnation != 0 && n.Incarnation != incarnation) {
@@ -151,20 +151,20 @@
 	if !slices.Contains(n.suspectedBy, by) {
 		n.suspectedBy = append(n.suspectedBy, by)
 	}
-	if by == v.self || len(n.suspectedBy) >= noticesToSuspect {
+	if by == v.self || len(n.suspectedBy) >= minNoticesToSuspect {
 		n.suspected = true
 		v.update(now, n)
 	}
 }
 
-// Missed takes in that a node claims to miss this one: it is sent heartbeats
-// for a while.
+// MissedBy records that a node reported that it misses this one. This node sends it
+// heartbeats for extraHeartbeatTime.
 func (v *View) Missed(now time.Duration, by string) {
-	v.node(by).extraUntil = now + extraWatchTime
+	v.node(by).extraHeartbeatsUntil = now + extraHeartbeatTime
 }
 
-// Thawed says that this node itself stood still until now: what it knows of
-// the others is old, so they get time to be heard again.
+// Thawed records that this node itself was paused until now. What it knows of the others
+// is out of date, so they get time to be heard again.
 func (v *View) Thawed(now time.Duration) {
 	for _, n := range v.nodes {
 		if n.heardAt > 0 {
--- a/control/member/rendezvous.go
+++ b/control/member/rendezvous.go
@@ -2,12 +2,12 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// HashOf returns the hash of a node's or a key's name for Score.
+// HashOf returns the hash of a node's or key's name for Score.
 func HashOf(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Score is the rendezvous weight of a node for a key, from their hashes. The
-// node with the highest score owns the key, so a node that comes or goes moves
-// only its own keys.
+// Score returns the rendezvous weight of a node for a key, from their hashes. The node
+// with the highest score owns the key, so a node that joins or leaves moves only its own
+// keys.
 func Score(node, key uint64) uint64 {
 	x := node ^ (key<<32 | key>>32)
 	x ^= x >> 33
--- a/control/member/view.go
+++ b/control/member/view.go
@@ -1,11 +1,12 @@
-// Package member keeps a node's view of which other nodes live, and assigns
-// work to them by rendezvous hashing.
+// Package member keeps a node's view of which other nodes are alive, and assigns work to
+// them by rendezvous hashing.
 //
-// The view starts from the platform's lagging list and is corrected by what is
-// heard: a node counts only once a message came from it. Each node sends heartbeats to a few watchers; watchers that miss them
-// tell the others, and two of them, or one's own evidence, make a suspect. Any
-// message from a suspect clears it. There is no agreement: views differ for
-// moments, and what is built on them must bear that.
+// The view starts from the platform's list, which lags, and is corrected by messages: a
+// node counts only after a message from it arrived. Each node sends heartbeats to a few
+// watchers. Watchers that miss them notify the other nodes, and a node is suspected
+// after notices from two watchers or on this node's own evidence. Any message from a
+// suspected node clears it. There is no consensus: views may differ for short times, and
+// whatever relies on them must tolerate that.
 package member
 
 import (
@@ -14,55 +15,55 @@
 )
 
 const (
-	// MaxWatchers bounds how many nodes hear a node's heartbeats.
+	// MaxWatchers is the largest number of nodes that receive a node's heartbeats.
 	MaxWatchers = 8
-	// disconnectGrace is how long a broken connection may take to come back
-	// before the node is passed over.
+	// disconnectGrace is how long a broken connection may take to recover before the
+	// node gets no more work.
 	disconnectGrace = 250 * time.Millisecond
-	// unresponsiveTime is how long a node that left messages unanswered is
-	// passed over, unless it is heard.
+	// unresponsiveTime is how long a node that left messages unanswered gets no work,
+	// unless a message from it arrives.
 	unresponsiveTime = 5 * time.Second
-	// forgetAfter is how long a silent node is kept that no list names.
+	// forgetAfter is how long a silent node that is not listed is kept.
 	forgetAfter = time.Minute
-	// noticesToSuspect is how many watchers must miss a node.
-	noticesToSuspect = 2
-	// extraWatchTime is how long a node outside the watchers is sent
-	// heartbeats after it claimed to miss them.
-	extraWatchTime = 10 * time.Second
-	// endedKept is how many ended incarnations of a node are remembered.
-	endedKept = 8
+	// minNoticesToSuspect is how many watchers must miss a node.
+	minNoticesToSuspect = 2
+	// extraHeartbeatTime is how long heartbeats are sent to a node that is not a watcher
+	// after it reported that it missed them.
+	extraHeartbeatTime = 10 * time.Second
+	// maxEndedIncarnations is how many ended incarnations of a node are remembered.
+	maxEndedIncarnations = 8
 )
 
 // Node is what the view knows of another node.
 type Node struct {
 	// Name is the node's name.
 	Name string
-	// DataCentre is where it runs; empty if no list named it yet.
+	// DataCentre is where it runs; empty until a list contains it.
 	DataCentre string
-	// Incarnation is that of its last message; zero if none came.
+	// Incarnation is that of its last message; zero before the first.
 	Incarnation uint64
-	// Leaving says that it hands its work over.
+	// Leaving is set while it hands its work over.
 	Leaving bool
-	// Cores is the processor that it has; zero: not known.
+	// Cores is its number of processor cores; zero if not known.
 	Cores float64
 
-	ended         []uint64
-	hash          uint64
-	listed        bool
-	listedLeaving bool
-	greeted       bool
-	heardAt       time.Duration
-	// watched says that this node watches it, since watchedFrom.
-	watched        bool
-	watchedFrom    time.Duration
-	noticeSent     bool
-	disconnected   bool
-	disconnectedAt time.Duration
-	silentUntil    time.Duration
-	suspected      bool
-	suspectedBy    []string
-	extraUntil     time.Duration
-	alive          bool
+	endedIncarnations []uint64
+	hash              uint64
+	listed            bool
+	listedLeaving     bool
+	returned          bool
+	heardAt           time.Duration
+	// watched is set if this node watches it, since watchedFrom.
+	watched              bool
+	watchedFrom          time.Duration
+	noticeSent           bool
+	disconnected         bool
+	disconnectedAt       time.Duration
+	unresponsiveUntil    time.Duration
+	suspected            bool
+	suspectedBy          []string
+	extraHeartbeatsUntil time.Duration
+	alive                bool
 }
 
 // Listed is one node of the platform's list.
@@ -70,11 +71,11 @@
 	Name       string
 	DataCentre string
 	Leaving    bool
-	// Cores is the processor that the node has; zero: not known.
+	// Cores is the node's number of processor cores; zero if not known.
 	Cores float64
 }
 
-// View is the view of the fleet. The node itself is always part of it.
+// View is one node's view of the fleet, which always includes the node itself.
 type View struct {
 	self       string
 	dataCentre string
@@ -82,24 +83,25 @@
 	leaving    bool
 
 	nodes map[string]*Node
-	// alive and byCentre hold the nodes that may be given work, with this one
-	// unless it is leaving.
-	alive    []*Node
-	byCentre map[string][]*Node
-	// able holds the alive nodes that may own keys: those with at least ablePart of
-	// the largest one's processor. byCentre holds only these.
-	able []*Node
-	own  *Node
-	// version counts changes of alive.
+	// alive holds the nodes that may get work, sorted by name. It includes this node,
+	// unless this node is leaving and another one is alive.
+	alive          []*Node
+	ownersByCentre map[string][]*Node
+	// owners holds the alive nodes that may own keys: those with at least
+	// minOwnerCoresRatio of the cores of the largest one. ownersByCentre holds the same
+	// nodes by data centre.
+	owners []*Node
+	own    *Node
+	// version counts the changes of alive and owners.
 	version  uint64
 	watchers []*Node
 	watching []*Node
-	// uneasy holds nodes with evidence that changes as time passes.
-	uneasy map[string]*Node
-	probe  int
+	// recheck holds nodes whose state changes as time passes.
+	recheck    map[string]*Node
+	probeIndex int
 }
 
-// NewView returns a view that knows only the node itself. A watched node is
+// NewView returns a view that knows only the node itself. A watched node counts as
 // missed after timeout.
 func NewView(self, dataCentre string, timeout time.Duration) *View {
 	v := &View{
@@ -107,20 +109,20 @@
 		dataCentre: dataCentre,
 		timeout:    timeout,
 		nodes:      make(map[string]*Node),
-		uneasy:     make(map[string]*Node),
+		recheck:    make(map[string]*Node),
 		own:        &Node{Name: self, DataCentre: dataCentre, hash: HashOf(self), alive: true},
 	}
 	v.rebuild(0)
 	return v
 }
 
-// Version counts the changes of the nodes that may be given work.
+// Version counts the changes of the nodes that may get work.
 func (v *View) Version() uint64 { return v.version }
 
 // Node returns a known other node, or nil.
 func (v *View) Node(name string) *Node { return v.nodes[name] }
 
-// Alive says whether a node may be given work.
+// Alive reports whether a node may get work.
 func (v *View) Alive(name string) bool {
 	if name == v.self {
 		return v.own.alive
@@ -129,13 +131,13 @@
 	return n != nil && n.alive
 }
 
-// Reachable says whether messages to a node are likely to arrive.
+// Reachable reports whether messages to a node are likely to arrive.
 func (v *View) Reachable(name string) bool {
 	n := v.nodes[name]
 	return n != nil && n.heardAt > 0 && !n.suspected && !n.disconnected
 }
 
-// HeardAt returns when a node was last heard; zero if it never was.
+// HeardAt returns when the last message from a node arrived; zero if none did.
 func (v *View) HeardAt(name string) time.Duration {
 	if n := v.nodes[name]; n != nil {
 		return n.heardAt
@@ -163,10 +165,10 @@
 	return 0
 }
 
-// Known returns the number of other nodes that are known, live or not.
+// Known returns the number of other nodes that are known, alive or not.
 func (v *View) Known() int { return len(v.nodes) }
 
-// Others returns the number of other nodes that may be given work.
+// AliveOthers returns the number of other nodes that may get work.
 func (v *View) Others() int {
 	n := len(v.alive)
 	if v.own.alive {
@@ -175,13 +177,12 @@
 	return n
 }
 
-// Owner returns the node that owns a key. A node of the data centre is
-// preferred; give "" to prefer none. The node itself owns everything while it
-// sees no other.
+// Owner returns the node that owns a key. Nodes of the given data centre are preferred;
+// "" means no preference. The node itself owns every key while no other is alive.
 func (v *View) Owner(keyHash uint64, dataCentre string) string {
-	candidates := v.byCentre[dataCentre]
+	candidates := v.ownersByCentre[dataCentre]
 	if len(candidates) == 0 {
-		candidates = v.able
+		candidates = v.owners
 	}
 	best := v.own
 	var bestScore uint64
@@ -194,13 +195,13 @@
 	return best.Name
 }
 
-// SetLeaving says that this node hands its work over.
+// SetLeaving records that this node hands its work over.
 func (v *View) SetLeaving(now time.Duration) {
 	v.leaving = true
 	v.rebuild(now)
 }
 
-// node returns the record of a node and makes one if needed.
+// node returns the record of a node, and creates it if needed.
 func (v *View) node(name string) *Node {
 	n := v.nodes[name]
 	if n == nil {
@@ -210,15 +211,15 @@
 	return n
 }
 
-// update recomputes whether a node may be given work.
+// update recomputes whether a node may get work.
 func (v *View) update(now time.Duration, n *Node) {
 	heard := n.heardAt > 0
 	alive := heard && !n.Leaving && !n.listedLeaving && !n.suspected &&
-		now >= n.silentUntil && (!n.disconnected || now < n.disconnectedAt+disconnectGrace)
-	if !heard || n.disconnected || n.suspected || now < n.silentUntil {
-		v.uneasy[n.Name] = n
+		now >= n.unresponsiveUntil && (!n.disconnected || now < n.disconnectedAt+disconnectGrace)
+	if !heard || n.disconnected || n.suspected || now < n.unresponsiveUntil {
+		v.recheck[n.Name] = n
 	} else {
-		delete(v.uneasy, n.Name)
+		delete(v.recheck, n.Name)
 	}
 	if alive != n.alive {
 		n.alive = alive
@@ -226,11 +227,11 @@
 	}
 }
 
-// rebuild recomputes what depends on the nodes that may be given work.
+// rebuild recomputes everything that depends on the nodes that may get work.
 func (v *View) rebuild(now time.Duration) {
 	v.version++
 	v.alive = v.alive[:0]
-	v.byCentre = make(map[string][]*Node)
+	v.ownersByCentre = make(map[string][]*Node)
 	for _, n := range v.nodes {
 		if n.alive {
 			v.alive = append(v.alive, n)
@@ -241,37 +242,37 @@
 		v.alive = append(v.alive, v.own)
 	}
 	slices.SortFunc(v.alive, byName)
-	v.able = v.ableOnes()
-	for _, n := range v.able {
+	v.owners = v.eligibleOwners()
+	for _, n := range v.owners {
 		if n.DataCentre != "" {
-			v.byCentre[n.DataCentre] = append(v.byCentre[n.DataCentre], n)
+			v.ownersByCentre[n.DataCentre] = append(v.ownersByCentre[n.DataCentre], n)
 		}
 	}
 	v.assignWatchers(now)
 }
 
-// ablePart is the part of the largest node's processor that a node needs to own
-// keys: scheduling a shard takes a good part of a small one, and what a small node
-// does late is late for all.
-const ablePart = 0.5
+// minOwnerCoresRatio is the fraction of the largest node's cores that a node needs to
+// own keys. Scheduling a shard takes a large part of a small node's processor, and
+// delays there affect all nodes.
+const minOwnerCoresRatio = 0.5
 
-// ableOnes returns the alive nodes that may own keys: all, if none tells its
-// processor.
-func (v *View) ableOnes() []*Node {
-	most := 0.0
+// eligibleOwners returns the alive nodes that may own keys: all of them if no number of
+// cores is known.
+func (v *View) eligibleOwners() []*Node {
+	maxCores := 0.0
 	for _, n := range v.alive {
-		most = max(most, n.Cores)
+		maxCores = max(maxCores, n.Cores)
 	}
-	able := make([]*Node, 0, len(v.alive))
+	owners := make([]*Node, 0, len(v.alive))
 	for _, n := range v.alive {
-		if n.Cores >= ablePart*most {
-			able = append(able, n)
+		if n.Cores >= minOwnerCoresRatio*maxCores {
+			owners = append(owners, n)
 		}
 	}
-	return able
+	return owners
 }
 
-// SetCores says how much processor this node has.
+// SetCores sets this node's number of processor cores.
 func (v *View) SetCores(now time.Duration, cores float64) {
 	v.own.Cores = cores
 	v.rebuild(now)
--- a/control/member/view_test.go
+++ b/control/member/view_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// fleet returns the view of node n0 of a fleet in which all were heard.
-func fleet(self string, count int) *View {
+// newFleetView returns the view of node self after a message from each of count nodes.
+func newFleetView(self string, count int) *View {
 	v := NewView(self, "dc0", 2*time.Second)
 	var listed []Listed
 	for i := range count {
@@ -22,8 +22,8 @@
 	return v
 }
 
-func TestOwnersMoveOnlyFromTheLostNode(t *testing.T) {
-	v := fleet("n0", 30)
+func TestOnlyKeysOfALostNodeMove(t *testing.T) {
+	v := newFleetView("n0", 30)
 	before := make(map[uint64]string)
 	perNode := make(map[string]int)
 	for key := range uint64(3000) {
@@ -45,16 +45,16 @@
 	}
 }
 
-func TestOwnerIsNear(t *testing.T) {
-	v := fleet("n0", 9)
+func TestOwnerIsInTheDataCentre(t *testing.T) {
+	v := newFleetView("n0", 9)
 	for key := range uint64(50) {
 		owner := v.Owner(HashOf(fmt.Sprint(key)), "dc2")
 		if owner != "n2" && owner != "n5" && owner != "n8" {
-			t.Errorf("%s owns a shard of dc2", owner)
+			t.Errorf("%s owns a key of dc2", owner)
 		}
 	}
 	if owner := v.Owner(1, "dc-without-nodes"); owner == "" {
-		t.Error("a data centre without nodes has no owner")
+		t.Error("a key of a data centre without nodes has no owner")
 	}
 }
 
@@ -63,7 +63,7 @@
 	views := make(map[string]*View)
 	for i := range count {
 		name := fmt.Sprintf("n%d", i)
-		views[name] = fleet(name, count)
+		views[name] = newFleetView(name, count)
 	}
 	for name, v := range views {
 		watchers := v.Watchers(time.Second, 0)
@@ -78,8 +78,8 @@
 	}
 }
 
-func TestSilentNodeIsSuspectedAndClears(t *testing.T) {
-	v := fleet("n0", 5)
+func TestSilentNodeIsSuspectedUntilHeard(t *testing.T) {
+	v := newFleetView("n0", 5)
 	for at := time.Second; at < 4*time.Second; at += 500 * time.Millisecond {
 		for _, n := range []string{"n1", "n2", "n3"} {
 			v.Heard(at, n, 1)
@@ -98,8 +98,8 @@
 	}
 }
 
-func TestOneWatcherAloneSuspectsNobody(t *testing.T) {
-	v := fleet("n0", 40)
+func TestOneWatcherAloneIsNotEnoughToSuspect(t *testing.T) {
+	v := newFleetView("n0", 40)
 	var far string // a node that n0 does not watch
 	for _, n := range v.Nodes() {
 		if !n.watched {
@@ -110,39 +110,39 @@
 	v.Suspected(at, far, "n1", 1)
 	v.Suspected(at, far, "n1", 1)
 	if !v.Alive(far) {
-		t.Error("one watcher was enough")
+		t.Error("one watcher sufficed to suspect a node")
 	}
 	v.Suspected(at, far, "n2", 1)
 	if v.Alive(far) {
-		t.Error("two watchers were not enough")
+		t.Error("two watchers did not suffice to suspect a node")
 	}
 }
 
 func TestOldIncarnationsAreStale(t *testing.T) {
-	v := fleet("n0", 3)
+	v := newFleetView("n0", 3)
 	if sign := v.Heard(2*time.Second, "n1", 2); sign != SignRestarted {
-		t.Errorf("a new incarnation is %v", sign)
+		t.Errorf("%v for a new incarnation", sign)
 	}
 	if sign := v.Heard(2*time.Second, "n1", 1); sign != SignStale {
-		t.Errorf("the old incarnation is %v", sign)
+		t.Errorf("%v for the old incarnation", sign)
 	}
 }
 
-func TestLonelyNodeOwnsAll(t *testing.T) {
-	v := fleet("n0", 4)
+func TestOnlyNodeOwnsAllKeys(t *testing.T) {
+	v := newFleetView("n0", 4)
 	for _, n := range []string{"n1", "n2", "n3"} {
 		v.Connected(2*time.Second, n, false)
 	}
 	v.Tick(3 * time.Second)
 	if owner := v.Owner(5, "dc1"); owner != "n0" {
-		t.Errorf("%s owns a shard", owner)
+		t.Errorf("%s owns a key, want the only node alive", owner)
 	}
 	v.SetLeaving(3 * time.Second)
 	if owner := v.Owner(5, "dc1"); owner != "n0" {
-		t.Errorf("%s owns a shard as the last node leaves", owner)
+		t.Errorf("%s owns a key while the last node leaves", owner)
 	}
 	v.Connected(4*time.Second, "n2", true)
 	if owner := v.Owner(5, "dc1"); owner != "n2" {
-		t.Errorf("%s owns a shard though this node leaves", owner)
+		t.Errorf("%s owns a key though this node leaves and another is alive", owner)
 	}
 }
--- a/control/member/watch.go
+++ b/control/member/watch.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// watchSalt sets the choice of watchers apart from the choice of owners.
+// watchSalt makes the choice of watchers independent of the choice of owners.
 const watchSalt = 0x9e3779b97f4a7c15
 
-// assignWatchers computes who hears this node's heartbeats and whom it watches.
+// assignWatchers computes which nodes receive this node's heartbeats and which it
+// watches.
 func (v *View) assignWatchers(now time.Duration) {
-	candidates := v.watchable()
-	v.watchers = top(candidates, v.own)
+	candidates := v.watchCandidates()
+	v.watchers = topWatchers(candidates, v.own)
 	v.watching = v.watching[:0]
 	for _, n := range candidates {
-		watches := v.amongTop(candidates, n)
+		watches := v.isWatcherOf(candidates, n)
 		if watches && !n.watched {
 			n.watchedFrom = now
 		}
@@ -25,8 +26,8 @@
 	}
 }
 
-// watchable returns the other nodes that live, leaving ones too.
-func (v *View) watchable() []*Node {
+// watchCandidates returns the other nodes that are alive, including leaving ones.
+func (v *View) watchCandidates() []*Node {
 	var nodes []*Node
 	for _, n := range v.nodes {
 		if n.alive || ((n.Leaving || n.listedLeaving) && v.Reachable(n.Name)) {
@@ -41,8 +42,8 @@
 	return Score(watcher.hash, watched.hash^watchSalt)
 }
 
-// top returns the watchers of a node among candidates.
-func top(candidates []*Node, watched *Node) []*Node {
+// topWatchers returns the watchers of a node among the candidates.
+func topWatchers(candidates []*Node, watched *Node) []*Node {
 	watchers := slices.Clone(candidates)
 	if len(watchers) <= MaxWatchers {
 		return watchers
@@ -56,9 +57,9 @@
 	return watchers[:MaxWatchers]
 }
 
-// amongTop says whether this node is one of the watchers of n: fewer than
+// isWatcherOf reports whether this node is one of the watchers of n: fewer than
 // MaxWatchers others score higher.
-func (v *View) amongTop(candidates []*Node, n *Node) bool {
+func (v *View) isWatcherOf(candidates []*Node, n *Node) bool {
 	if len(candidates) <= MaxWatchers {
 		return true
 	}
@@ -75,33 +76,33 @@
 	return true
 }
 
-// Watches says whether this node watches another.
+// Watches reports whether this node watches another.
 func (v *View) Watches(name string) bool {
 	n := v.nodes[name]
 	return n != nil && n.watched
 }
 
-// Watchers returns the nodes to send heartbeats to now: the watchers, nodes
-// that lately missed one, and up to probes nodes that are thought dead, so
-// that two sides of a healed partition find each other.
+// Watchers returns the nodes to send heartbeats to now: the watchers, nodes that
+// recently missed one, and up to probes nodes that count as dead, so that the two sides
+// of a healed partition find each other.
 func (v *View) Watchers(now time.Duration, probes int) []string {
 	var names []string
 	for _, n := range v.watchers {
 		names = append(names, n.Name)
 	}
 	var dead []string
-	for _, n := range v.uneasy {
+	for _, n := range v.recheck {
 		if !n.alive {
 			dead = append(dead, n.Name)
 		}
 	}
 	slices.Sort(dead)
 	for i := 0; i < min(probes, len(dead)); i++ {
-		v.probe++
-		names = append(names, dead[v.probe%len(dead)])
+		v.probeIndex++
+		names = append(names, dead[v.probeIndex%len(dead)])
 	}
 	for _, n := range v.nodes {
-		if n.extraUntil > now {
+		if n.extraHeartbeatsUntil > now {
 			names = append(names, n.Name)
 		}
 	}
@@ -109,11 +110,12 @@
 	return slices.Compact(names)
 }
 
-// Tick lets time pass. It returns the watched nodes whose heartbeats this node
-// has missed since the last call; the caller tells the others.
+// Tick updates the states that depend on time. It returns the watched nodes whose
+// heartbeats this node has missed since the last call; the caller notifies the other
+// nodes.
 func (v *View) Tick(now time.Duration) []*Node {
-	for _, name := range v.uneasyNames() {
-		v.update(now, v.uneasy[name])
+	for _, name := range v.recheckNames() {
+		v.update(now, v.recheck[name])
 	}
 	var missed []*Node
 	for _, n := range slices.Clone(v.watching) {
@@ -127,12 +129,12 @@
 	return missed
 }
 
-func (v *View) uneasyNames() []string {
-	if len(v.uneasy) == 0 {
+func (v *View) recheckNames() []string {
+	if len(v.recheck) == 0 {
 		return nil
 	}
-	names := make([]string, 0, len(v.uneasy))
-	for name := range v.uneasy {
+	names := make([]string, 0, len(v.recheck))
+	for name := range v.recheck {
 		names = append(names, name)
 	}
 	slices.Sort(names)
