--- a/control/notice/notice.go
+++ b/control/notice/notice.go
@@ -1,33 +1,35 @@
-// Package notice keeps what targets say of themselves in their answers to one router: that
-// they leave, or that they want nothing from this router for a while. Of leaving the listing
-// of targets may say later, or not at all while the platform takes no writes; a hold-off is
-// between a target and one router, and no listing says it.
+// Package notice holds what targets report about themselves in their answers to one
+// router: that they are leaving, or that they want no requests from this router for some
+// time. The list of targets may show later that a target is leaving, or not at all while
+// the platform accepts no writes. A hold-off concerns one target and one router and is
+// in no list.
 package notice
 
 import "time"
 
-// keptUndeclared is how long a notice is kept of a target that is not declared: its entry may
-// lapse while the platform is away, and come back.
-const keptUndeclared = time.Minute
+// undeclaredTTL is how long a notice of a target that is not declared is kept: the
+// target's entry may expire while the platform is unavailable, and return.
+const undeclaredTTL = time.Minute
 
-// Notice is what an answer of a target says of the target.
+// Notice is what a target's answer says about the target.
 type Notice struct {
-	// Leaving says that it takes no new requests.
+	// Leaving is set if it accepts no new requests.
 	Leaving bool
-	// HoldOff is how long it wants no request from this router; zero: it asks for nothing.
+	// HoldOff is how long it wants no requests from this router; zero if it asks for
+	// none.
 	HoldOff time.Duration
 }
 
-// IsZero says whether the answer said nothing of the target.
+// IsZero reports whether the answer said nothing about the target.
 func (n Notice) IsZero() bool { return n == Notice{} }
 
-// Set holds the notices of one router by target. The zero value is empty. It is not safe for
-// concurrent use. Times are of any one clock.
+// Set holds the notices that one router received, by target. The zero value is empty. It
+// is not safe for concurrent use. All times passed to it must be of one clock.
 type Set struct {
 	byTarget map[string]*entry
 }
 
-// entry is what one start of a target said.
+// entry holds the notices from one start of a target.
 type entry struct {
 	start   int64
 	leaving bool
@@ -37,14 +39,14 @@
 	declaredAt time.Duration
 }
 
-// Add takes in a notice of a start of a target, zero if the start is not known. It returns
-// whether the target was not known to leave and is now.
-func (s *Set) Add(now time.Duration, target string, start int64, n Notice) (leaves bool) {
+// Add adds a notice from one start of a target; start is zero if it is not known. It
+// reports whether the target was not known to be leaving before and is now.
+func (s *Set) Add(now time.Duration, target string, start int64, n Notice) (becameLeaving bool) {
 	if n.IsZero() {
 		return false
 	}
 	if known := s.byTarget[target]; known != nil && start != 0 && start < known.start {
-		return false // an answer that was read late
+		return false // an answer of an earlier start that was read late
 	}
 	e := s.find(target, start)
 	if e == nil {
@@ -54,21 +56,21 @@
 		e = &entry{start: start, declaredAt: now}
 		s.byTarget[target] = e
 	}
-	leaves = n.Leaving && !e.leaving
+	becameLeaving = n.Leaving && !e.leaving
 	e.leaving = e.leaving || n.Leaving
 	e.holdOffUntil = max(e.holdOffUntil, now+n.HoldOff)
-	return leaves
+	return becameLeaving
 }
 
-// IsWithheld says whether a start of a target wants no request from this router: it leaves, or
-// holds this router off.
+// IsWithheld reports whether a start of a target wants no requests from this router,
+// because it is leaving or has a hold-off in force.
 func (s *Set) IsWithheld(now time.Duration, target string, start int64) bool {
 	e := s.find(target, start)
 	return e != nil && (e.leaving || now < e.holdOffUntil)
 }
 
-// HoldsOff returns for how much longer a start of a target holds this router off; zero if it
-// does not.
+// HoldOffLeft returns the remaining hold-off of a start of a target; zero if there is
+// none.
 func (s *Set) HoldsOff(now time.Duration, target string, start int64) time.Duration {
 	e := s.find(target, start)
 	if e == nil {
@@ -77,7 +79,7 @@
 	return max(0, e.holdOffUntil-now)
 }
 
-// HoldingOff returns the targets that hold this router off, in no order.
+// HoldOffTargets returns the targets with a hold-off in force, in no particular order.
 func (s *Set) HoldingOff(now time.Duration) []string {
 	var targets []string
 	for target, e := range s.byTarget {
@@ -88,14 +90,15 @@
 	return targets
 }
 
-// IsLeaving says whether a start of a target said that it leaves.
+// IsLeaving reports whether a start of a target has said that it is leaving.
 func (s *Set) IsLeaving(target string, start int64) bool {
 	e := s.find(target, start)
 	return e != nil && e.leaving
 }
 
-// Prune forgets the notices of starts that have been replaced, and of targets that have not
-// been declared for long. startOf returns the declared start of a target.
+// Prune removes the notices of starts that have been replaced, of targets that have not
+// been declared for undeclaredTTL, and hold-offs that have ended. startOf returns the
+// declared start of a target.
 func (s *Set) Prune(now time.Duration, startOf func(target string) (start int64, declared bool)) {
 	for target, e := range s.byTarget {
 		start, declared := startOf(target)
@@ -104,13 +107,13 @@
 			delete(s.byTarget, target)
 		case declared:
 			e.declaredAt = now
-		case now-e.declaredAt > keptUndeclared:
+		case now-e.declaredAt > undeclaredTTL:
 			delete(s.byTarget, target)
 		}
 	}
 }
 
-// find returns the entry of a start of a target; nil if there is none.
+// find returns the entry of a start of a target, or nil.
 func (s *Set) find(target string, start int64) *entry {
 	e := s.byTarget[target]
 	if e == nil || !SameStart(e.start, start) {
@@ -119,5 +122,6 @@
 	return e
 }
 
-// SameStart says whether two starts of a target may be the same: zero is one that is not known.
+// SameStart reports whether two starts of a target may be the same. Zero is a start that
+// is not known.
 func SameStart(a, b int64) bool { return a == b || a == 0 || b == 0 }
--- a/control/policy/tokens.go
+++ b/control/policy/tokens.go
@@ -1,78 +1,80 @@
-// Package policy holds the weights and limits by which requests for targets that
-// count their work in tokens are placed, ordered and refused: one value, with one
+// Package policy holds the weights and limits by which requests for targets that count
+// their work in tokens are placed, ordered and refused. They are one value with one
 // default, so that an experiment changes settings and not code.
 //
-// Weights are parts of what is observed (objectives, times to read) wherever that is
-// possible, so that they hold on fast and slow targets alike. What is absolute is an
-// operator's choice of what one thing is worth against another.
+// Where possible, weights are fractions of observed quantities (objectives, reading
+// times), so that they fit fast and slow targets alike. Absolute values are an
+// operator's decision on the relative worth of two things.
 package policy
 
-// Tokens is the policy for pools that count in tokens.
+// Tokens is the policy for pools that count work in tokens.
 type Tokens struct {
-	// WaitPart is the part of the pool's tightest objective that a target's unread
-	// prompts may take. The rest is for a request's own prompt, and for the pieces
-	// of others that targets read in between. Part of a second per second.
+	// WaitPart is the fraction of the pool's shortest objective that reading a target's
+	// unread prompts may take. The rest is for the request's own prompt, and for the
+	// chunks of other prompts that targets read in between. In seconds per second.
 	WaitPart float64 `toml:"wait_part"`
-	// KeeperPart is how many times longer the wait may be at a target that keeps the
-	// shared parts of a prompt: a deeper queue there costs less than reading again.
+	// KeeperPart is the factor by which the wait may be longer at a target that keeps
+	// the shared parts of a prompt: a longer queue there costs less than reading them
+	// again.
 	KeeperPart float64 `toml:"keeper_part"`
-	// TimelyPart is the part of what is left of the objective that a predicted start
-	// may take to count as timely: predictions are off by about the rest.
+	// TimelyPart is the fraction of the time left to the objective that a predicted
+	// start may take and still count as in time. Predictions are off by about the rest.
 	TimelyPart float64 `toml:"timely_part"`
-	// RereadPart is what a second of reading shared parts again counts for, besides
-	// the time itself: others wait for it too. In seconds.
+	// RereadPart is the cost of reading shared parts again, in seconds per second of
+	// reading, in addition to the reading time itself: other requests wait for it too.
 	RereadPart float64 `toml:"reread_part"`
-	// FetchPart is the same for a second of fetching them from another target.
+	// FetchPart is the same cost for fetching them from another target.
 	FetchPart float64 `toml:"fetch_part"`
-	// HomeMillis is added at targets that rendezvous hashing does not give the shared
-	// parts to, where no target keeps them: schedulers that know nothing of each other
-	// agree so. In milliseconds of start.
+	// HomeMillis is added to the predicted start, in milliseconds, at targets other than
+	// the one that rendezvous hashing assigns to the shared parts, if no target keeps
+	// them. It makes schedulers that know nothing of each other choose the same target.
 	HomeMillis float64 `toml:"home_millis"`
-	// FarMillis is what a data centre other than the entry's counts for, as operators
-	// pay for what crosses. In milliseconds of start.
+	// FarMillis is added to the predicted start, in milliseconds, at targets outside the
+	// entry's data centre, as operators pay for traffic between data centres.
 	FarMillis float64 `toml:"far_millis"`
 
-	// ExcessWaitPart is the part of its objective that a request beyond its
+	// ExcessWaitPart is the fraction of its objective that a request beyond its
 	// workspace's share may wait for spare capacity.
 	ExcessWaitPart float64 `toml:"excess_wait_part"`
-	// Excess and Returning bound what is left to requests beyond their share, and to
-	// those that were refused and come back.
+	// Excess limits the requests beyond their workspace's share, and Returning those
+	// that were refused and are sent again.
 	Excess    Spare `toml:"excess"`
 	Returning Spare `toml:"returning"`
-	// ReturnWaitMillis is how long one that came back may wait for it: its objective
-	// has passed, and its caller waits only some seconds more.
+	// ReturnWaitMillis is how long a request that is sent again may wait for capacity.
+	// Its objective has passed, and its caller waits only a few seconds more.
 	ReturnWaitMillis float64 `toml:"return_wait_millis"`
-	// YieldPart is how much less another workspace must have been served for one to
-	// yield spare capacity to it. Below 1, so that chance does not make workspaces
-	// take turns.
+	// YieldPart is the fraction of one workspace's service below which another one must
+	// have been served for the first to yield spare capacity to it. It is below 1 so
+	// that random variation does not make workspaces alternate.
 	YieldPart float64 `toml:"yield_part"`
 
-	// What follows switches mechanisms off, to measure what each is worth.
+	// The following fields switch mechanisms off, to measure the effect of each.
 
 	// NoShares treats every request as within its workspace's share.
 	NoShares bool `toml:"no_shares"`
-	// NoYield gives spare capacity to who asks first.
+	// NoYield gives spare capacity to the first request that asks for it.
 	NoYield bool `toml:"no_yield"`
-	// NoReturning serves what comes back after a refusal as if it were new.
+	// NoReturning treats requests that are sent again after a refusal as new ones.
 	NoReturning bool `toml:"no_returning"`
-	// NoFetch has shared parts read again rather than fetched.
+	// NoFetch has shared parts read again instead of fetched.
 	NoFetch bool `toml:"no_fetch"`
-	// NoKept places without regard to what targets keep.
+	// NoKept places requests without regard to which parts targets keep.
 	NoKept bool `toml:"no_kept"`
-	// NoLearning keeps predictions at their first figures.
+	// NoLearning keeps predictions at their initial values.
 	NoLearning bool `toml:"no_learning"`
-	// NoSpeed takes all targets of a pool as equally fast.
+	// NoSpeed assumes that all targets of a pool are equally fast.
 	NoSpeed bool `toml:"no_speed"`
 }
 
-// Spare is how much of a target requests of a rank may use: parts of its slots, and
-// of the wait that unread prompts may make. The rest is kept for ranks before it.
+// SpareLimit bounds how much of a target the requests of one rank may use: as fractions
+// of its slots, and of the wait that its unread prompts may cause. The rest is left to
+// higher ranks.
 type Spare struct {
 	Slots float64 `toml:"slots"`
 	Wait  float64 `toml:"wait"`
 }
 
-// Default returns the policy that is used where nothing else is set.
+// Default returns the policy that applies unless settings change it.
 func Default() Tokens {
 	return Tokens{
 		WaitPart:         0.25,
@@ -90,30 +92,30 @@
 	}
 }
 
-// Bound is a value with what it may lie between.
+// Bound is a value of a policy with its permitted range.
 type Bound struct {
-	// Key is the setting, below the section of the policy.
+	// Key is the settings key, relative to the section of the policy.
 	Key                string
 	Value, Least, Most float64
 }
 
 // Bounds lists the values of a policy with their bounds.
 func (t Tokens) Bounds() []Bound {
-	const largest = 1000
+	const maxValue = 1000
 	return []Bound{
 		{"wait_part", t.WaitPart, 0.01, 1},
-		{"keeper_part", t.KeeperPart, 1, largest},
+		{"keeper_part", t.KeeperPart, 1, maxValue},
 		{"timely_part", t.TimelyPart, 0.01, 1},
-		{"reread_part", t.RereadPart, 0, largest},
-		{"fetch_part", t.FetchPart, 0, largest},
-		{"home_millis", t.HomeMillis, 0, largest},
-		{"far_millis", t.FarMillis, 0, largest},
+		{"reread_part", t.RereadPart, 0, maxValue},
+		{"fetch_part", t.FetchPart, 0, maxValue},
+		{"home_millis", t.HomeMillis, 0, maxValue},
+		{"far_millis", t.FarMillis, 0, maxValue},
 		{"excess_wait_part", t.ExcessWaitPart, 0, 1},
 		{"excess.slots", t.Excess.Slots, 0, 1},
 		{"excess.wait", t.Excess.Wait, 0, 1},
 		{"returning.slots", t.Returning.Slots, 0, 1},
 		{"returning.wait", t.Returning.Wait, 0, 1},
-		{"return_wait_millis", t.ReturnWaitMillis, 0, largest},
+		{"return_wait_millis", t.ReturnWaitMillis, 0, maxValue},
 		{"yield_part", t.YieldPart, 0, 1},
 	}
 }
