--- a/control/loadtest/engine.go
+++ b/control/loadtest/engine.go
@@ -7,61 +7,64 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// EngineSpec says how a modelled engine works.
+// EngineSpec describes a modelled engine.
 type EngineSpec struct {
-	// Slots is how many requests run at once, and Memory the tokens that prompts,
-	// answers and kept parts share.
+	// Slots is the number of requests that run at once, and MemoryTokens the memory, in
+	// tokens, for prompts, answers and kept parts together.
 	Slots  int
 	Memory int
-	// Step is the time of a step that reads nothing, and StepEach what each run adds.
+	// StepTime is the time of a step that reads nothing, and StepPerRun the time added
+	// by each run.
 	Step, StepEach time.Duration
-	// Token is the time to read a token, and Pair to compare it with one before it.
+	// PerToken is the time to read one token, and PerPair the time to compare it with
+	// one token before it.
 	Token, Pair time.Duration
-	// Chunk is how many tokens are read between two steps.
+	// ChunkTokens is how many tokens are read in one step.
 	Chunk int
-	// First is the time from the end of reading to the first event.
+	// FirstEventDelay is the time from the end of reading to the first event.
 	First time.Duration
-	// TellEvery is the period of telling what is kept, and TellLag how late that is.
+	// ReportInterval is the period of the reports of kept parts, and ReportLag their
+	// delay.
 	TellEvery, TellLag time.Duration
 }
 
-// engine reads prompts in order of arrival, a chunk between two steps, and makes a
-// token of each run a step. What it has read stays until others need the memory, the
-// least recently used first.
+// engine reads prompts in order of arrival, one chunk per step, and generates one token
+// of each run per step. What it has read is kept until the memory is needed; the least
+// recently used parts are evicted first.
 type engine struct {
-	spec  EngineSpec
-	name  string
-	pace  float64
-	world *world
-	// waiting are the runs whose prompts are not read yet, in order of arrival.
+	spec     EngineSpec
+	name     string
+	slowdown float64
+	sim      *simulation
+	// waiting holds the runs whose prompts are not read yet, in order of arrival.
 	waiting []*run
 	running []*run
 	busy    bool
-	// down says that it has crashed.
-	down bool
-	held int
-	kept keptLRU
-	// reads are the tokens read, and readsAgain those of them in shared parts that some
-	// engine had read before.
-	reads, readsAgain int
+	// crashed is set while the engine is down.
+	crashed    bool
+	memoryHeld int
+	kept       keptLRU
+	// tokensRead counts the tokens read, and tokensReread those of them in shared parts
+	// that some engine had read before.
+	tokensRead, tokensReread int
 }
 
 func (e *engine) arrive(r *run) {
-	r.left = max(1, r.work.PromptTokens-e.keepsOf(r.work))
+	r.unreadTokens = max(1, r.work.PromptTokens-e.keptTokens(r.work))
 	if r.fetched > 0 {
-		r.left = max(1, r.left-r.fetched)
+		r.unreadTokens = max(1, r.unreadTokens-r.fetched)
 	}
-	r.position = r.work.PromptTokens - r.left
-	e.countReads(r)
-	e.held += r.work.PromptTokens + r.work.OutputTokens
+	r.position = r.work.PromptTokens - r.unreadTokens
+	e.recordReads(r)
+	e.memoryHeld += r.work.PromptTokens + r.work.OutputTokens
 	e.waiting = append(e.waiting, r)
-	e.wake()
+	e.activate()
 }
 
-// countReads counts what the run reads, and how much of it is shared parts that some
-// engine had read before.
-func (e *engine) countReads(r *run) {
-	e.reads += r.left
+// recordReads counts the tokens that the run has to read, and how many of them are in
+// shared parts that some engine had read before.
+func (e *engine) recordReads(r *run) {
+	e.tokensRead += r.unreadTokens
 	kept := r.position
 	for i, part := range r.work.Parts {
 		if i+1 == len(r.work.Parts) {
@@ -69,15 +72,16 @@
 		}
 		missing := max(0, part.Tokens-kept)
 		kept = max(0, kept-part.Tokens)
-		if e.world.readBefore[part.ID] {
-			e.readsAgain += missing
+		if e.sim.readBefore[part.ID] {
+			e.tokensReread += missing
 		}
-		e.world.readBefore[part.ID] = true
+		e.sim.readBefore[part.ID] = true
 	}
 }
 
-// keepsOf is how much of a prompt's beginning is kept.
-func (e *engine) keepsOf(work control.Work) int {
+// keptTokens returns the length of the kept prefix of a prompt, and marks its parts as
+// used.
+func (e *engine) keptTokens(work control.Work) int {
 	tokens := 0
 	for _, part := range work.Parts {
 		if !e.kept.touch(part.ID) {
@@ -88,15 +92,15 @@
 	return min(tokens, work.PromptTokens-1)
 }
 
-func (e *engine) wake() {
+func (e *engine) activate() {
 	if e.busy {
 		return
 	}
 	e.busy = true
-	e.world.after(0, e.step)
+	e.sim.after(0, e.step)
 }
 
-// step reads a chunk and makes a token of each run.
+// step reads a chunk and generates one token of each run.
 func (e *engine) step() {
 	if len(e.waiting) == 0 && len(e.running) == 0 {
 		e.busy = false
@@ -106,63 +110,63 @@
 	var read []*run
 	for budget := e.spec.Chunk; budget > 0 && len(e.waiting) > 0 && len(e.running)+len(read) < e.spec.Slots; {
 		r := e.waiting[0]
-		tokens := min(budget, r.left)
+		tokens := min(budget, r.unreadTokens)
 		took += time.Duration(tokens)*e.spec.Token + time.Duration(tokens*(r.position+tokens/2))*e.spec.Pair
-		r.left -= tokens
+		r.unreadTokens -= tokens
 		r.position += tokens
 		budget -= tokens
-		if r.left == 0 {
+		if r.unreadTokens == 0 {
 			e.waiting = e.waiting[1:]
 			read = append(read, r)
 		}
 	}
-	took = time.Duration(e.pace * float64(took))
-	e.world.after(took, func() { e.stepped(read) })
+	took = time.Duration(e.slowdown * float64(took))
+	e.sim.after(took, func() { e.finishStep(read) })
 }
 
-// stepped takes in the end of a step.
-func (e *engine) stepped(read []*run) {
-	still := e.running[:0]
+// finishStep updates the runs at the end of a step.
+func (e *engine) finishStep(read []*run) {
+	stillRunning := e.running[:0]
 	for _, r := range e.running {
-		r.made++
-		if r.made >= r.work.OutputTokens {
+		r.generated++
+		if r.generated >= r.work.OutputTokens {
 			e.end(r)
 			continue
 		}
-		still = append(still, r)
+		stillRunning = append(stillRunning, r)
 	}
-	e.running = append(still, read...)
+	e.running = append(stillRunning, read...)
 	for _, r := range read {
-		e.world.after(e.spec.First, func() { e.world.began(r) })
+		e.sim.after(e.spec.First, func() { e.sim.firstEvent(r) })
 	}
 	e.step()
 }
 
-// drop ends all runs, read or not, without a word.
-func (e *engine) drop() {
+// dropRuns ends all runs, read or not, without reporting that.
+func (e *engine) dropRuns() {
 	for _, r := range append(e.waiting, e.running...) {
-		e.held -= r.work.PromptTokens + r.work.OutputTokens
+		e.memoryHeld -= r.work.PromptTokens + r.work.OutputTokens
 	}
 	e.waiting, e.running = nil, nil
 }
 
 func (e *engine) end(r *run) {
-	e.held -= r.work.PromptTokens + r.work.OutputTokens
+	e.memoryHeld -= r.work.PromptTokens + r.work.OutputTokens
 	for _, part := range r.work.Parts {
 		e.kept.add(part)
 	}
-	e.kept.shrink(e.spec.Memory - e.held)
-	e.world.ended(r)
+	e.kept.shrink(e.spec.Memory - e.memoryHeld)
+	e.sim.runEnded(r)
 }
 
-// tell tells what is kept, again and again.
-func (e *engine) tell() {
+// reportKept reports the kept parts once every ReportInterval.
+func (e *engine) reportKept() {
 	parts := e.kept.list()
-	e.world.after(e.spec.TellLag, func() { e.world.told(e.name, parts) })
-	e.world.after(e.spec.TellEvery, e.tell)
+	e.sim.after(e.spec.TellLag, func() { e.sim.keptReported(e.name, parts) })
+	e.sim.after(e.spec.TellEvery, e.reportKept)
 }
 
-// keptLRU holds parts, the least recently used last.
+// keptLRU holds prompt parts in a list, least recently used last.
 type keptLRU struct {
 	order  *list.List
 	byID   map[uint64]*list.Element
@@ -173,7 +177,7 @@
 	return keptLRU{order: list.New(), byID: make(map[uint64]*list.Element)}
 }
 
-// touch says whether a part is kept, and uses it.
+// touch reports whether a part is kept, and marks it as used.
 func (k *keptLRU) touch(id uint64) bool {
 	element := k.byID[id]
 	if element == nil {
@@ -191,8 +195,8 @@
 	k.tokens += part.Tokens
 }
 
-func (k *keptLRU) shrink(most int) {
-	for k.tokens > most && k.order.Len() > 0 {
+func (k *keptLRU) shrink(maxTokens int) {
+	for k.tokens > maxTokens && k.order.Len() > 0 {
 		last := k.order.Back()
 		part := last.Value.(control.PromptPart)
 		k.order.Remove(last)
--- a/control/loadtest/loadtest_test.go
+++ b/control/loadtest/loadtest_test.go
@@ -10,9 +10,10 @@
 	"github.com/walnutcove/walnutcove/control/policy"
 )
 
-// smallMemory is the load of a customer whose engines hold some twenty of its longest
-// requests: long prompts that share most of their length, middling ones, and short ones
-// with long answers. The engines' figures are those that their operators publish.
+// smallMemory is the load of a customer whose engines have memory for about twenty of
+// its longest requests: long prompts that share most of their length, medium ones, and
+// short ones with long answers. The engines' parameters are those that their operators
+// publish.
 func smallMemory() Pattern {
 	return Pattern{
 		Name: "small memory", Routers: 4, Engines: 9, Workspaces: 16,
@@ -31,47 +32,48 @@
 	}
 }
 
-// many plays a pattern with several seeds at once and adds the results up.
-func many(pattern Pattern, weights policy.Tokens) Result {
-	var plays [4]Result
-	var playing sync.WaitGroup
-	for i := range plays {
-		playing.Go(func() { plays[i] = Play(pattern, weights, uint64(i)+1) })
+// simulateSeeds simulates a pattern with several seeds in parallel and adds the results
+// up.
+func simulateSeeds(pattern Pattern, weights policy.Tokens) Result {
+	var results [4]Result
+	var running sync.WaitGroup
+	for i := range results {
+		running.Go(func() { results[i] = Play(pattern, weights, uint64(i)+1) })
 	}
-	playing.Wait()
+	running.Wait()
 	sum := Result{Workspaces: make(map[string]Served)}
-	for i := range plays {
-		sum.add(&plays[i])
+	for i := range results {
+		sum.add(&results[i])
 	}
 	return sum
 }
 
-// crowdedPlayed is the crowded load with the default policy.
-var crowdedPlayed = sync.OnceValue(func() Result { return many(crowded(), policy.Default()) })
+// crowdedResult is the result of the crowded load with the default policy.
+var crowdedResult = sync.OnceValue(func() Result { return simulateSeeds(crowded(), policy.Default()) })
 
-// calmPlayed is the calm one.
-var calmPlayed = sync.OnceValue(func() Result { return many(calm(), policy.Default()) })
+// calmResult is the result of the calm load with the default policy.
+var calmResult = sync.OnceValue(func() Result { return simulateSeeds(calm(), policy.Default()) })
 
-func (r *Result) add(one *Result) {
-	r.Asked += one.Asked
-	r.InTime += one.InTime
-	r.Late += one.Late
-	r.Refusals += one.Refusals
-	r.Reads += one.Reads
-	r.ReadsAgain += one.ReadsAgain
-	r.Fetched += one.Fetched
-	r.Starts += one.Starts
-	r.Predicted += one.Predicted
-	r.EarlyLate += one.EarlyLate
-	r.ReturnLate += one.ReturnLate
-	for name, served := range one.Workspaces {
+func (r *Result) add(other *Result) {
+	r.Asked += other.Asked
+	r.InTime += other.InTime
+	r.Late += other.Late
+	r.Refusals += other.Refusals
+	r.Reads += other.Reads
+	r.ReadsAgain += other.ReadsAgain
+	r.Fetched += other.Fetched
+	r.Starts += other.Starts
+	r.Predicted += other.Predicted
+	r.EarlyLate += other.EarlyLate
+	r.ReturnLate += other.ReturnLate
+	for name, served := range other.Workspaces {
 		before := r.Workspaces[name]
 		r.Workspaces[name] = Served{Asked: before.Asked + served.Asked, InTime: before.InTime + served.InTime}
 	}
 }
 
-// times multiplies the load of a pattern.
-func (p Pattern) times(factor float64) Pattern {
+// scaled multiplies the load of a pattern.
+func (p Pattern) scaled(factor float64) Pattern {
 	p.Kinds = append([]Kind(nil), p.Kinds...)
 	for i := range p.Kinds {
 		p.Kinds[i].PerSecond *= factor
@@ -79,37 +81,38 @@
 	return p
 }
 
-// without is the default policy with a change.
-func without(change func(*policy.Tokens)) policy.Tokens {
+// policyWith returns the default policy with a change.
+func policyWith(change func(*policy.Tokens)) policy.Tokens {
 	weights := policy.Default()
 	change(&weights)
 	return weights
 }
 
-// worst is the least part in time of a workspace but the hot one.
-func (r *Result) worst() float64 {
-	least := 1.0
+// worstInTimeRatio returns the least in-time ratio of a workspace other than the hot
+// one.
+func (r *Result) worstInTimeRatio() float64 {
+	lowest := 1.0
 	for name, served := range r.Workspaces {
 		if name != workspaceName(0) {
-			least = min(least, float64(served.InTime)/float64(served.Asked))
+			lowest = min(lowest, float64(served.InTime)/float64(served.Asked))
 		}
 	}
-	return least
+	return lowest
 }
 
-// calm is a load that the engines can serve; crowded is a third more than the first
-// pattern, with a workspace that sends eight times as much for ten seconds.
-func calm() Pattern { return smallMemory().times(0.6) }
+// calm is a load that the engines can serve. crowded is 1.3 times the load of
+// smallMemory, with a workspace that sends eight times as much for ten seconds.
+func calm() Pattern { return smallMemory().scaled(0.6) }
 
 func crowded() Pattern {
-	p := smallMemory().times(1.3)
+	p := smallMemory().scaled(1.3)
 	p.Name = "hot workspace"
 	p.HotTimes, p.HotFrom, p.HotTo = 8, 4*time.Second, 14*time.Second
 	return p
 }
 
-// TestSameSeedSamePlay: a play repeats to the last token.
-func TestSameSeedSamePlay(t *testing.T) {
+// TestSameSeedGivesSameResult checks that simulations are reproducible.
+func TestSameSeedGivesSameResult(t *testing.T) {
 	for seed := range uint64(3) {
 		one, two := Play(crowded(), policy.Default(), seed), Play(crowded(), policy.Default(), seed)
 		if !reflect.DeepEqual(one, two) {
@@ -118,86 +121,88 @@
 	}
 }
 
-// TestColdStart: nothing is kept and no start was seen. Of the first second's requests
-// some are late, as each shared part has to be read once; where the targets were taken
-// to be nine times as fast until the first starts were in, they were four in ten more
-// (97 for 70 in four plays), and on a calm day twice as many were late (26 for 11).
+// TestColdStart begins with nothing kept and no start seen. Some requests of the first
+// second are late, as each shared part has to be read once. When targets were assumed to
+// be nine times as fast until the first starts were seen, four in ten more were late (97
+// instead of 70 in four simulations), and at low load more than twice as many (26
+// instead of 11).
 func TestColdStart(t *testing.T) {
-	cold := crowdedPlayed()
+	cold := crowdedResult()
 	if cold.EarlyLate > 85 {
 		t.Errorf("%d late of the first second", cold.EarlyLate)
 	}
-	easy := calmPlayed()
+	easy := calmResult()
 	if easy.Late > 20 || easy.InTimePart() < 0.98 {
 		t.Errorf("calm: %d late, %.3f in time", easy.Late, easy.InTimePart())
 	}
 }
 
-// TestStartsArePredicted: long prompts beside short ones, at engines of two paces. On a
-// calm day 89 of 100 starts are within a quarter or 30 ms, and 62 of a crowded one,
-// where later grants delay earlier ones; without learning it is 86 and 57.
+// TestStartsArePredicted mixes long and short prompts at engines of two speeds. At low
+// load 89 of 100 starts are predicted within a quarter or 30 ms, and 62 at high load,
+// where later grants delay earlier ones. Without learning, these are 86 and 57.
 func TestStartsArePredicted(t *testing.T) {
-	easy, busy := calmPlayed(), crowdedPlayed()
+	easy, busy := calmResult(), crowdedResult()
 	if easy.PredictedPart() < 0.87 || busy.PredictedPart() < 0.595 {
-		t.Errorf("%.3f of the starts were predicted on a calm day, %.3f on a crowded one", easy.PredictedPart(), busy.PredictedPart())
+		t.Errorf("%.3f of the starts were predicted at low load, %.3f at high load", easy.PredictedPart(), busy.PredictedPart())
 	}
 }
 
-// TestHotThingsUnderEviction: what prompts share does not fit into one engine's memory
-// beside its runs. What another engine keeps is fetched: a third fewer shared tokens
-// are read again, and more requests are in time; placement that knows nothing of kept
-// parts reads twice as many again.
-func TestHotThingsUnderEviction(t *testing.T) {
-	kept := crowdedPlayed()
-	alone := many(crowded(), without(func(p *policy.Tokens) { p.NoFetch = true }))
-	blind := many(crowded(), without(func(p *policy.Tokens) { p.NoKept = true }))
-	if float64(kept.ReadsAgain) > 0.7*float64(alone.ReadsAgain) || kept.InTimePart() < alone.InTimePart()+0.03 {
+// TestSharedPartsUnderEviction has more shared prompt parts than fit into one engine's
+// memory beside its runs. Parts that another engine keeps are fetched, which reduces the
+// shared tokens that are read again by a third and has more requests in time. Placement
+// that ignores kept parts reads twice as many tokens again.
+func TestSharedPartsUnderEviction(t *testing.T) {
+	kept := crowdedResult()
+	withoutFetch := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoFetch = true }))
+	withoutKept := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoKept = true }))
+	if float64(kept.ReadsAgain) > 0.7*float64(withoutFetch.ReadsAgain) || kept.InTimePart() < withoutFetch.InTimePart()+0.03 {
 		t.Errorf("%d tokens read again and %.3f in time, %d and %.3f without fetches",
-			kept.ReadsAgain, kept.InTimePart(), alone.ReadsAgain, alone.InTimePart())
+			kept.ReadsAgain, kept.InTimePart(), withoutFetch.ReadsAgain, withoutFetch.InTimePart())
 	}
-	if float64(kept.ReadsAgain) > 0.55*float64(blind.ReadsAgain) || kept.InTimePart() < blind.InTimePart()+0.06 {
+	if float64(kept.ReadsAgain) > 0.55*float64(withoutKept.ReadsAgain) || kept.InTimePart() < withoutKept.InTimePart()+0.06 {
 		t.Errorf("%d tokens read again and %.3f in time, %d and %.3f without regard to what is kept",
-			kept.ReadsAgain, kept.InTimePart(), blind.ReadsAgain, blind.InTimePart())
+			kept.ReadsAgain, kept.InTimePart(), withoutKept.ReadsAgain, withoutKept.InTimePart())
 	}
 }
 
-// TestHotWorkspace: a workspace sends eight times as much. The worst served of the
+// TestHotWorkspace has one workspace send eight times as much. The worst served of the
 // others has 59 of 100 requests in time; without shares, 45.
 func TestHotWorkspace(t *testing.T) {
-	shared := crowdedPlayed()
-	none := many(crowded(), without(func(p *policy.Tokens) { p.NoShares = true }))
-	if shared.worst() < 0.55 || shared.worst() < none.worst()+0.08 {
-		t.Errorf("worst served: %.3f in time, %.3f without shares", shared.worst(), none.worst())
+	shared := crowdedResult()
+	none := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoShares = true }))
+	if shared.worstInTimeRatio() < 0.55 || shared.worstInTimeRatio() < none.worstInTimeRatio()+0.08 {
+		t.Errorf("worst served: %.3f in time, %.3f without shares", shared.worstInTimeRatio(), none.worstInTimeRatio())
 	}
 }
 
-// TestCallersThatReturn: what comes back after a refusal is late whatever happens, and
-// goes last. Served like new requests, it takes one in twenty of all from being in time (48 for 52 of 100).
-func TestCallersThatReturn(t *testing.T) {
-	last := crowdedPlayed()
-	alike := many(crowded(), without(func(p *policy.Tokens) { p.NoReturning = true }))
-	if last.InTimePart() < alike.InTimePart()+0.03 {
-		t.Errorf("%.3f in time, %.3f if what returns is served alike", last.InTimePart(), alike.InTimePart())
+// TestReturningRequestsGoLast checks that requests which are sent again after a refusal
+// are served last, as they are late in any case. Served like new requests, they reduce
+// the requests in time by one in twenty of all (48 instead of 52 of 100).
+func TestReturningRequestsGoLast(t *testing.T) {
+	last := crowdedResult()
+	servedAlike := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoReturning = true }))
+	if last.InTimePart() < servedAlike.InTimePart()+0.03 {
+		t.Errorf("%.3f in time, %.3f if returning requests are served like new ones", last.InTimePart(), servedAlike.InTimePart())
 	}
 }
 
-// TestPowerLoss: all routers lose their memory under load. What is lost is what came
-// while they were away: within a second starts are in time again.
+// TestPowerLoss has all routers lose their memory under load. Only requests that arrive
+// while they are down are lost: within one second, starts are in time again.
 func TestPowerLoss(t *testing.T) {
 	p := calm()
 	p.PowerLossAt, p.PowerLossFor = 8*time.Second, 700*time.Millisecond
-	played := many(p, policy.Default())
+	played := simulateSeeds(p, policy.Default())
 	if played.ReturnLate > 5 || played.InTimePart() < 0.93 {
-		t.Errorf("%d late of the second after the return, %.3f in time", played.ReturnLate, played.InTimePart())
+		t.Errorf("%d late in the second after the routers return, %.3f in time", played.ReturnLate, played.InTimePart())
 	}
 }
 
-// stall is the load of a pool whose scheduler's processor is taken for some tenths of a
-// second, as when many targets crash at once: two workspaces ask for more than there is, the
-// first by all routers and the second by one. Routers whose scheduler does not answer grant
-// from what they know alone.
-func stall(lasts time.Duration) Pattern {
-	p := smallMemory().times(15)
+// stallPattern is the load of a pool whose scheduler has no processor time for some
+// tenths of a second, as happens when many targets crash at once. Two workspaces ask for
+// more than the capacity, the first through all routers and the second through one.
+// Routers whose scheduler does not answer grant on their own knowledge.
+func stallPattern(lasts time.Duration) Pattern {
+	p := smallMemory().scaled(15)
 	p.Name = "stall of the scheduler"
 	p.Routers, p.Workspaces, p.ByOne = 24, 2, true
 	p.StallAt, p.StallFor = 4*time.Second, lasts
@@ -205,27 +210,27 @@
 	return p
 }
 
-// TestStallIsFair: no workspace has less than half of what another has in the six seconds
-// from a stall of the scheduler on, whether its callers come by one router or by all.
+// TestStallIsFair checks that no workspace gets less than half of another in the six
+// seconds after the scheduler stalls, whether its callers use one router or all.
 func TestStallIsFair(t *testing.T) {
 	const promised = 0.5
 	for _, lasts := range []time.Duration{0, 400 * time.Millisecond} {
 		for seed := range uint64(2) {
-			got := Play(stall(lasts), policy.Default(), seed+1).Workspaces
+			got := Play(stallPattern(lasts), policy.Default(), seed+1).Workspaces
 			all, one := got[workspaceName(0)], got[workspaceName(1)]
-			t.Logf("stall of %s: %d tokens by all routers, %d by one; %d and %d requests in time", lasts, all.AfterStall, one.AfterStall, all.InTime, one.InTime)
+			t.Logf("stall of %s: %d tokens through all routers, %d through one; %d and %d requests in time", lasts, all.AfterStall, one.AfterStall, all.InTime, one.InTime)
 			if float64(min(all.AfterStall, one.AfterStall)) < promised*float64(max(all.AfterStall, one.AfterStall)) {
-				t.Errorf("stall of %s, seed %d: %d tokens by all routers, %d by one", lasts, seed+1, all.AfterStall, one.AfterStall)
+				t.Errorf("stall of %s, seed %d: %d tokens through all routers, %d through one", lasts, seed+1, all.AfterStall, one.AfterStall)
 			}
 		}
 	}
 }
 
-// crowdedEntry is a load beyond the capacity of the pool, in which all callers of the second
-// workspace come by one router that refuses nine in ten of them before it reads them. They
-// come back once, by any router.
-func crowdedEntry(workspaces int) Pattern {
-	p := smallMemory().times(4)
+// crowdedEntryPattern is a load beyond the capacity of the pool in which all callers of
+// the second workspace first use one router that refuses nine in ten of them before it
+// reads them. They try once more, through any router.
+func crowdedEntryPattern(workspaces int) Pattern {
+	p := smallMemory().scaled(4)
 	p.Name = "crowded entry"
 	p.Routers, p.Workspaces = 24, workspaces
 	p.ByOne, p.Unread = true, 0.9
@@ -234,31 +239,31 @@
 	return p
 }
 
-// TestCrowdedEntryIsFair: a workspace whose callers meet a crowded router first has at least
-// half of what the best served workspace has.
+// TestCrowdedEntryIsFair checks that a workspace whose callers use a crowded router
+// first gets at least half of what the best served workspace gets.
 func TestCrowdedEntryIsFair(t *testing.T) {
 	const promised = 0.5
 	for _, workspaces := range []int{2, 8, 24} {
 		for seed := range uint64(3) {
-			got := Play(crowdedEntry(workspaces), policy.Default(), seed+1).Workspaces
+			got := Play(crowdedEntryPattern(workspaces), policy.Default(), seed+1).Workspaces
 			best := 0
 			for _, served := range got {
 				best = max(best, served.AfterStall)
 			}
 			crowded := got[workspaceName(1)].AfterStall
-			t.Logf("%d workspaces: %d tokens by the crowded router, %d at most", workspaces, crowded, best)
+			t.Logf("%d workspaces: %d tokens through the crowded router, %d at most", workspaces, crowded, best)
 			if float64(crowded) < promised*float64(best) {
-				t.Errorf("%d workspaces, seed %d: %d tokens by the crowded router, %d at most", workspaces, seed+1, crowded, best)
+				t.Errorf("%d workspaces, seed %d: %d tokens through the crowded router, %d at most", workspaces, seed+1, crowded, best)
 			}
 		}
 	}
 }
 
-// crash is a load beyond the capacity of the pool in which a quarter of the engines crash for two
-// seconds, and the router that schedules the pool takes nothing in for a while from then on. The
-// callers of the second workspace come by one router.
-func crash(stalls time.Duration) Pattern {
-	p := smallMemory().times(12)
+// crashPattern is a load beyond the capacity of the pool in which a quarter of the
+// engines crash for two seconds, and the router that schedules the pool processes no
+// events for some time from then on. The callers of the second workspace use one router.
+func crashPattern(stalls time.Duration) Pattern {
+	p := smallMemory().scaled(12)
 	p.Name = "crash"
 	p.Engines, p.PerSecond = 4*p.Engines, 4*p.PerSecond
 	p.Routers, p.Workspaces, p.ByOne = 24, 8, true
@@ -268,21 +273,21 @@
 	return p
 }
 
-// TestCrashIsFair: no workspace has less than half of what another has in the six seconds from a
-// crash of engines on, whose requests are all sent again at once.
+// TestCrashIsFair checks that no workspace gets less than half of another in the six
+// seconds after a crash of engines whose requests are all sent again at once.
 func TestCrashIsFair(t *testing.T) {
 	const promised = 0.5
 	for _, stalls := range []time.Duration{0, 400 * time.Millisecond} {
 		for seed := range uint64(2) {
-			played := Play(crash(stalls), policy.Default(), seed+1)
+			played := Play(crashPattern(stalls), policy.Default(), seed+1)
 			least, most, again := math.MaxInt, 0, 0
 			for _, served := range played.Workspaces {
 				least, most = min(least, served.AfterStall), max(most, served.AfterStall)
 				again += served.Again
 			}
-			t.Logf("stall of %s: %d to %d tokens, %d in all sent again; %d of %d in time", stalls, least, most, again, played.InTime, played.Asked)
+			t.Logf("stall of %s: %d to %d tokens per workspace, %d in total sent again; %d of %d in time", stalls, least, most, again, played.InTime, played.Asked)
 			if float64(least) < promised*float64(most) {
-				t.Errorf("stall of %s, seed %d: %d to %d tokens", stalls, seed+1, least, most)
+				t.Errorf("stall of %s, seed %d: %d to %d tokens per workspace", stalls, seed+1, least, most)
 			}
 		}
 	}
--- a/control/loadtest/pattern.go
+++ b/control/loadtest/pattern.go
@@ -11,33 +11,34 @@
 // Pattern is a named load.
 type Pattern struct {
 	Name string
-	// Routers, Engines and Workspaces count what takes part.
+	// Routers, Engines and Workspaces are the numbers of each.
 	Routers, Engines, Workspaces int
 	Engine                       EngineSpec
-	// SlowEvery makes one engine in so many slower by SlowPace; 0: none.
+	// SlowEvery makes every SlowEvery-th engine slower by SlowFactor; 0 means none.
 	SlowEvery int
 	SlowPace  float64
-	// PerSecond and FetchedPerSecond are declared of the pool, in tokens a second.
+	// PerSecond and FetchedPerSecond are declared for the pool, in tokens per second.
 	PerSecond, FetchedPerSecond float64
 	Kinds                       []Kind
-	// HotWorkspace sends HotTimes as much as its part from HotFrom to HotTo.
+	// The first workspace sends HotFactor times its load from HotFrom to HotTo.
 	HotTimes       float64
 	HotFrom, HotTo time.Duration
-	// PowerLossAt ends all routers at once, for PowerLossFor; 0: never.
+	// PowerLossAt is when all routers stop at once, for PowerLossFor; 0 means never.
 	PowerLossAt, PowerLossFor time.Duration
-	// StallAt is when the router that schedules the pool takes nothing in for StallFor,
-	// as its processor is taken; 0: never.
+	// StallAt is when the router that schedules the pool stops processing events for
+	// StallFor, as if it had no processor time; 0 means never.
 	StallAt, StallFor time.Duration
-	// CrashEvery ends one engine in so many as the stall begins, for CrashFor; 0: none. Their runs
-	// are sent again, to other engines.
+	// CrashEvery makes every CrashEvery-th engine crash at StallAt, for CrashFor; 0
+	// means none. Their runs are sent again, to other engines.
 	CrashEvery int
 	CrashFor   time.Duration
-	// ByOne has all callers of the second workspace come by one router.
+	// SingleRouter makes all callers of the second workspace use one router.
 	ByOne bool
-	// Unread is the part of these callers' first tries that this one router refuses before it
-	// reads them, as its processor is taken. They come back by any router.
+	// UnreadRatio is the fraction of these callers' first tries that this router refuses
+	// before reading them, as if it had no processor time. They are sent again through
+	// any router.
 	Unread float64
-	// Length is the time of arrivals.
+	// Length is the duration of arrivals.
 	Length time.Duration
 }
 
@@ -45,197 +46,201 @@
 type Kind struct {
 	Name      string
 	PerSecond float64
-	// Groups and Things are how many parts of either level requests share, and
-	// GroupTokens and ThingTokens how long they are.
+	// Groups and Items are how many different parts there are on each of the two levels
+	// that requests share, and GroupTokens and ItemTokens their lengths.
 	Groups, Things           int
 	GroupTokens, ThingTokens int
-	// OwnTokens and OutputTokens are means.
+	// OwnTokens and OutputTokens are mean lengths.
 	OwnTokens, OutputTokens int
 	// Objective is the time to the first event, and Timeout how long callers wait.
 	Objective, Timeout time.Duration
 }
 
-// Served is what came of the requests of one workspace.
+// WorkspaceResult is the outcome of the requests of one workspace.
 type Served struct {
 	Asked, InTime int
-	// AfterStall is how many tokens of prompts were sent to engines in the stallWindow
-	// that begins with the stall.
+	// TokensAfterStall is the number of prompt tokens sent to engines in the stallWindow
+	// from StallAt on.
 	AfterStall int
-	// Again is how many of these are of requests that were sent again after a crash.
+	// TokensResent is how many of these belong to requests that were sent again after a
+	// crash.
 	Again int
 }
 
-// stallWindow is the time in which no workspace is to have less than half of another.
+// stallWindow is the time over which no workspace may get less than half of another.
 const stallWindow = 6 * time.Second
 
-// Result is what came of a play.
+// Result is the outcome of a simulation.
 type Result struct {
 	Asked, InTime, Late int
-	// Refusals counts tries, and not requests.
+	// Refusals counts refused tries, not requests.
 	Refusals int
-	// Reads are the tokens read, ReadsAgain those of shared parts that had been read,
-	// and Fetched those that came from another engine.
+	// TokensRead is the number of tokens read, TokensReread those of shared parts that
+	// had been read before, and TokensFetched those that came from another engine.
 	Reads, ReadsAgain, Fetched int
-	// Starts counts starts, and Predicted those within a quarter or 30 ms.
+	// Starts counts the starts, and Predicted those that were predicted within a quarter
+	// or 30 ms.
 	Starts, Predicted int
 	Workspaces        map[string]Served
-	// EarlyLate counts the late starts of the first second, and ReturnLate those of
-	// the second after a power loss.
+	// EarlyLate counts the late starts of the first second, and ReturnLate those of the
+	// second after a power loss.
 	EarlyLate, ReturnLate int
 }
 
-// closeEnough is the part, and closeTime the time, by which a prediction may be off.
+// A prediction may be off by 1/maxErrorDivisor of the real time or by maxErrorTime.
 const (
-	closePart = 4
-	closeTime = 30 * time.Millisecond
+	maxErrorDivisor = 4
+	maxErrorTime    = 30 * time.Millisecond
 )
 
-func (r *Result) starts(predicted, took time.Duration) {
+func (r *Result) recordStart(predicted, took time.Duration) {
 	r.Starts++
-	if off := (predicted - took).Abs(); off <= closeTime || off <= took/closePart {
+	if off := (predicted - took).Abs(); off <= maxErrorTime || off <= took/maxErrorDivisor {
 		r.Predicted++
 	}
 }
 
-func (r *Result) begun(w *world, one *call) {
-	if w.now-one.sentAt <= one.kind.Objective {
+func (r *Result) recordFirstEvent(s *simulation, req *clientRequest) {
+	if s.now-req.sentAt <= req.kind.Objective {
 		r.InTime++
-		served := r.Workspaces[one.workspace]
+		served := r.Workspaces[req.workspace]
 		served.InTime++
-		r.Workspaces[one.workspace] = served
+		r.Workspaces[req.workspace] = served
 		return
 	}
 	r.Late++
-	if one.sentAt < time.Second {
+	if req.sentAt < time.Second {
 		r.EarlyLate++
 	}
-	back := w.pattern.PowerLossAt + w.pattern.PowerLossFor
-	if w.pattern.PowerLossAt > 0 && one.sentAt > back && one.sentAt < back+time.Second {
+	returnedAt := s.pattern.PowerLossAt + s.pattern.PowerLossFor
+	if s.pattern.PowerLossAt > 0 && req.sentAt > returnedAt && req.sentAt < returnedAt+time.Second {
 		r.ReturnLate++
 	}
 }
 
-// PredictedPart is the part of the starts that was predicted.
+// PredictedRatio returns the fraction of the starts that was predicted.
 func (r *Result) PredictedPart() float64 { return float64(r.Predicted) / float64(max(1, r.Starts)) }
 
-// InTimePart is the part of the requests that began in time.
+// InTimeRatio returns the fraction of the requests that began in time.
 func (r *Result) InTimePart() float64 { return float64(r.InTime) / float64(max(1, r.Asked)) }
 
-// scheduleArrival lets the next request of a kind come.
-func (w *world) scheduleArrival(kind *Kind) {
-	pause := time.Duration(w.rng.ExpFloat64() / kind.PerSecond * float64(time.Second))
-	w.after(pause, func() {
-		if w.now > w.pattern.Length {
+// scheduleArrival schedules the next request of a kind.
+func (s *simulation) scheduleArrival(kind *Kind) {
+	pause := time.Duration(s.arrivalRNG.ExpFloat64() / kind.PerSecond * float64(time.Second))
+	s.after(pause, func() {
+		if s.now > s.pattern.Length {
 			return
 		}
-		times := 1
-		workspace := w.rng.IntN(w.pattern.Workspaces)
-		if workspace == 0 && w.now >= w.pattern.HotFrom && w.now < w.pattern.HotTo {
-			times = int(w.pattern.HotTimes)
+		count := 1
+		workspace := s.arrivalRNG.IntN(s.pattern.Workspaces)
+		if workspace == 0 && s.now >= s.pattern.HotFrom && s.now < s.pattern.HotTo {
+			count = int(s.pattern.HotTimes)
 		}
-		for range times {
-			w.arrive(kind, workspaceName(workspace))
+		for range count {
+			s.arrive(kind, workspaceName(workspace))
 		}
-		w.scheduleArrival(kind)
+		s.scheduleArrival(kind)
 	})
 }
 
-// Parts of prompts are numbered by kind and level.
+// Prompt parts are numbered by kind and level.
 const (
 	groupBase = 1_000_000
-	thingBase = 2_000_000
+	itemBase  = 2_000_000
 	ownBase   = 1_000_000_000
 	kindBase  = 10_000_000
 )
 
-func (w *world) arrive(kind *Kind, workspace string) {
+func (s *simulation) arrive(kind *Kind, workspace string) {
 	index := uint64(0)
-	for i := range w.pattern.Kinds {
-		if &w.pattern.Kinds[i] == kind {
+	for i := range s.pattern.Kinds {
+		if &s.pattern.Kinds[i] == kind {
 			index = uint64(i)
 		}
 	}
-	thing := w.rng.IntN(kind.Things)
-	w.result.Asked++
+	item := s.arrivalRNG.IntN(kind.Things)
+	s.result.Asked++
 	parts := []control.PromptPart{
-		{ID: kindBase*index + groupBase + uint64(thing%kind.Groups), Tokens: kind.GroupTokens},
-		{ID: kindBase*index + thingBase + uint64(thing), Tokens: kind.ThingTokens},
-		{ID: ownBase + uint64(w.result.Asked), Tokens: w.around(kind.OwnTokens)},
+		{ID: kindBase*index + groupBase + uint64(item%kind.Groups), Tokens: kind.GroupTokens},
+		{ID: kindBase*index + itemBase + uint64(item), Tokens: kind.ThingTokens},
+		{ID: ownBase + uint64(s.result.Asked), Tokens: s.randomLength(kind.OwnTokens)},
 	}
-	one := &call{kind: kind, workspace: workspace, sentAt: w.now, fingerprint: uint64(w.result.Asked)}
-	one.work = control.Work{Parts: parts, OutputTokens: w.around(kind.OutputTokens)}
+	req := &clientRequest{kind: kind, workspace: workspace, sentAt: s.now, fingerprint: uint64(s.result.Asked)}
+	req.work = control.Work{Parts: parts, OutputTokens: s.randomLength(kind.OutputTokens)}
 	for _, part := range parts {
-		one.work.PromptTokens += part.Tokens
+		req.work.PromptTokens += part.Tokens
 	}
-	served := w.result.Workspaces[workspace]
+	served := s.result.Workspaces[workspace]
 	served.Asked++
-	w.result.Workspaces[workspace] = served
-	w.try(one)
+	s.result.Workspaces[workspace] = served
+	s.send(req)
 }
 
-// around draws a length about a mean, as skewed as those of prompts are.
-func (w *world) around(mean int) int {
-	return max(1, int(float64(mean)*min(4, w.rng.ExpFloat64())))
+// randomLength draws a length with the given mean from a distribution as skewed as that
+// of real prompts.
+func (s *simulation) randomLength(mean int) int {
+	return max(1, int(float64(mean)*min(4, s.arrivalRNG.ExpFloat64())))
 }
 
-// try sends a request to some router, as a new request of the same content.
-func (w *world) try(one *call) {
-	up := make([]*router, 0, len(w.routers))
-	for _, r := range w.routers {
+// send sends a request to some router, each time as a new request with the same content.
+func (s *simulation) send(req *clientRequest) {
+	up := make([]*router, 0, len(s.routers))
+	for _, r := range s.routers {
 		if r.up {
 			up = append(up, r)
 		}
 	}
-	if len(up) == 0 || w.now-one.sentAt > one.kind.Timeout {
+	if len(up) == 0 || s.now-req.sentAt > req.kind.Timeout {
 		return
 	}
-	one.tries++
-	by := up[w.ways.IntN(len(up))]
-	if w.pattern.ByOne && one.workspace == workspaceName(1) && (one.tries == 1 || w.pattern.Unread == 0) {
-		by = up[len(up)-1]
-		if w.ways.Float64() < w.pattern.Unread {
-			w.refuseUnread(by, one)
+	req.tries++
+	via := up[s.routingRNG.IntN(len(up))]
+	if s.pattern.ByOne && req.workspace == workspaceName(1) && (req.tries == 1 || s.pattern.Unread == 0) {
+		via = up[len(up)-1]
+		if s.routingRNG.Float64() < s.pattern.Unread {
+			s.refuseUnread(via, req)
 			return
 		}
 	}
-	id := control.RequestID(len(w.calls) + 1)
-	w.calls[id] = one
-	w.request(by, id, 1, one.sentAt+one.kind.Objective, nil)
+	id := control.RequestID(len(s.requests) + 1)
+	s.requests[id] = req
+	s.requestGrant(via, id, 1, req.sentAt+req.kind.Objective, nil)
 }
 
-// request asks a router for a grant.
-func (w *world) request(by *router, id control.RequestID, attempt uint32, objective control.Instant, excluded []string) {
-	one := w.calls[id]
-	w.step(by, control.RequestArrived{
-		Request: id, Attempt: attempt, Workspace: one.workspace, Pool: pool,
-		Deadline: one.sentAt + one.kind.Timeout, Objective: objective,
-		Work: one.work, Fingerprint: one.fingerprint, Excluded: excluded,
+// requestGrant asks a router for a grant.
+func (s *simulation) requestGrant(via *router, id control.RequestID, attempt uint32, objective control.Instant, excluded []string) {
+	req := s.requests[id]
+	s.step(via, control.RequestArrived{
+		Request: id, Attempt: attempt, Workspace: req.workspace, Pool: pool,
+		Deadline: req.sentAt + req.kind.Timeout, Objective: objective,
+		Work: req.work, Fingerprint: req.fingerprint, Excluded: excluded,
 	})
 }
 
 const (
-	// unreadEvery is the period in which a router tells what it refused unread.
-	unreadEvery = 200 * time.Millisecond
-	// unreadPause is the mean advice to a request that is refused unread.
-	unreadPause = time.Second
+	// unreadReportInterval is how often a router reports what it refused unread.
+	unreadReportInterval = 200 * time.Millisecond
+	// meanUnreadRetryAfter is the mean retry delay that a request gets which is refused
+	// unread.
+	meanUnreadRetryAfter = time.Second
 )
 
-// refuseUnread refuses a try before the router reads it. Its caller comes back once.
-func (w *world) refuseUnread(by *router, one *call) {
-	w.result.Refusals++
-	if by.unread == nil {
-		by.unread = make(map[string]int)
-		w.after(unreadEvery, func() { w.tellUnread(by) })
+// refuseUnread refuses a try before the router reads it. Its caller tries once more.
+func (s *simulation) refuseUnread(via *router, req *clientRequest) {
+	s.result.Refusals++
+	if via.unread == nil {
+		via.unread = make(map[string]int)
+		s.after(unreadReportInterval, func() { s.reportUnread(via) })
 	}
-	by.unread[one.workspace]++
-	w.after(unreadPause/2+time.Duration(w.ways.Int64N(int64(unreadPause))), func() { w.try(one) })
+	via.unread[req.workspace]++
+	s.after(meanUnreadRetryAfter/2+time.Duration(s.routingRNG.Int64N(int64(meanUnreadRetryAfter))), func() { s.send(req) })
 }
 
-// tellUnread has a router count what it refused unread.
-func (w *world) tellUnread(by *router) {
-	counts := by.unread
-	by.unread = nil
+// reportUnread passes a router's counts of unread refusals to its machine.
+func (s *simulation) reportUnread(r *router) {
+	counts := r.unread
+	r.unread = nil
 	for _, workspace := range slices.Sorted(maps.Keys(counts)) {
-		w.step(by, control.RequestsUnread{Pool: pool, Workspace: workspace, Count: counts[workspace]})
+		s.step(r, control.RequestsUnread{Pool: pool, Workspace: workspace, Count: counts[workspace]})
 	}
 }
--- a/control/loadtest/world.go
+++ b/control/loadtest/world.go
@@ -1,8 +1,8 @@
-// Package loadtest plays named patterns of load on the decisions of several routers, on
-// virtual time and without a network: the machines of package control, modelled engines
-// and callers that come back after a refusal. It measures who is served in time, what is
-// read again and how well starts are predicted, so that a change of policy is tried in
-// a second and its figures repeat.
+// Package loadtest simulates named load patterns on several routers, in virtual time and
+// without a network: the machines of package control, modelled engines, and callers that
+// try again after a refusal. It measures which requests are served in time, what is read
+// again and how well starts are predicted. A simulation takes about a second and its
+// results are reproducible, so a change of policy can be tried quickly.
 package loadtest
 
 import (
@@ -20,48 +20,50 @@
 )
 
 const (
-	// hop is the time of a message between two routers, and to an engine.
-	hop = time.Millisecond
-	// tick is the longest time between two looks of a router at its timers.
-	tick = 20 * time.Millisecond
-	pool = "gen"
+	// messageDelay is the time of a message between two routers, and to an engine.
+	messageDelay = time.Millisecond
+	// maxTickInterval is the longest time between two timer checks of a router.
+	maxTickInterval = 20 * time.Millisecond
+	pool            = "gen"
 )
 
-// world is one play.
-type world struct {
+// simulation is one run of a pattern.
+type simulation struct {
 	now    time.Duration
 	seq    uint64
 	events events
-	// rng draws what comes, and ways by which router: what is decided must not change
-	// what comes later.
-	rng, ways *rand.Rand
-	pattern   Pattern
+	// arrivalRNG draws the arrivals, and routingRNG the routers that they go to. They
+	// are separate so that decisions do not change later arrivals.
+	arrivalRNG, routingRNG *rand.Rand
+	pattern                Pattern
 
 	routers []*router
 	engines map[string]*engine
 	// readBefore holds the shared parts that some engine has read.
 	readBefore map[uint64]bool
-	// calls are all requests, by id.
-	calls  map[control.RequestID]*call
-	result Result
+	// requests holds all requests, by the id of each try.
+	requests map[control.RequestID]*clientRequest
+	result   Result
 }
 
-// router is a machine and what it has in hand.
+// router is a machine and its runs.
 type router struct {
-	node    control.NodeID
-	machine *control.Machine
-	up      bool
-	inc     control.Incarnation
-	runs    map[control.GrantID]*run
-	// unread counts what it refused unread since it last told, by workspace.
+	node        control.NodeID
+	machine     *control.Machine
+	up          bool
+	incarnation control.Incarnation
+	runs        map[control.GrantID]*run
+	// unread counts the requests that it refused unread since its last report, by
+	// workspace.
 	unread map[string]int
-	// stalls says that it takes nothing in, and stalled holds what waits for it meanwhile.
-	stalls  bool
-	stalled []control.Event
+	// isStalled is set while it processes no events, and heldEvents holds the events
+	// that arrive meanwhile.
+	isStalled  bool
+	heldEvents []control.Event
 }
 
-// call is a request with its tries.
-type call struct {
+// clientRequest is a request with all its tries.
+type clientRequest struct {
 	kind      *Kind
 	workspace string
 	work      control.Work
@@ -74,22 +76,22 @@
 
 // run is a request at an engine.
 type run struct {
-	request control.RequestID
-	grant   control.GrantID
-	at      *router
-	inc     control.Incarnation
-	engine  *engine
-	work    control.Work
-	started time.Duration
-	// predicted is the start that the grant told.
+	request     control.RequestID
+	grant       control.GrantID
+	router      *router
+	incarnation control.Incarnation
+	engine      *engine
+	work        control.Work
+	started     time.Duration
+	// predicted is the time to the first event that the grant predicted.
 	predicted time.Duration
-	// attempt is the request's attempt that it is of.
+	// attempt is the attempt of the request that the run belongs to.
 	attempt uint32
 	// fetched is how many tokens came from another engine.
 	fetched int
-	// left is what is to be read, position where in the prompt, and made the tokens
-	// of the answer.
-	left, position, made int
+	// unreadTokens is how much of the prompt has still to be read, position where in the
+	// prompt reading is, and generated the length of the answer so far.
+	unreadTokens, position, generated int
 }
 
 type event struct {
@@ -122,93 +124,93 @@
 	return last
 }
 
-func (w *world) after(d time.Duration, run func()) {
-	w.seq++
-	heap.Push(&w.events, event{at: w.now + d, seq: w.seq, run: run})
+func (s *simulation) after(d time.Duration, run func()) {
+	s.seq++
+	heap.Push(&s.events, event{at: s.now + d, seq: s.seq, run: run})
 }
 
-// Play plays a pattern with a policy and returns what came of it. The same seed gives
-// the same play.
+// Simulate runs a pattern with a policy and returns the result. The same seed gives the
+// same result.
 func Play(pattern Pattern, weights policy.Tokens, seed uint64) Result {
-	w := &world{
-		rng:        rand.New(rand.NewPCG(seed, 7)),
-		ways:       rand.New(rand.NewPCG(seed, 8)),
+	s := &simulation{
+		arrivalRNG: rand.New(rand.NewPCG(seed, 7)),
+		routingRNG: rand.New(rand.NewPCG(seed, 8)),
 		pattern:    pattern,
 		engines:    make(map[string]*engine),
 		readBefore: make(map[uint64]bool),
-		calls:      make(map[control.RequestID]*call),
+		requests:   make(map[control.RequestID]*clientRequest),
 	}
-	w.result.Workspaces = make(map[string]Served)
-	w.start(weights, seed)
-	for w.events.Len() > 0 && w.now < pattern.Length+drainTime {
-		next := heap.Pop(&w.events).(event)
-		w.now = max(w.now, next.at)
+	s.result.Workspaces = make(map[string]Served)
+	s.start(weights, seed)
+	for s.events.Len() > 0 && s.now < pattern.Length+drainTime {
+		next := heap.Pop(&s.events).(event)
+		s.now = max(s.now, next.at)
 		next.run()
 	}
-	for _, e := range w.engines {
-		w.result.Reads += e.reads
-		w.result.ReadsAgain += e.readsAgain
+	for _, e := range s.engines {
+		s.result.Reads += e.tokensRead
+		s.result.ReadsAgain += e.tokensReread
 	}
-	return w.result
+	return s.result
 }
 
-// drainTime is how long a play goes on after the last arrival.
+// drainTime is how long a simulation continues after the last arrival.
 const drainTime = 15 * time.Second
 
-func (w *world) start(weights policy.Tokens, seed uint64) {
-	declarations := w.declarations()
-	for i := range w.pattern.Routers {
-		w.routers = append(w.routers, &router{node: control.NodeID("r" + strconv.Itoa(i)), inc: 1})
+func (s *simulation) start(weights policy.Tokens, seed uint64) {
+	declarations := s.declarations()
+	for i := range s.pattern.Routers {
+		s.routers = append(s.routers, &router{node: control.NodeID("r" + strconv.Itoa(i)), incarnation: 1})
 	}
-	for _, r := range w.routers {
-		w.startRouter(r, weights, seed, declarations)
+	for _, r := range s.routers {
+		s.startRouter(r, weights, seed, declarations)
 	}
 	for _, name := range sortedNames(declarations.Targets) {
-		w.after(time.Duration(w.rng.Int64N(int64(w.pattern.Engine.TellEvery))), w.engines[name].tell)
+		s.after(time.Duration(s.arrivalRNG.Int64N(int64(s.pattern.Engine.TellEvery))), s.engines[name].reportKept)
 	}
-	if w.pattern.StallAt > 0 {
-		w.after(w.pattern.StallAt, w.stall)
+	if s.pattern.StallAt > 0 {
+		s.after(s.pattern.StallAt, s.stall)
 	}
-	if w.pattern.CrashEvery > 0 {
-		w.after(w.pattern.StallAt, w.crash)
+	if s.pattern.CrashEvery > 0 {
+		s.after(s.pattern.StallAt, s.crash)
 	}
-	if w.pattern.PowerLossAt > 0 {
-		w.after(w.pattern.PowerLossAt, func() { w.losePower(weights, seed, declarations) })
+	if s.pattern.PowerLossAt > 0 {
+		s.after(s.pattern.PowerLossAt, func() { s.losePower(weights, seed, declarations) })
 	}
-	for i := range w.pattern.Kinds {
-		w.scheduleArrival(&w.pattern.Kinds[i])
+	for i := range s.pattern.Kinds {
+		s.scheduleArrival(&s.pattern.Kinds[i])
 	}
 }
 
-func (w *world) declarations() *config.Declarations {
+func (s *simulation) declarations() *config.Declarations {
 	d := &config.Declarations{
 		Workspaces: make(map[string]config.Workspace),
 		Pools: map[string]config.Pool{pool: {
 			Kind: config.KindEngine, OneQueue: true,
 			Tokens: &config.TokenWork{
-				PerSecond: w.pattern.PerSecond, MemoryTokens: int64(w.pattern.Engine.Memory), FetchedPerSecond: w.pattern.FetchedPerSecond,
+				PerSecond: s.pattern.PerSecond, MemoryTokens: int64(s.pattern.Engine.Memory), FetchedPerSecond: s.pattern.FetchedPerSecond,
 			},
 		}},
 		Routes:  make(map[string]config.Route),
 		Targets: make(map[string]config.Target),
 	}
-	for i := range w.pattern.Workspaces {
+	for i := range s.pattern.Workspaces {
 		d.Workspaces[workspaceName(i)] = config.Workspace{Share: 1, Pools: []string{pool}}
 	}
-	for i, kind := range w.pattern.Kinds {
+	for i, kind := range s.pattern.Kinds {
 		d.Routes[strconv.Itoa(i)] = config.Route{
 			Host: "h", Prefix: "/" + strconv.Itoa(i) + "/", Kind: config.RouteStream,
 			ObjectiveMillis: int(kind.Objective / time.Millisecond), Split: []config.RouteShare{{Pool: pool, Weight: 1}},
 		}
 	}
-	for i := range w.pattern.Engines {
+	for i := range s.pattern.Engines {
 		name := "e" + strconv.Itoa(i)
-		d.Targets[name] = config.Target{Pool: pool, DataCentre: "d", Slots: w.pattern.Engine.Slots}
+		d.Targets[name] = config.Target{Pool: pool, DataCentre: "d", Slots: s.pattern.Engine.Slots}
 		pace := 1.0
-		if w.pattern.SlowEvery > 0 && i%w.pattern.SlowEvery == w.pattern.SlowEvery-1 {
-			pace = w.pattern.SlowPace
+		if s.pattern.SlowEvery > 0 && i%s.pattern.SlowEvery == s.pattern.SlowEvery-1 {
+			pace = s.pattern.SlowPace
 		}
-		w.engines[name] = &engine{spec: w.pattern.Engine, name: name, pace: pace, world: w, kept: newKeptLRU()}
+		s.engines[name] = &engine{spec: s.pattern.Engine, name: name, slowdown: pace, sim: s, kept: newKeptLRU()}
 	}
 	return d
 }
@@ -219,13 +221,13 @@
 
 func workspaceName(i int) string { return "w" + strconv.Itoa(i) }
 
-// startRouter starts a router that knows the others. Targets turn up one by one, as
-// they register.
-func (w *world) startRouter(r *router, weights policy.Tokens, seed uint64, d *config.Declarations) {
+// startRouter starts a router that knows the others. Its targets appear one after the
+// other, as they do when they register.
+func (s *simulation) startRouter(r *router, weights policy.Tokens, seed uint64, d *config.Declarations) {
 	r.up = true
 	r.runs = make(map[control.GrantID]*run)
 	r.machine = control.New(control.Options{
-		Node: r.node, Incarnation: r.inc, DataCentre: "d", Seed: seed, Tokens: weights,
+		Node: r.node, Incarnation: r.incarnation, DataCentre: "d", Seed: seed, Tokens: weights,
 		HeartbeatEvery: 250 * time.Millisecond, MemberTimeout: time.Second, LocalAfter: 100 * time.Millisecond,
 	})
 	partial := *d
@@ -234,88 +236,88 @@
 		partial.Targets[name] = d.Targets[name]
 		next := partial
 		next.Targets = maps.Clone(partial.Targets)
-		w.step(r, control.ConfigChanged{Snapshot: &config.Snapshot{Version: 1, Declarations: next, TargetsRevision: config.Revision(i + 1)}})
+		s.step(r, control.ConfigChanged{Snapshot: &config.Snapshot{Version: 1, Declarations: next, TargetsRevision: config.Revision(i + 1)}})
 	}
 	var members []control.Member
-	for _, other := range w.routers {
+	for _, other := range s.routers {
 		members = append(members, control.Member{Node: other.node, DataCentre: "d"})
 	}
-	w.step(r, control.MembersListed{Members: members})
-	inc := r.inc
+	s.step(r, control.MembersListed{Members: members})
+	incarnation := r.incarnation
 	var wake func()
 	wake = func() {
-		if !r.up || r.inc != inc {
+		if !r.up || r.incarnation != incarnation {
 			return
 		}
-		w.step(r, control.Tick{})
-		w.after(max(time.Millisecond, min(tick, r.machine.NextWake()-w.now)), wake)
+		s.step(r, control.Tick{})
+		s.after(max(time.Millisecond, min(maxTickInterval, r.machine.NextWake()-s.now)), wake)
 	}
-	w.after(0, wake)
+	s.after(0, wake)
 }
 
-// losePower restarts all routers with empty memory. Engines keep what they keep, and
-// drop their runs, as those who asked are gone.
-func (w *world) losePower(weights policy.Tokens, seed uint64, d *config.Declarations) {
-	for _, r := range w.routers {
+// losePower restarts all routers with empty memory. Engines keep their prompt parts and
+// drop their runs, as their callers' connections are gone.
+func (s *simulation) losePower(weights policy.Tokens, seed uint64, d *config.Declarations) {
+	for _, r := range s.routers {
 		r.up = false
-		r.inc++
+		r.incarnation++
 	}
 	for _, name := range sortedNames(d.Targets) {
-		w.engines[name].drop()
+		s.engines[name].dropRuns()
 	}
-	for i, r := range w.routers {
+	for i, r := range s.routers {
 		spread := time.Duration(i) * 10 * time.Millisecond
-		w.after(w.pattern.PowerLossFor+spread, func() { w.startRouter(r, weights, seed, d) })
+		s.after(s.pattern.PowerLossFor+spread, func() { s.startRouter(r, weights, seed, d) })
 	}
 }
 
-// stall lets the router that schedules the pool take nothing in for a while.
-func (w *world) stall() {
-	for _, r := range w.routers {
-		if !schedules(r.machine) {
+// stall makes the router that schedules the pool process no events for StallFor.
+func (s *simulation) stall() {
+	for _, r := range s.routers {
+		if !ownsShard(r.machine) {
 			continue
 		}
-		r.stalls = true
-		w.after(w.pattern.StallFor, func() {
-			waiting := r.stalled
-			r.stalls, r.stalled = false, nil
+		r.isStalled = true
+		s.after(s.pattern.StallFor, func() {
+			waiting := r.heldEvents
+			r.isStalled, r.heldEvents = false, nil
 			for _, ev := range waiting {
-				w.step(r, ev)
+				s.step(r, ev)
 			}
 		})
 	}
 }
 
-// crash ends some engines for a while.
-func (w *world) crash() {
-	for i, name := range slices.Sorted(maps.Keys(w.engines)) {
-		if i%w.pattern.CrashEvery != 0 {
+// crash takes some engines down for CrashFor.
+func (s *simulation) crash() {
+	for i, name := range slices.Sorted(maps.Keys(s.engines)) {
+		if i%s.pattern.CrashEvery != 0 {
 			continue
 		}
-		e := w.engines[name]
+		e := s.engines[name]
 		lost := slices.Concat(e.waiting, e.running)
-		e.drop()
-		e.down = true
-		w.after(w.pattern.CrashFor, func() { e.down = false })
+		e.dropRuns()
+		e.crashed = true
+		s.after(s.pattern.CrashFor, func() { e.crashed = false })
 		for _, r := range lost {
-			w.lost(r, control.OutcomeLost)
+			s.runLost(r, control.OutcomeLost)
 		}
 	}
 }
 
-// lost ends a run whose engine is gone. Its request is sent again, to another one.
-func (w *world) lost(r *run, outcome control.Outcome) {
-	if !r.at.up || r.at.inc != r.inc || r.at.runs[r.grant] == nil {
+// runLost ends a run whose engine is gone. Its request is sent again, to another engine.
+func (s *simulation) runLost(r *run, outcome control.Outcome) {
+	if !r.router.up || r.router.incarnation != r.incarnation || r.router.runs[r.grant] == nil {
 		return
 	}
-	delete(r.at.runs, r.grant)
-	w.step(r.at, control.RunEnded{Request: r.request, Grant: r.grant, Outcome: outcome, Service: w.now - r.started})
-	one := w.calls[r.request]
-	w.request(r.at, r.request, r.attempt+1, w.now+one.kind.Objective, []string{r.engine.name})
+	delete(r.router.runs, r.grant)
+	s.step(r.router, control.RunEnded{Request: r.request, Grant: r.grant, Outcome: outcome, Service: s.now - r.started})
+	req := s.requests[r.request]
+	s.requestGrant(r.router, r.request, r.attempt+1, s.now+req.kind.Objective, []string{r.engine.name})
 }
 
-// schedules says whether a machine schedules a shard that it owns.
-func schedules(m *control.Machine) bool {
+// ownsShard reports whether a machine schedules a shard that it owns.
+func ownsShard(m *control.Machine) bool {
 	for _, s := range m.Status().Shards {
 		if s.Owned {
 			return true
@@ -324,100 +326,100 @@
 	return false
 }
 
-// step gives a router an event and carries out its commands.
-func (w *world) step(r *router, ev control.Event) {
-	if r.stalls {
-		r.stalled = append(r.stalled, ev)
+// step passes an event to a router and executes its commands.
+func (s *simulation) step(r *router, ev control.Event) {
+	if r.isStalled {
+		r.heldEvents = append(r.heldEvents, ev)
 		return
 	}
-	for _, command := range r.machine.Step(w.now, ev) {
+	for _, command := range r.machine.Step(s.now, ev) {
 		switch c := command.(type) {
 		case control.Send:
-			w.send(r, c)
+			s.sendMessage(r, c)
 		case control.Dispatch:
-			w.dispatch(r, c)
+			s.dispatch(r, c)
 		case control.Refuse:
-			w.refused(c)
+			s.refused(c)
 		}
 	}
 }
 
-func (w *world) send(from *router, c control.Send) {
-	inc := from.inc
-	w.after(hop, func() {
-		for _, to := range w.routers {
-			if to.node == c.To && to.up && from.inc == inc {
-				w.step(to, control.MessageReceived{From: from.node, Incarnation: inc, Message: c.Message})
+func (s *simulation) sendMessage(from *router, c control.Send) {
+	incarnation := from.incarnation
+	s.after(messageDelay, func() {
+		for _, to := range s.routers {
+			if to.node == c.To && to.up && from.incarnation == incarnation {
+				s.step(to, control.MessageReceived{From: from.node, Incarnation: incarnation, Message: c.Message})
 			}
 		}
 	})
 }
 
-func (w *world) dispatch(r *router, c control.Dispatch) {
-	one := w.calls[c.Request]
-	e := w.engines[c.Target]
-	started := &run{request: c.Request, grant: c.Grant, at: r, inc: r.inc, engine: e, work: one.work, started: w.now, predicted: c.Start, attempt: c.Attempt}
+func (s *simulation) dispatch(r *router, c control.Dispatch) {
+	req := s.requests[c.Request]
+	e := s.engines[c.Target]
+	started := &run{request: c.Request, grant: c.Grant, router: r, incarnation: r.incarnation, engine: e, work: req.work, started: s.now, predicted: c.Start, attempt: c.Attempt}
 	r.runs[c.Grant] = started
-	if since := w.now - w.pattern.StallAt; since >= 0 && since < stallWindow {
-		served := w.result.Workspaces[one.workspace]
-		served.AfterStall += one.work.PromptTokens
+	if since := s.now - s.pattern.StallAt; since >= 0 && since < stallWindow {
+		served := s.result.Workspaces[req.workspace]
+		served.AfterStall += req.work.PromptTokens
 		if c.Attempt > 1 {
-			served.Again += one.work.PromptTokens
+			served.Again += req.work.PromptTokens
 		}
-		w.result.Workspaces[one.workspace] = served
+		s.result.Workspaces[req.workspace] = served
 	}
-	delay := hop
-	if from := w.engines[c.FetchFrom]; from != nil {
-		started.fetched = max(0, from.keepsOf(one.work)-e.keepsOf(one.work))
-		delay += time.Duration(float64(started.fetched) / w.pattern.FetchedPerSecond * float64(time.Second))
+	delay := messageDelay
+	if from := s.engines[c.FetchFrom]; from != nil {
+		started.fetched = max(0, from.keptTokens(req.work)-e.keptTokens(req.work))
+		delay += time.Duration(float64(started.fetched) / s.pattern.FetchedPerSecond * float64(time.Second))
 	}
-	w.result.Fetched += started.fetched
-	w.after(delay, func() {
-		if e.down {
-			w.lost(started, control.OutcomeUnreachable)
+	s.result.Fetched += started.fetched
+	s.after(delay, func() {
+		if e.crashed {
+			s.runLost(started, control.OutcomeUnreachable)
 			return
 		}
 		e.arrive(started)
 	})
 }
 
-func (w *world) began(r *run) {
-	took := w.now - r.started
-	if !r.at.up || r.at.inc != r.inc {
+func (s *simulation) firstEvent(r *run) {
+	took := s.now - r.started
+	if !r.router.up || r.router.incarnation != r.incarnation {
 		return
 	}
-	w.result.starts(r.predicted, took)
-	w.step(r.at, control.RunBegan{Grant: r.grant, After: took})
-	one := w.calls[r.request]
-	if one.done {
+	s.result.recordStart(r.predicted, took)
+	s.step(r.router, control.RunBegan{Grant: r.grant, After: took})
+	req := s.requests[r.request]
+	if req.done {
 		return
 	}
-	one.done = true
-	w.result.begun(w, one)
+	req.done = true
+	s.result.recordFirstEvent(s, req)
 }
 
-func (w *world) ended(r *run) {
-	if !r.at.up || r.at.inc != r.inc || r.at.runs[r.grant] == nil {
+func (s *simulation) runEnded(r *run) {
+	if !r.router.up || r.router.incarnation != r.incarnation || r.router.runs[r.grant] == nil {
 		return
 	}
-	delete(r.at.runs, r.grant)
-	w.step(r.at, control.RunEnded{Request: r.request, Grant: r.grant, Outcome: control.OutcomeAnswered, Service: w.now - r.started})
+	delete(r.router.runs, r.grant)
+	s.step(r.router, control.RunEnded{Request: r.request, Grant: r.grant, Outcome: control.OutcomeAnswered, Service: s.now - r.started})
 }
 
-func (w *world) told(target string, parts []control.PromptPart) {
-	for _, r := range w.routers {
+func (s *simulation) keptReported(target string, parts []control.PromptPart) {
+	for _, r := range s.routers {
 		if r.up {
-			w.step(r, control.TargetKept{Target: target, Whole: true, Parts: parts})
+			s.step(r, control.TargetKept{Target: target, Whole: true, Parts: parts})
 		}
 	}
 }
 
-// refused lets a caller come back once, as it was told.
-func (w *world) refused(c control.Refuse) {
-	one := w.calls[c.Request]
-	w.result.Refusals++
-	if c.Code != result.Overloaded || one.tries > 1 || c.RetryAfter > one.kind.Timeout/3 {
+// refused has a caller try once more, after the advised delay.
+func (s *simulation) refused(c control.Refuse) {
+	req := s.requests[c.Request]
+	s.result.Refusals++
+	if c.Code != result.Overloaded || req.tries > 1 || c.RetryAfter > req.kind.Timeout/3 {
 		return
 	}
-	w.after(c.RetryAfter, func() { w.try(one) })
+	s.after(c.RetryAfter, func() { s.send(req) })
 }
