--- a/control/member/evidence.go
+++ b/control/member/evidence.go
@@ -80,12 +80,12 @@
 	if slices.Contains(n.endedIncarnations, incarnation) {
 		return SignStale
 	}
-	sign := SignNone
+	change := SignNone
 	if n.heardAt == 0 || n.suspected || now < n.unresponsiveUntil {
-		sign = SignBack
+		change = SignBack
 	}
 	if n.Incarnation != 0 && n.Incarnation != incarnation {
-		sign = SignRestarted
+		change = SignRestarted
 		n.addEnded(n.Incarnation)
 		n.Leaving = false
 	}
@@ -96,7 +96,7 @@
 	n.suspectedBy = nil
 	n.unresponsiveUntil = 0
 	v.update(now, n)
-	return sign
+	return change
 }
 
 // addEnded remembers an incarnation that ended.
--- a/control/member/view_test.go
+++ b/control/member/view_test.go
@@ -93,8 +93,8 @@
 	if v.Alive("n4") || !v.Alive("n3") {
 		t.Errorf("alive: n4 %v, n3 %v", v.Alive("n4"), v.Alive("n3"))
 	}
-	if sign := v.Heard(5*time.Second, "n4", 1); sign != SignBack || !v.Alive("n4") {
-		t.Errorf("after a message: sign %v, alive %v", sign, v.Alive("n4"))
+	if change := v.Heard(5*time.Second, "n4", 1); change != SignBack || !v.Alive("n4") {
+		t.Errorf("after a message: %v, alive %v", change, v.Alive("n4"))
 	}
 }
 
@@ -120,11 +120,11 @@
 
 func TestOldIncarnationsAreStale(t *testing.T) {
 	v := newFleetView("n0", 3)
-	if sign := v.Heard(2*time.Second, "n1", 2); sign != SignRestarted {
-		t.Errorf("%v for a new incarnation", sign)
+	if change := v.Heard(2*time.Second, "n1", 2); change != SignRestarted {
+		t.Errorf("%v for a new incarnation", change)
 	}
-	if sign := v.Heard(2*time.Second, "n1", 1); sign != SignStale {
-		t.Errorf("%v for the old incarnation", sign)
+	if change := v.Heard(2*time.Second, "n1", 1); change != SignStale {
+		t.Errorf("%v for the old incarnation", change)
 	}
 }
 
--- a/control/sched/kept.go
+++ b/control/sched/kept.go
@@ -11,7 +11,7 @@
 const grantGrace = 2 * time.Second
 
 // keptParts estimates which prompt parts a target keeps: the most recently used of those
-// that it was granted or reported, up to the size of its memory.
+// that were granted to it or that it reported, up to the size of its memory.
 type keptParts struct {
 	capacity int64
 	tokens   int64
@@ -54,16 +54,16 @@
 // report records how many tokens of a part the target keeps, unless the part was granted
 // within grantGrace.
 func (k *keptParts) report(now time.Duration, part EnginePart) {
-	usedAt := neverGranted
+	grantedAt := neverGranted
 	if element := k.byID[part.ID]; element != nil {
-		usedAt = element.Value.(keptPart).grantedAt
-		if usedAt > now-grantGrace {
+		grantedAt = element.Value.(keptPart).grantedAt
+		if grantedAt > now-grantGrace {
 			return
 		}
 	}
 	k.remove(part.ID)
 	if part.Tokens > 0 {
-		k.add(keptPart{EnginePart: part, grantedAt: usedAt})
+		k.add(keptPart{EnginePart: part, grantedAt: grantedAt})
 	}
 }
 
--- a/control/sched/reading.go
+++ b/control/sched/reading.go
@@ -33,7 +33,7 @@
 	minSlowdown    = 0.4
 	maxSlowdown    = 5.0
 	// fullWeightReadTime is the reading time from which on a start has full weight for
-	// the slowdown. In shorter ones, other work of the target has the larger effect.
+	// the slowdown. In a shorter start, other work of the target has the larger effect.
 	fullWeightReadTime = 100 * time.Millisecond
 	// minReadRate and maxReadRate bound the learned rate, in tokens per second.
 	minReadRate = 2_000.0
@@ -53,7 +53,8 @@
 	return load{max(0, l.tokens-other.tokens), max(0, l.pairs-other.pairs)}
 }
 
-// promptLoad returns the load of reading the last tokens of a prompt, reads of them.
+// promptLoad returns the load of reading the last reads tokens of a prompt of prompt
+// tokens.
 func promptLoad(reads, prompt int) load {
 	r := float64(reads)
 	return load{tokens: r, pairs: r * max(r/2, float64(prompt)-r/2)}
@@ -166,8 +167,9 @@
 	return x
 }
 
-// updateSlowdown returns the moving average of a target's slowdown after a start that
-// took so long and that the pool's model expected to take expected seconds.
+// updateSlowdown returns the moving average of a target's slowdown after one more start.
+// expected is its reading time according to the pool's model and took the measured one,
+// both in seconds.
 func updateSlowdown(slowdown, expected, took float64) float64 {
 	if expected <= 0 || math.IsNaN(took) {
 		return slowdown
--- a/control/sched/shares.go
+++ b/control/sched/shares.go
@@ -43,7 +43,8 @@
 
 // shareFlow holds the demand and the service of one workspace.
 type shareFlow struct {
-	// demand decays with demandTimeConstant; divided by it, it is the demand per second.
+	// demand decays with demandTimeConstant; demand/demandTimeConstant is the demand per
+	// second.
 	demand float64
 	// granted decays like demand and sums what the workspace was granted.
 	granted float64
