--- a/control/loadtest/loadtest_test.go
+++ b/control/loadtest/loadtest_test.go
@@ -127,13 +127,13 @@
 // instead of 70 in four simulations), and at low load more than twice as many (26
 // instead of 11).
 func TestColdStart(t *testing.T) {
-	cold := crowdedResult()
-	if cold.EarlyLate > 85 {
-		t.Errorf("%d late of the first second", cold.EarlyLate)
+	highLoad := crowdedResult()
+	if highLoad.EarlyLate > 85 {
+		t.Errorf("%d late of the first second", highLoad.EarlyLate)
 	}
-	easy := calmResult()
-	if easy.Late > 20 || easy.InTimePart() < 0.98 {
-		t.Errorf("calm: %d late, %.3f in time", easy.Late, easy.InTimePart())
+	lowLoad := calmResult()
+	if lowLoad.Late > 20 || lowLoad.InTimePart() < 0.98 {
+		t.Errorf("calm: %d late, %.3f in time", lowLoad.Late, lowLoad.InTimePart())
 	}
 }
 
@@ -141,9 +141,9 @@
 // load 89 of 100 starts are predicted within a quarter or 30 ms, and 62 at high load,
 // where later grants delay earlier ones. Without learning, these are 86 and 57.
 func TestStartsArePredicted(t *testing.T) {
-	easy, busy := calmResult(), crowdedResult()
-	if easy.PredictedPart() < 0.87 || busy.PredictedPart() < 0.595 {
-		t.Errorf("%.3f of the starts were predicted at low load, %.3f at high load", easy.PredictedPart(), busy.PredictedPart())
+	lowLoad, highLoad := calmResult(), crowdedResult()
+	if lowLoad.PredictedPart() < 0.87 || highLoad.PredictedPart() < 0.595 {
+		t.Errorf("%.3f of the starts were predicted at low load, %.3f at high load", lowLoad.PredictedPart(), highLoad.PredictedPart())
 	}
 }
 
@@ -168,10 +168,10 @@
 // TestHotWorkspace has one workspace send eight times as much. The worst served of the
 // others has 59 of 100 requests in time; without shares, 45.
 func TestHotWorkspace(t *testing.T) {
-	shared := crowdedResult()
-	none := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoShares = true }))
-	if shared.worstInTimeRatio() < 0.55 || shared.worstInTimeRatio() < none.worstInTimeRatio()+0.08 {
-		t.Errorf("worst served: %.3f in time, %.3f without shares", shared.worstInTimeRatio(), none.worstInTimeRatio())
+	withShares := crowdedResult()
+	withoutShares := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoShares = true }))
+	if withShares.worstInTimeRatio() < 0.55 || withShares.worstInTimeRatio() < withoutShares.worstInTimeRatio()+0.08 {
+		t.Errorf("worst served: %.3f in time, %.3f without shares", withShares.worstInTimeRatio(), withoutShares.worstInTimeRatio())
 	}
 }
 
@@ -179,10 +179,10 @@
 // are served last, as they are late in any case. Served like new requests, they reduce
 // the requests in time by one in twenty of all (48 instead of 52 of 100).
 func TestReturningRequestsGoLast(t *testing.T) {
-	last := crowdedResult()
+	servedLast := crowdedResult()
 	servedAlike := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoReturning = true }))
-	if last.InTimePart() < servedAlike.InTimePart()+0.03 {
-		t.Errorf("%.3f in time, %.3f if returning requests are served like new ones", last.InTimePart(), servedAlike.InTimePart())
+	if servedLast.InTimePart() < servedAlike.InTimePart()+0.03 {
+		t.Errorf("%.3f in time, %.3f if returning requests are served like new ones", servedLast.InTimePart(), servedAlike.InTimePart())
 	}
 }
 
--- a/control/loadtest/world.go
+++ b/control/loadtest/world.go
@@ -206,11 +206,11 @@
 	for i := range s.pattern.Engines {
 		name := "e" + strconv.Itoa(i)
 		d.Targets[name] = config.Target{Pool: pool, DataCentre: "d", Slots: s.pattern.Engine.Slots}
-		pace := 1.0
+		slowdown := 1.0
 		if s.pattern.SlowEvery > 0 && i%s.pattern.SlowEvery == s.pattern.SlowEvery-1 {
-			pace = s.pattern.SlowPace
+			slowdown = s.pattern.SlowPace
 		}
-		s.engines[name] = &engine{spec: s.pattern.Engine, name: name, slowdown: pace, sim: s, kept: newKeptLRU()}
+		s.engines[name] = &engine{spec: s.pattern.Engine, name: name, slowdown: slowdown, sim: s, kept: newKeptLRU()}
 	}
 	return d
 }
--- a/control/sched/engine_test.go
+++ b/control/sched/engine_test.go
@@ -132,9 +132,9 @@
 // TestSlowdownIsLearnedPerTarget checks that a target which is slower than the others of
 // its pool is predicted as slow, and that the others are not.
 func TestSlowdownIsLearnedPerTarget(t *testing.T) {
-	reading := NewReading(0, 2)
-	slow := NewEngine(EngineOptions{Slots: 64, Reading: reading})
-	usual := NewEngine(EngineOptions{Slots: 64, Reading: reading})
+	model := NewReading(0, 2)
+	slow := NewEngine(EngineOptions{Slots: 64, Reading: model})
+	usual := NewEngine(EngineOptions{Slots: 64, Reading: model})
 	now := time.Duration(0)
 	for n := range 600 {
 		for e, factor := range map[*Engine]float64{slow: 2, usual: 1} {
@@ -186,11 +186,11 @@
 // registered, so that starts on a cold fleet were predicted to take a sixth of their
 // real time.
 func TestInitialRateFollowsTargetCount(t *testing.T) {
-	reading := NewReading(190_000, 1)
+	model := NewReading(190_000, 1)
 	for targets := 2; targets <= 9; targets++ {
-		reading.Declare(190_000, targets)
+		model.Declare(190_000, targets)
 	}
-	if rate := reading.Rate(); rate < 40_000 || rate > 45_000 {
+	if rate := model.Rate(); rate < 40_000 || rate > 45_000 {
 		t.Errorf("%.0f tokens per second for each of nine targets with a total of 190,000", rate)
 	}
 }
--- a/control/sched/gap.go
+++ b/control/sched/gap.go
@@ -11,7 +11,7 @@
 // requests were refused. Amounts are averages per second over demandTimeConstant.
 type Gap struct {
 	Workspace string
-	// Asked is the amount that its requests asked for here, and Unread an estimate of
+	// Demand is the amount that its requests asked for here, and Unread an estimate of
 	// the amount of those that routers refused before reading them.
 	Asked, Unread, Granted float64
 	// RefusedHere is set if requests were refused here within refusalWindow.
--- a/control/sched/shares.go
+++ b/control/sched/shares.go
@@ -77,8 +77,8 @@
 // Level returns the share per second of each workspace whose demand exceeds it.
 func (s *Shares) Level() float64 { return s.level }
 
-// Request records a request and reports whether it is within its workspace's share.
-// Requests within the share use it up.
+// Take records a request and reports whether it is within its workspace's share. If it
+// is, the amount is taken from the share.
 func (s *Shares) Ask(now time.Duration, workspace string, amount float64) bool {
 	if s.capacityPerSecond <= 0 {
 		return true
--- a/control/sched/window_test.go
+++ b/control/sched/window_test.go
@@ -42,15 +42,15 @@
 func TestWindowLeavesRoomForAnotherScheduler(t *testing.T) {
 	w := NewWindow(0, 4)
 	w.Reported(time.Second, 3, 0, 4)
-	if room := w.Room(time.Second); room != 1 {
-		t.Errorf("%d free beside three foreign runs in four slots", room)
+	if free := w.Room(time.Second); free != 1 {
+		t.Errorf("%d free beside three foreign runs in four slots", free)
 	}
 	w.Adopted(time.Second)
-	if room := w.Room(time.Second); room != 1 {
-		t.Errorf("%d free after one of them was adopted", room)
+	if free := w.Room(time.Second); free != 1 {
+		t.Errorf("%d free after one of them was adopted", free)
 	}
-	if room := w.Room(time.Second + foreignTimeout); room != 3 {
-		t.Errorf("%d free after the report expired", room)
+	if free := w.Room(time.Second + foreignTimeout); free != 3 {
+		t.Errorf("%d free after the report expired", free)
 	}
 }
 
@@ -64,8 +64,8 @@
 		w.Ended(2*time.Second, time.Second, 0)
 	}
 	w.Reported(2100*time.Millisecond, 4, 0, 4) // sent before the runs ended
-	if room := w.Room(2100 * time.Millisecond); room != 4 {
-		t.Errorf("%d free after a late report", room)
+	if free := w.Room(2100 * time.Millisecond); free != 4 {
+		t.Errorf("%d free after a late report", free)
 	}
 }
 
@@ -77,8 +77,8 @@
 		w.Granted(now)
 		w.Ended(now, 20*time.Millisecond, 2*time.Millisecond)
 	}
-	if room := w.Room(2 * time.Second); room != 9 {
-		t.Errorf("%d free for 8 slots with an overhead of a tenth of a run", room)
+	if free := w.Room(2 * time.Second); free != 9 {
+		t.Errorf("%d free for 8 slots with an overhead of a tenth of a run", free)
 	}
 }
 
