--- a/control/sched/shares_test.go
+++ b/control/sched/shares_test.go
@@ -99,15 +99,15 @@
 // neither may be served less than half of the other, which is what callers are promised.
 func TestRisingDemandGainsNoCredit(t *testing.T) {
 	const (
-		step     = 10 * time.Millisecond
-		turnsHot = 6 * time.Second
-		length   = 6 * time.Second
-		each     = 10.0
+		step          = 10 * time.Millisecond
+		demandRisesAt = 6 * time.Second
+		length        = 6 * time.Second
+		amount        = 10.0
 		// spare is the capacity per second beyond the shares, and rest what remains of
 		// it after crashAt.
 		spare   = 1000.0
 		rest    = 250.0
-		crashAt = turnsHot + time.Second
+		crashAt = demandRisesAt + time.Second
 		// yieldPart is the default of the policy, and promised the least fraction of the
 		// other's service.
 		yieldPart = 0.7
@@ -115,28 +115,28 @@
 	)
 	s := NewShares(100)
 	served := map[string]float64{}
-	ask := func(now time.Duration, workspace string, left *float64) {
-		if s.Yields(now, workspace, yieldPart) || *left < each {
+	request := func(now time.Duration, workspace string, left *float64) {
+		if s.Yields(now, workspace, yieldPart) || *left < amount {
 			s.Refused(now, workspace)
 			return
 		}
-		*left -= each
-		s.Served(now, workspace, each)
-		if now >= turnsHot {
-			served[workspace] += each
+		*left -= amount
+		s.Served(now, workspace, amount)
+		if now >= demandRisesAt {
+			served[workspace] += amount
 		}
 	}
 	left := 0.0
-	for now := time.Duration(0); now < turnsHot+length; now += step {
+	for now := time.Duration(0); now < demandRisesAt+length; now += step {
 		perSecond := spare
 		if now >= crashAt {
 			perSecond = rest
 		}
-		left = min(left+perSecond*step.Seconds(), 2*each)
+		left = min(left+perSecond*step.Seconds(), 2*amount)
 		for turn := range 6 {
 			// Neither workspace comes first more often than the other.
-			if workspace := [2]string{"first", "second"}[(turn+int(now/step))%2]; workspace == "first" || now >= turnsHot {
-				ask(now, workspace, &left)
+			if workspace := [2]string{"first", "second"}[(turn+int(now/step))%2]; workspace == "first" || now >= demandRisesAt {
+				request(now, workspace, &left)
 			}
 		}
 	}
@@ -178,7 +178,7 @@
 		if s.Yields(now, "by one", 0.7) {
 			t.Errorf("%s: the refused workspace yields", c.name)
 		}
-		// From here on only the first workspace sends requests.
+		// From here on only the workspace that uses all routers sends requests.
 		for end := now + 5*time.Second; now < end; now += 10 * time.Millisecond {
 			s.Ask(now, "by all", 10)
 			s.Served(now, "by all", 10)
@@ -213,26 +213,26 @@
 // behindShareRatio of its share.
 func TestRefundedShareIsUsed(t *testing.T) {
 	const (
-		capacity, demand, each = 1000.0, 5000.0, 10.0
-		seconds                = 30
-		step                   = 2 * time.Millisecond // the time between two requests of each workspace
+		capacity, demand, amount = 1000.0, 5000.0, 10.0
+		seconds                  = 30
+		step                     = 2 * time.Millisecond // the time between two requests of each workspace
 	)
 	s := NewShares(capacity)
 	served := map[string]float64{}
 	serve := func(now time.Duration, workspace string) {
-		served[workspace] += each
-		s.Served(now, workspace, each)
+		served[workspace] += amount
+		s.Served(now, workspace, amount)
 	}
 	tries := 0
 	for now := time.Duration(0); now < seconds*time.Second; now += step {
-		if s.Ask(now, "placed", each) {
+		if s.Ask(now, "placed", amount) {
 			serve(now, "placed")
 		}
-		if !s.Ask(now, "crowded", each) {
+		if !s.Ask(now, "crowded", amount) {
 			continue
 		}
 		if tries++; tries%4 != 0 {
-			s.Return(now, "crowded", each)
+			s.Return(now, "crowded", amount)
 			continue
 		}
 		serve(now, "crowded")
