--- a/bench/capacity/owners.go
+++ b/bench/capacity/owners.go
@@ -52,7 +52,7 @@
 	for _, m := range s.members() {
 		listed = append(listed, member.Listed{Name: string(m.Node), DataCentre: m.DataCentre})
 	}
-	view.List(now, listed)
+	view.ApplyList(now, listed)
 	for other := range s.nodes {
 		if other != n {
 			view.Heard(now, string(nodeName(other)), 1)
--- a/control/accounting.go
+++ b/control/accounting.go
@@ -106,7 +106,7 @@
 
 // isOnlyScheduler reports whether no other node gives service.
 func (m *Machine) isOnlyScheduler() bool {
-	return m.opts.Policy == PolicyAlone || m.view.Others() == 0
+	return m.opts.Policy == PolicyAlone || m.view.AliveOthers() == 0
 }
 
 // commitLift makes a flow's lift, by which its level was raised when it began to wait, part
@@ -171,7 +171,7 @@
 		return
 	}
 	m.exchange.nextReportAt = m.now + m.exchangeEvery()
-	if m.opts.Policy == PolicyAlone || m.view.Others() == 0 {
+	if m.opts.Policy == PolicyAlone || m.view.AliveOthers() == 0 {
 		m.dropIdleWorkspaces()
 		return
 	}
@@ -196,7 +196,7 @@
 	if m.opts.ExchangeEvery > 0 {
 		return m.opts.ExchangeEvery
 	}
-	return min(max(time.Duration(m.view.Others()+1)*exchangePerNode, minExchangeInterval), maxExchangeInterval)
+	return min(max(time.Duration(m.view.AliveOthers()+1)*exchangePerNode, minExchangeInterval), maxExchangeInterval)
 }
 
 // dropIdleWorkspaces removes the workspaces with nothing waiting or running from the active
@@ -328,7 +328,7 @@
 		flow.TakeLift()
 		return
 	}
-	flow.Relift(m.startCredit(w))
+	flow.ResetLift(m.startCredit(w))
 	m.commitLift(w, flow)
 }
 
--- a/control/cold.go
+++ b/control/cold.go
@@ -129,7 +129,7 @@
 // The limit is scaled by the fraction of known nodes that are live: in a network partition, the
 // other side grants as well.
 func (m *Machine) coldGrantLimit(pool config.Pool) int {
-	live := float64(m.view.Others() + 1)
+	live := float64(m.view.AliveOthers() + 1)
 	known := max(live, float64(m.view.Known()+1))
 	perSecond := pool.ColdPerSecond*m.opts.ColdOvershoot + m.opts.ColdSlack
 	return int(coldGrantFraction * perSecond * live / known)
--- a/control/deferred.go
+++ b/control/deferred.go
@@ -78,7 +78,7 @@
 	var sum time.Duration
 	known := 0
 	for _, t := range s.targets {
-		if service := t.window.Service(); service > 0 {
+		if service := t.window.MeanService(); service > 0 {
 			sum += service
 			known++
 		}
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -36,19 +36,19 @@
 // message is of an incarnation that has ended.
 func (m *Machine) acceptSender(node NodeID, inc Incarnation) bool {
 	sign := m.view.Heard(m.now, string(node), uint64(inc))
-	if sign == member.SignRestarted {
+	if sign == member.SenderRestarted {
 		m.dropRestarted(node, inc)
 		m.reclaimNode(node, inc)
 		m.exchange.totals.Forget(string(node), uint64(inc))
 		m.resendTo(node)
 	}
-	if sign == member.SignRestarted || sign == member.SignBack {
+	if sign == member.SenderRestarted || sign == member.SenderBack {
 		m.send(node, m.heartbeat())
 		if m.view.Watches(string(node)) {
 			m.sendEvidence(node)
 		}
 	}
-	return sign != member.SignStale
+	return sign != member.SenderStale
 }
 
 func (m *Machine) heartbeat() Heartbeat {
@@ -62,7 +62,7 @@
 }
 
 func (m *Machine) heartbeatReceived(from NodeID, msg Heartbeat) {
-	m.view.Beat(m.now, string(from), msg.Leaving)
+	m.view.HeartbeatReceived(m.now, string(from), msg.Leaving)
 	if old, known := m.fleet.epochs[from]; known && old != msg.Incarnation {
 		m.resendTo(from)
 	}
@@ -86,7 +86,7 @@
 
 func (m *Machine) suspectNoticeReceived(from NodeID, msg SuspectNotice) {
 	if msg.Node == m.opts.Node {
-		m.view.Missed(m.now, string(from))
+		m.view.MissedBy(m.now, string(from))
 		m.broadcast(m.heartbeat())
 		return
 	}
@@ -109,7 +109,7 @@
 	for _, l := range ev.Members {
 		listed = append(listed, member.Listed{Name: string(l.Node), DataCentre: l.DataCentre, Leaving: l.Leaving, Cores: l.Cores})
 	}
-	for _, name := range m.view.List(m.now, listed) {
+	for _, name := range m.view.ApplyList(m.now, listed) {
 		m.send(NodeID(name), m.heartbeat())
 	}
 }
--- a/control/gap_test.go
+++ b/control/gap_test.go
@@ -13,9 +13,9 @@
 	reported := 0
 	for range 20 {
 		f.now += 100 * time.Millisecond
-		s.shares.Ask(f.now, "a", 1)
+		s.shares.Take(f.now, "a", 1)
 		s.shares.Served(f.now, "a", 1)
-		s.shares.Ask(f.now, "b", 0.1)
+		s.shares.Take(f.now, "b", 0.1)
 		s.shares.Served(f.now, "b", 0.1)
 		for _, command := range f.step(RequestsRefusedUnread{Pool: "gen", Workspace: "b", Count: 9}) {
 			gap, ok := command.(ShareGap)
--- a/control/grants.go
+++ b/control/grants.go
@@ -134,7 +134,7 @@
 		if !m.hasRoomFor(c, t) {
 			continue
 		}
-		if fill := t.window.Fill(m.now); best == nil || fill < bestFill {
+		if fill := t.window.Utilisation(m.now); best == nil || fill < bestFill {
 			best, bestFill = t, fill
 		}
 	}
@@ -142,7 +142,7 @@
 		return best
 	}
 	for _, t := range c.targets {
-		if t.prefixes.has(prefix) && m.hasRoomFor(c, t) && t.window.Fill(m.now) < bestFill+equalFillMargin {
+		if t.prefixes.has(prefix) && m.hasRoomFor(c, t) && t.window.Utilisation(m.now) < bestFill+equalFillMargin {
 			return t
 		}
 	}
--- a/control/loadtest/engine.go
+++ b/control/loadtest/engine.go
@@ -11,21 +11,21 @@
 type EngineSpec struct {
 	// Slots is the number of requests that run at once, and MemoryTokens the memory, in
 	// tokens, for prompts, answers and kept parts together.
-	Slots  int
-	Memory int
+	Slots        int
+	MemoryTokens int
 	// StepTime is the time of a step that reads nothing, and StepPerRun the time added
 	// by each run.
-	Step, StepEach time.Duration
+	StepTime, StepPerRun time.Duration
 	// PerToken is the time to read one token, and PerPair the time to compare it with
 	// one token before it.
-	Token, Pair time.Duration
+	PerToken, PerPair time.Duration
 	// ChunkTokens is how many tokens are read in one step.
-	Chunk int
+	ChunkTokens int
 	// FirstEventDelay is the time from the end of reading to the first event.
-	First time.Duration
+	FirstEventDelay time.Duration
 	// ReportInterval is the period of the reports of kept parts, and ReportLag their
 	// delay.
-	TellEvery, TellLag time.Duration
+	ReportInterval, ReportLag time.Duration
 }
 
 // engine reads prompts in order of arrival, one chunk per step, and generates one token
@@ -106,12 +106,12 @@
 		e.busy = false
 		return
 	}
-	took := e.spec.Step + time.Duration(len(e.running))*e.spec.StepEach
+	took := e.spec.StepTime + time.Duration(len(e.running))*e.spec.StepPerRun
 	var read []*run
-	for budget := e.spec.Chunk; budget > 0 && len(e.waiting) > 0 && len(e.running)+len(read) < e.spec.Slots; {
+	for budget := e.spec.ChunkTokens; budget > 0 && len(e.waiting) > 0 && len(e.running)+len(read) < e.spec.Slots; {
 		r := e.waiting[0]
 		tokens := min(budget, r.unreadTokens)
-		took += time.Duration(tokens)*e.spec.Token + time.Duration(tokens*(r.position+tokens/2))*e.spec.Pair
+		took += time.Duration(tokens)*e.spec.PerToken + time.Duration(tokens*(r.position+tokens/2))*e.spec.PerPair
 		r.unreadTokens -= tokens
 		r.position += tokens
 		budget -= tokens
@@ -137,7 +137,7 @@
 	}
 	e.running = append(stillRunning, read...)
 	for _, r := range read {
-		e.sim.after(e.spec.First, func() { e.sim.firstEvent(r) })
+		e.sim.after(e.spec.FirstEventDelay, func() { e.sim.firstEvent(r) })
 	}
 	e.step()
 }
@@ -155,15 +155,15 @@
 	for _, part := range r.work.Parts {
 		e.kept.add(part)
 	}
-	e.kept.shrink(e.spec.Memory - e.memoryHeld)
+	e.kept.shrink(e.spec.MemoryTokens - e.memoryHeld)
 	e.sim.runEnded(r)
 }
 
 // reportKept reports the kept parts once every ReportInterval.
 func (e *engine) reportKept() {
 	parts := e.kept.list()
-	e.sim.after(e.spec.TellLag, func() { e.sim.keptReported(e.name, parts) })
-	e.sim.after(e.spec.TellEvery, e.reportKept)
+	e.sim.after(e.spec.ReportLag, func() { e.sim.keptReported(e.name, parts) })
+	e.sim.after(e.spec.ReportInterval, e.reportKept)
 }
 
 // keptLRU holds prompt parts in a list, least recently used last.
--- a/control/loadtest/loadtest_test.go
+++ b/control/loadtest/loadtest_test.go
@@ -18,15 +18,15 @@
 	return Pattern{
 		Name: "small memory", Routers: 4, Engines: 9, Workspaces: 16,
 		Engine: EngineSpec{
-			Slots: 96, Memory: 183_000, Step: 4730 * time.Microsecond, StepEach: 14 * time.Microsecond,
-			Token: 26 * time.Microsecond, Pair: time.Nanosecond, Chunk: 1024, First: 40 * time.Millisecond,
-			TellEvery: time.Second, TellLag: 200 * time.Millisecond,
+			Slots: 96, MemoryTokens: 183_000, StepTime: 4730 * time.Microsecond, StepPerRun: 14 * time.Microsecond,
+			PerToken: 26 * time.Microsecond, PerPair: time.Nanosecond, ChunkTokens: 1024, FirstEventDelay: 40 * time.Millisecond,
+			ReportInterval: time.Second, ReportLag: 200 * time.Millisecond,
 		},
-		SlowEvery: 3, SlowPace: 1.3, PerSecond: 190_000, FetchedPerSecond: 1_000_000,
+		SlowEvery: 3, SlowFactor: 1.3, PerSecond: 190_000, FetchedPerSecond: 1_000_000,
 		Kinds: []Kind{
-			{Name: "summary", PerSecond: 28, Groups: 4, Things: 52, GroupTokens: 2520, ThingTokens: 3780, OwnTokens: 2890, OutputTokens: 52, Objective: 800 * time.Millisecond, Timeout: 6 * time.Second},
-			{Name: "letter", PerSecond: 38, Groups: 8, Things: 161, GroupTokens: 341, ThingTokens: 227, OwnTokens: 1800, OutputTokens: 24, Objective: 500 * time.Millisecond, Timeout: 4 * time.Second},
-			{Name: "reply", PerSecond: 42, Groups: 40, Things: 79, GroupTokens: 103, ThingTokens: 69, OwnTokens: 543, OutputTokens: 280, Objective: 400 * time.Millisecond, Timeout: 15 * time.Second},
+			{Name: "summary", PerSecond: 28, Groups: 4, Items: 52, GroupTokens: 2520, ItemTokens: 3780, OwnTokens: 2890, OutputTokens: 52, Objective: 800 * time.Millisecond, Timeout: 6 * time.Second},
+			{Name: "letter", PerSecond: 38, Groups: 8, Items: 161, GroupTokens: 341, ItemTokens: 227, OwnTokens: 1800, OutputTokens: 24, Objective: 500 * time.Millisecond, Timeout: 4 * time.Second},
+			{Name: "reply", PerSecond: 42, Groups: 40, Items: 79, GroupTokens: 103, ItemTokens: 69, OwnTokens: 543, OutputTokens: 280, Objective: 400 * time.Millisecond, Timeout: 15 * time.Second},
 		},
 		Length: 20 * time.Second,
 	}
@@ -38,10 +38,10 @@
 	var results [4]Result
 	var running sync.WaitGroup
 	for i := range results {
-		running.Go(func() { results[i] = Play(pattern, weights, uint64(i)+1) })
+		running.Go(func() { results[i] = Simulate(pattern, weights, uint64(i)+1) })
 	}
 	running.Wait()
-	sum := Result{Workspaces: make(map[string]Served)}
+	sum := Result{Workspaces: make(map[string]WorkspaceResult)}
 	for i := range results {
 		sum.add(&results[i])
 	}
@@ -55,20 +55,20 @@
 var calmResult = sync.OnceValue(func() Result { return simulateSeeds(calm(), policy.Default()) })
 
 func (r *Result) add(other *Result) {
-	r.Asked += other.Asked
+	r.Requests += other.Requests
 	r.InTime += other.InTime
 	r.Late += other.Late
 	r.Refusals += other.Refusals
-	r.Reads += other.Reads
-	r.ReadsAgain += other.ReadsAgain
-	r.Fetched += other.Fetched
+	r.TokensRead += other.TokensRead
+	r.TokensReread += other.TokensReread
+	r.TokensFetched += other.TokensFetched
 	r.Starts += other.Starts
 	r.Predicted += other.Predicted
 	r.EarlyLate += other.EarlyLate
 	r.ReturnLate += other.ReturnLate
 	for name, served := range other.Workspaces {
 		before := r.Workspaces[name]
-		r.Workspaces[name] = Served{Asked: before.Asked + served.Asked, InTime: before.InTime + served.InTime}
+		r.Workspaces[name] = WorkspaceResult{Requests: before.Requests + served.Requests, InTime: before.InTime + served.InTime}
 	}
 }
 
@@ -94,7 +94,7 @@
 	lowest := 1.0
 	for name, served := range r.Workspaces {
 		if name != workspaceName(0) {
-			lowest = min(lowest, float64(served.InTime)/float64(served.Asked))
+			lowest = min(lowest, float64(served.InTime)/float64(served.Requests))
 		}
 	}
 	return lowest
@@ -107,14 +107,14 @@
 func crowded() Pattern {
 	p := smallMemory().scaled(1.3)
 	p.Name = "hot workspace"
-	p.HotTimes, p.HotFrom, p.HotTo = 8, 4*time.Second, 14*time.Second
+	p.HotFactor, p.HotFrom, p.HotTo = 8, 4*time.Second, 14*time.Second
 	return p
 }
 
 // TestSameSeedGivesSameResult checks that simulations are reproducible.
 func TestSameSeedGivesSameResult(t *testing.T) {
 	for seed := range uint64(3) {
-		one, two := Play(crowded(), policy.Default(), seed), Play(crowded(), policy.Default(), seed)
+		one, two := Simulate(crowded(), policy.Default(), seed), Simulate(crowded(), policy.Default(), seed)
 		if !reflect.DeepEqual(one, two) {
 			t.Errorf("seed %d:\n%+v\n%+v", seed, one, two)
 		}
@@ -132,8 +132,8 @@
 		t.Errorf("%d late of the first second", highLoad.EarlyLate)
 	}
 	lowLoad := calmResult()
-	if lowLoad.Late > 20 || lowLoad.InTimePart() < 0.98 {
-		t.Errorf("calm: %d late, %.3f in time", lowLoad.Late, lowLoad.InTimePart())
+	if lowLoad.Late > 20 || lowLoad.InTimeRatio() < 0.98 {
+		t.Errorf("calm: %d late, %.3f in time", lowLoad.Late, lowLoad.InTimeRatio())
 	}
 }
 
@@ -142,8 +142,8 @@
 // where later grants delay earlier ones. Without learning, these are 86 and 57.
 func TestStartsArePredicted(t *testing.T) {
 	lowLoad, highLoad := calmResult(), crowdedResult()
-	if lowLoad.PredictedPart() < 0.87 || highLoad.PredictedPart() < 0.595 {
-		t.Errorf("%.3f of the starts were predicted at low load, %.3f at high load", lowLoad.PredictedPart(), highLoad.PredictedPart())
+	if lowLoad.PredictedRatio() < 0.87 || highLoad.PredictedRatio() < 0.595 {
+		t.Errorf("%.3f of the starts were predicted at low load, %.3f at high load", lowLoad.PredictedRatio(), highLoad.PredictedRatio())
 	}
 }
 
@@ -155,13 +155,13 @@
 	kept := crowdedResult()
 	withoutFetch := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoFetch = true }))
 	withoutKept := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoKept = true }))
-	if float64(kept.ReadsAgain) > 0.7*float64(withoutFetch.ReadsAgain) || kept.InTimePart() < withoutFetch.InTimePart()+0.03 {
+	if float64(kept.TokensReread) > 0.7*float64(withoutFetch.TokensReread) || kept.InTimeRatio() < withoutFetch.InTimeRatio()+0.03 {
 		t.Errorf("%d tokens read again and %.3f in time, %d and %.3f without fetches",
-			kept.ReadsAgain, kept.InTimePart(), withoutFetch.ReadsAgain, withoutFetch.InTimePart())
+			kept.TokensReread, kept.InTimeRatio(), withoutFetch.TokensReread, withoutFetch.InTimeRatio())
 	}
-	if float64(kept.ReadsAgain) > 0.55*float64(withoutKept.ReadsAgain) || kept.InTimePart() < withoutKept.InTimePart()+0.06 {
+	if float64(kept.TokensReread) > 0.55*float64(withoutKept.TokensReread) || kept.InTimeRatio() < withoutKept.InTimeRatio()+0.06 {
 		t.Errorf("%d tokens read again and %.3f in time, %d and %.3f without regard to what is kept",
-			kept.ReadsAgain, kept.InTimePart(), withoutKept.ReadsAgain, withoutKept.InTimePart())
+			kept.TokensReread, kept.InTimeRatio(), withoutKept.TokensReread, withoutKept.InTimeRatio())
 	}
 }
 
@@ -181,8 +181,8 @@
 func TestReturningRequestsGoLast(t *testing.T) {
 	servedLast := crowdedResult()
 	servedAlike := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoReturning = true }))
-	if servedLast.InTimePart() < servedAlike.InTimePart()+0.03 {
-		t.Errorf("%.3f in time, %.3f if returning requests are served like new ones", servedLast.InTimePart(), servedAlike.InTimePart())
+	if servedLast.InTimeRatio() < servedAlike.InTimeRatio()+0.03 {
+		t.Errorf("%.3f in time, %.3f if returning requests are served like new ones", servedLast.InTimeRatio(), servedAlike.InTimeRatio())
 	}
 }
 
@@ -192,8 +192,8 @@
 	p := calm()
 	p.PowerLossAt, p.PowerLossFor = 8*time.Second, 700*time.Millisecond
 	played := simulateSeeds(p, policy.Default())
-	if played.ReturnLate > 5 || played.InTimePart() < 0.93 {
-		t.Errorf("%d late in the second after the routers return, %.3f in time", played.ReturnLate, played.InTimePart())
+	if played.ReturnLate > 5 || played.InTimeRatio() < 0.93 {
+		t.Errorf("%d late in the second after the routers return, %.3f in time", played.ReturnLate, played.InTimeRatio())
 	}
 }
 
@@ -204,7 +204,7 @@
 func stallPattern(lasts time.Duration) Pattern {
 	p := smallMemory().scaled(15)
 	p.Name = "stall of the scheduler"
-	p.Routers, p.Workspaces, p.ByOne = 24, 2, true
+	p.Routers, p.Workspaces, p.SingleRouter = 24, 2, true
 	p.StallAt, p.StallFor = 4*time.Second, lasts
 	p.Length = p.StallAt + stallWindow
 	return p
@@ -216,11 +216,11 @@
 	const promised = 0.5
 	for _, lasts := range []time.Duration{0, 400 * time.Millisecond} {
 		for seed := range uint64(2) {
-			got := Play(stallPattern(lasts), policy.Default(), seed+1).Workspaces
+			got := Simulate(stallPattern(lasts), policy.Default(), seed+1).Workspaces
 			all, one := got[workspaceName(0)], got[workspaceName(1)]
-			t.Logf("stall of %s: %d tokens through all routers, %d through one; %d and %d requests in time", lasts, all.AfterStall, one.AfterStall, all.InTime, one.InTime)
-			if float64(min(all.AfterStall, one.AfterStall)) < promised*float64(max(all.AfterStall, one.AfterStall)) {
-				t.Errorf("stall of %s, seed %d: %d tokens through all routers, %d through one", lasts, seed+1, all.AfterStall, one.AfterStall)
+			t.Logf("stall of %s: %d tokens through all routers, %d through one; %d and %d requests in time", lasts, all.TokensAfterStall, one.TokensAfterStall, all.InTime, one.InTime)
+			if float64(min(all.TokensAfterStall, one.TokensAfterStall)) < promised*float64(max(all.TokensAfterStall, one.TokensAfterStall)) {
+				t.Errorf("stall of %s, seed %d: %d tokens through all routers, %d through one", lasts, seed+1, all.TokensAfterStall, one.TokensAfterStall)
 			}
 		}
 	}
@@ -233,7 +233,7 @@
 	p := smallMemory().scaled(4)
 	p.Name = "crowded entry"
 	p.Routers, p.Workspaces = 24, workspaces
-	p.ByOne, p.Unread = true, 0.9
+	p.SingleRouter, p.UnreadRatio = true, 0.9
 	p.StallAt = 4 * time.Second
 	p.Length = p.StallAt + stallWindow
 	return p
@@ -245,12 +245,12 @@
 	const promised = 0.5
 	for _, workspaces := range []int{2, 8, 24} {
 		for seed := range uint64(3) {
-			got := Play(crowdedEntryPattern(workspaces), policy.Default(), seed+1).Workspaces
+			got := Simulate(crowdedEntryPattern(workspaces), policy.Default(), seed+1).Workspaces
 			best := 0
 			for _, served := range got {
-				best = max(best, served.AfterStall)
+				best = max(best, served.TokensAfterStall)
 			}
-			crowded := got[workspaceName(1)].AfterStall
+			crowded := got[workspaceName(1)].TokensAfterStall
 			t.Logf("%d workspaces: %d tokens through the crowded router, %d at most", workspaces, crowded, best)
 			if float64(crowded) < promised*float64(best) {
 				t.Errorf("%d workspaces, seed %d: %d tokens through the crowded router, %d at most", workspaces, seed+1, crowded, best)
@@ -266,7 +266,7 @@
 	p := smallMemory().scaled(12)
 	p.Name = "crash"
 	p.Engines, p.PerSecond = 4*p.Engines, 4*p.PerSecond
-	p.Routers, p.Workspaces, p.ByOne = 24, 8, true
+	p.Routers, p.Workspaces, p.SingleRouter = 24, 8, true
 	p.StallAt, p.StallFor = 4*time.Second, stalls
 	p.CrashEvery, p.CrashFor = 4, 2*time.Second
 	p.Length = p.StallAt + stallWindow
@@ -279,13 +279,13 @@
 	const promised = 0.5
 	for _, stalls := range []time.Duration{0, 400 * time.Millisecond} {
 		for seed := range uint64(2) {
-			played := Play(crashPattern(stalls), policy.Default(), seed+1)
+			played := Simulate(crashPattern(stalls), policy.Default(), seed+1)
 			least, most, again := math.MaxInt, 0, 0
 			for _, served := range played.Workspaces {
-				least, most = min(least, served.AfterStall), max(most, served.AfterStall)
-				again += served.Again
+				least, most = min(least, served.TokensAfterStall), max(most, served.TokensAfterStall)
+				again += served.TokensResent
 			}
-			t.Logf("stall of %s: %d to %d tokens per workspace, %d in total sent again; %d of %d in time", stalls, least, most, again, played.InTime, played.Asked)
+			t.Logf("stall of %s: %d to %d tokens per workspace, %d in total sent again; %d of %d in time", stalls, least, most, again, played.InTime, played.Requests)
 			if float64(least) < promised*float64(most) {
 				t.Errorf("stall of %s, seed %d: %d to %d tokens per workspace", stalls, seed+1, least, most)
 			}
--- a/control/loadtest/pattern.go
+++ b/control/loadtest/pattern.go
@@ -15,13 +15,13 @@
 	Routers, Engines, Workspaces int
 	Engine                       EngineSpec
 	// SlowEvery makes every SlowEvery-th engine slower by SlowFactor; 0 means none.
-	SlowEvery int
-	SlowPace  float64
+	SlowEvery  int
+	SlowFactor float64
 	// PerSecond and FetchedPerSecond are declared for the pool, in tokens per second.
 	PerSecond, FetchedPerSecond float64
 	Kinds                       []Kind
 	// The first workspace sends HotFactor times its load from HotFrom to HotTo.
-	HotTimes       float64
+	HotFactor      float64
 	HotFrom, HotTo time.Duration
 	// PowerLossAt is when all routers stop at once, for PowerLossFor; 0 means never.
 	PowerLossAt, PowerLossFor time.Duration
@@ -33,11 +33,11 @@
 	CrashEvery int
 	CrashFor   time.Duration
 	// SingleRouter makes all callers of the second workspace use one router.
-	ByOne bool
+	SingleRouter bool
 	// UnreadRatio is the fraction of these callers' first tries that this router refuses
 	// before reading them, as if it had no processor time. They are sent again through
 	// any router.
-	Unread float64
+	UnreadRatio float64
 	// Length is the duration of arrivals.
 	Length time.Duration
 }
@@ -48,8 +48,8 @@
 	PerSecond float64
 	// Groups and Items are how many different parts there are on each of the two levels
 	// that requests share, and GroupTokens and ItemTokens their lengths.
-	Groups, Things           int
-	GroupTokens, ThingTokens int
+	Groups, Items           int
+	GroupTokens, ItemTokens int
 	// OwnTokens and OutputTokens are mean lengths.
 	OwnTokens, OutputTokens int
 	// Objective is the time to the first event, and Timeout how long callers wait.
@@ -57,14 +57,14 @@
 }
 
 // WorkspaceResult is the outcome of the requests of one workspace.
-type Served struct {
-	Asked, InTime int
+type WorkspaceResult struct {
+	Requests, InTime int
 	// TokensAfterStall is the number of prompt tokens sent to engines in the stallWindow
 	// from StallAt on.
-	AfterStall int
+	TokensAfterStall int
 	// TokensResent is how many of these belong to requests that were sent again after a
 	// crash.
-	Again int
+	TokensResent int
 }
 
 // stallWindow is the time over which no workspace may get less than half of another.
@@ -72,16 +72,16 @@
 
 // Result is the outcome of a simulation.
 type Result struct {
-	Asked, InTime, Late int
+	Requests, InTime, Late int
 	// Refusals counts refused tries, not requests.
 	Refusals int
 	// TokensRead is the number of tokens read, TokensReread those of shared parts that
 	// had been read before, and TokensFetched those that came from another engine.
-	Reads, ReadsAgain, Fetched int
+	TokensRead, TokensReread, TokensFetched int
 	// Starts counts the starts, and Predicted those that were predicted within a quarter
 	// or 30 ms.
 	Starts, Predicted int
-	Workspaces        map[string]Served
+	Workspaces        map[string]WorkspaceResult
 	// EarlyLate counts the late starts of the first second, and ReturnLate those of the
 	// second after a power loss.
 	EarlyLate, ReturnLate int
@@ -119,10 +119,10 @@
 }
 
 // PredictedRatio returns the fraction of the starts that was predicted.
-func (r *Result) PredictedPart() float64 { return float64(r.Predicted) / float64(max(1, r.Starts)) }
+func (r *Result) PredictedRatio() float64 { return float64(r.Predicted) / float64(max(1, r.Starts)) }
 
 // InTimeRatio returns the fraction of the requests that began in time.
-func (r *Result) InTimePart() float64 { return float64(r.InTime) / float64(max(1, r.Asked)) }
+func (r *Result) InTimeRatio() float64 { return float64(r.InTime) / float64(max(1, r.Requests)) }
 
 // scheduleArrival schedules the next request of a kind.
 func (s *simulation) scheduleArrival(kind *Kind) {
@@ -134,7 +134,7 @@
 		count := 1
 		workspace := s.arrivalRNG.IntN(s.pattern.Workspaces)
 		if workspace == 0 && s.now >= s.pattern.HotFrom && s.now < s.pattern.HotTo {
-			count = int(s.pattern.HotTimes)
+			count = int(s.pattern.HotFactor)
 		}
 		for range count {
 			s.arrive(kind, workspaceName(workspace))
@@ -158,20 +158,20 @@
 			index = uint64(i)
 		}
 	}
-	item := s.arrivalRNG.IntN(kind.Things)
-	s.result.Asked++
+	item := s.arrivalRNG.IntN(kind.Items)
+	s.result.Requests++
 	parts := []control.PromptPart{
 		{ID: kindBase*index + groupBase + uint64(item%kind.Groups), Tokens: kind.GroupTokens},
-		{ID: kindBase*index + itemBase + uint64(item), Tokens: kind.ThingTokens},
-		{ID: ownBase + uint64(s.result.Asked), Tokens: s.randomLength(kind.OwnTokens)},
+		{ID: kindBase*index + itemBase + uint64(item), Tokens: kind.ItemTokens},
+		{ID: ownBase + uint64(s.result.Requests), Tokens: s.randomLength(kind.OwnTokens)},
 	}
-	req := &clientRequest{kind: kind, workspace: workspace, sentAt: s.now, fingerprint: uint64(s.result.Asked)}
+	req := &clientRequest{kind: kind, workspace: workspace, sentAt: s.now, fingerprint: uint64(s.result.Requests)}
 	req.work = control.Work{Parts: parts, OutputTokens: s.randomLength(kind.OutputTokens)}
 	for _, part := range parts {
 		req.work.PromptTokens += part.Tokens
 	}
 	served := s.result.Workspaces[workspace]
-	served.Asked++
+	served.Requests++
 	s.result.Workspaces[workspace] = served
 	s.send(req)
 }
@@ -195,9 +195,9 @@
 	}
 	req.tries++
 	via := up[s.routingRNG.IntN(len(up))]
-	if s.pattern.ByOne && req.workspace == workspaceName(1) && (req.tries == 1 || s.pattern.Unread == 0) {
+	if s.pattern.SingleRouter && req.workspace == workspaceName(1) && (req.tries == 1 || s.pattern.UnreadRatio == 0) {
 		via = up[len(up)-1]
-		if s.routingRNG.Float64() < s.pattern.Unread {
+		if s.routingRNG.Float64() < s.pattern.UnreadRatio {
 			s.refuseUnread(via, req)
 			return
 		}
--- a/control/loadtest/world.go
+++ b/control/loadtest/world.go
@@ -131,7 +131,7 @@
 
 // Simulate runs a pattern with a policy and returns the result. The same seed gives the
 // same result.
-func Play(pattern Pattern, weights policy.Tokens, seed uint64) Result {
+func Simulate(pattern Pattern, weights policy.Tokens, seed uint64) Result {
 	s := &simulation{
 		arrivalRNG: rand.New(rand.NewPCG(seed, 7)),
 		routingRNG: rand.New(rand.NewPCG(seed, 8)),
@@ -140,7 +140,7 @@
 		readBefore: make(map[uint64]bool),
 		requests:   make(map[control.RequestID]*clientRequest),
 	}
-	s.result.Workspaces = make(map[string]Served)
+	s.result.Workspaces = make(map[string]WorkspaceResult)
 	s.start(weights, seed)
 	for s.events.Len() > 0 && s.now < pattern.Length+drainTime {
 		next := heap.Pop(&s.events).(event)
@@ -148,8 +148,8 @@
 		next.run()
 	}
 	for _, e := range s.engines {
-		s.result.Reads += e.tokensRead
-		s.result.ReadsAgain += e.tokensReread
+		s.result.TokensRead += e.tokensRead
+		s.result.TokensReread += e.tokensReread
 	}
 	return s.result
 }
@@ -166,7 +166,7 @@
 		s.startRouter(r, weights, seed, declarations)
 	}
 	for _, name := range sortedNames(declarations.Targets) {
-		s.after(time.Duration(s.arrivalRNG.Int64N(int64(s.pattern.Engine.TellEvery))), s.engines[name].reportKept)
+		s.after(time.Duration(s.arrivalRNG.Int64N(int64(s.pattern.Engine.ReportInterval))), s.engines[name].reportKept)
 	}
 	if s.pattern.StallAt > 0 {
 		s.after(s.pattern.StallAt, s.stall)
@@ -188,7 +188,7 @@
 		Pools: map[string]config.Pool{pool: {
 			Kind: config.KindEngine, OneQueue: true,
 			Tokens: &config.TokenWork{
-				PerSecond: s.pattern.PerSecond, MemoryTokens: int64(s.pattern.Engine.Memory), FetchedPerSecond: s.pattern.FetchedPerSecond,
+				PerSecond: s.pattern.PerSecond, MemoryTokens: int64(s.pattern.Engine.MemoryTokens), FetchedPerSecond: s.pattern.FetchedPerSecond,
 			},
 		}},
 		Routes:  make(map[string]config.Route),
@@ -208,7 +208,7 @@
 		d.Targets[name] = config.Target{Pool: pool, DataCentre: "d", Slots: s.pattern.Engine.Slots}
 		slowdown := 1.0
 		if s.pattern.SlowEvery > 0 && i%s.pattern.SlowEvery == s.pattern.SlowEvery-1 {
-			slowdown = s.pattern.SlowPace
+			slowdown = s.pattern.SlowFactor
 		}
 		s.engines[name] = &engine{spec: s.pattern.Engine, name: name, slowdown: slowdown, sim: s, kept: newKeptLRU()}
 	}
@@ -362,9 +362,9 @@
 	r.runs[c.Grant] = started
 	if since := s.now - s.pattern.StallAt; since >= 0 && since < stallWindow {
 		served := s.result.Workspaces[req.workspace]
-		served.AfterStall += req.work.PromptTokens
+		served.TokensAfterStall += req.work.PromptTokens
 		if c.Attempt > 1 {
-			served.Again += req.work.PromptTokens
+			served.TokensResent += req.work.PromptTokens
 		}
 		s.result.Workspaces[req.workspace] = served
 	}
@@ -373,7 +373,7 @@
 		started.fetched = max(0, from.keptTokens(req.work)-e.keptTokens(req.work))
 		delay += time.Duration(float64(started.fetched) / s.pattern.FetchedPerSecond * float64(time.Second))
 	}
-	s.result.Fetched += started.fetched
+	s.result.TokensFetched += started.fetched
 	s.after(delay, func() {
 		if e.crashed {
 			s.runLost(started, control.OutcomeUnreachable)
--- a/control/local.go
+++ b/control/local.go
@@ -70,6 +70,6 @@
 		return true
 	}
 	capacity := m.topo.decl.Pools[s.id.Pool].Tokens.PerSecond * servicePerToken.Seconds()
-	perSecond := capacity / float64(m.view.Others()+1)
+	perSecond := capacity / float64(m.view.AliveOthers()+1)
 	return !s.localLimit.take(m.now, perSecond, nominalService(task).Seconds())
 }
--- a/control/member/evidence.go
+++ b/control/member/evidence.go
@@ -7,7 +7,7 @@
 
 // ApplyList updates the view from the platform's list. It returns the nodes that were
 // not known before, in order of name, so that the caller can send them a first message.
-func (v *View) List(now time.Duration, listed []Listed) []string {
+func (v *View) ApplyList(now time.Duration, listed []Listed) []string {
 	named := make(map[string]bool, len(listed))
 	changed := false
 	for _, l := range listed {
@@ -60,32 +60,32 @@
 }
 
 // SenderChange is what a message shows about its sender.
-type Sign int
+type SenderChange int
 
 // The changes of a sender.
 const (
 	// SenderUnchanged: nothing new.
-	SignNone Sign = iota
+	SenderUnchanged SenderChange = iota
 	// SenderBack: this is the first message, or the node got no work until now.
-	SignBack
+	SenderBack
 	// SenderRestarted: the node has another incarnation than before.
-	SignRestarted
+	SenderRestarted
 	// SenderStale: the message is from an incarnation that has ended; ignore it.
-	SignStale
+	SenderStale
 )
 
 // Heard records that a message from a node arrived.
-func (v *View) Heard(now time.Duration, name string, incarnation uint64) Sign {
+func (v *View) Heard(now time.Duration, name string, incarnation uint64) SenderChange {
 	n := v.node(name)
 	if slices.Contains(n.endedIncarnations, incarnation) {
-		return SignStale
+		return SenderStale
 	}
-	change := SignNone
+	change := SenderUnchanged
 	if n.heardAt == 0 || n.suspected || now < n.unresponsiveUntil {
-		change = SignBack
+		change = SenderBack
 	}
 	if n.Incarnation != 0 && n.Incarnation != incarnation {
-		change = SignRestarted
+		change = SenderRestarted
 		n.addEnded(n.Incarnation)
 		n.Leaving = false
 	}
@@ -108,7 +108,7 @@
 }
 
 // HeartbeatReceived records the content of a heartbeat.
-func (v *View) Beat(now time.Duration, name string, leaving bool) {
+func (v *View) HeartbeatReceived(now time.Duration, name string, leaving bool) {
 	n := v.node(name)
 	n.Leaving = leaving
 	v.update(now, n)
@@ -159,7 +159,7 @@
 
 // MissedBy records that a node reported that it misses this one. This node sends it
 // heartbeats for extraHeartbeatTime.
-func (v *View) Missed(now time.Duration, by string) {
+func (v *View) MissedBy(now time.Duration, by string) {
 	v.node(by).extraHeartbeatsUntil = now + extraHeartbeatTime
 }
 
--- a/control/member/view.go
+++ b/control/member/view.go
@@ -169,7 +169,7 @@
 func (v *View) Known() int { return len(v.nodes) }
 
 // AliveOthers returns the number of other nodes that may get work.
-func (v *View) Others() int {
+func (v *View) AliveOthers() int {
 	n := len(v.alive)
 	if v.own.alive {
 		n--
--- a/control/member/view_test.go
+++ b/control/member/view_test.go
@@ -13,7 +13,7 @@
 	for i := range count {
 		listed = append(listed, Listed{Name: fmt.Sprintf("n%d", i), DataCentre: fmt.Sprintf("dc%d", i%3)})
 	}
-	v.List(time.Second, listed)
+	v.ApplyList(time.Second, listed)
 	for _, l := range listed {
 		if l.Name != self {
 			v.Heard(time.Second, l.Name, 1)
@@ -93,7 +93,7 @@
 	if v.Alive("n4") || !v.Alive("n3") {
 		t.Errorf("alive: n4 %v, n3 %v", v.Alive("n4"), v.Alive("n3"))
 	}
-	if change := v.Heard(5*time.Second, "n4", 1); change != SignBack || !v.Alive("n4") {
+	if change := v.Heard(5*time.Second, "n4", 1); change != SenderBack || !v.Alive("n4") {
 		t.Errorf("after a message: %v, alive %v", change, v.Alive("n4"))
 	}
 }
@@ -120,10 +120,10 @@
 
 func TestOldIncarnationsAreStale(t *testing.T) {
 	v := newFleetView("n0", 3)
-	if change := v.Heard(2*time.Second, "n1", 2); change != SignRestarted {
+	if change := v.Heard(2*time.Second, "n1", 2); change != SenderRestarted {
 		t.Errorf("%v for a new incarnation", change)
 	}
-	if change := v.Heard(2*time.Second, "n1", 1); change != SignStale {
+	if change := v.Heard(2*time.Second, "n1", 1); change != SenderStale {
 		t.Errorf("%v for the old incarnation", change)
 	}
 }
--- a/control/notice/notice.go
+++ b/control/notice/notice.go
@@ -71,7 +71,7 @@
 
 // HoldOffLeft returns the remaining hold-off of a start of a target; zero if there is
 // none.
-func (s *Set) HoldsOff(now time.Duration, target string, start int64) time.Duration {
+func (s *Set) HoldOffLeft(now time.Duration, target string, start int64) time.Duration {
 	e := s.find(target, start)
 	if e == nil {
 		return 0
@@ -80,7 +80,7 @@
 }
 
 // HoldOffTargets returns the targets with a hold-off in force, in no particular order.
-func (s *Set) HoldingOff(now time.Duration) []string {
+func (s *Set) HoldOffTargets(now time.Duration) []string {
 	var targets []string
 	for target, e := range s.byTarget {
 		if now < e.holdOffUntil {
--- a/control/notice/notice_test.go
+++ b/control/notice/notice_test.go
@@ -63,13 +63,13 @@
 	if !s.IsWithheld(2*time.Second, "a", 1) || s.IsLeaving("a", 1) || s.IsWithheld(2*time.Second, "a", 2) {
 		t.Error("requests are not withheld from exactly the start that asked for it")
 	}
-	if left := s.HoldsOff(2*time.Second, "a", 1); left != time.Second {
+	if left := s.HoldOffLeft(2*time.Second, "a", 1); left != time.Second {
 		t.Errorf("hold-off left: %s, want 1s", left)
 	}
-	if held := s.HoldingOff(2 * time.Second); len(held) != 1 || held[0] != "a" {
+	if held := s.HoldOffTargets(2 * time.Second); len(held) != 1 || held[0] != "a" {
 		t.Errorf("targets with a hold-off: %v", held)
 	}
-	if s.IsWithheld(3*time.Second, "a", 1) || s.HoldsOff(3*time.Second, "a", 1) != 0 || len(s.HoldingOff(3*time.Second)) != 0 {
+	if s.IsWithheld(3*time.Second, "a", 1) || s.HoldOffLeft(3*time.Second, "a", 1) != 0 || len(s.HoldOffTargets(3*time.Second)) != 0 {
 		t.Error("hold-off in force after its end")
 	}
 	s.Prune(3*time.Second, declaredAs(1))
--- a/control/notices.go
+++ b/control/notices.go
@@ -102,7 +102,7 @@
 // excludes itself, and those of its pool with a hold-off for this node.
 func (m *Machine) excludedTargets(ev RequestArrived) []string {
 	var held []string
-	for _, name := range m.notices.HoldingOff(m.now) {
+	for _, name := range m.notices.HoldOffTargets(m.now) {
 		if m.topo.decl.Targets[name].Pool == ev.Pool && m.isWithheld(name) && !slices.Contains(ev.Excluded, name) {
 			held = append(held, name)
 		}
@@ -129,10 +129,10 @@
 	if code != result.TargetsUnavailable {
 		return after
 	}
-	for _, name := range m.notices.HoldingOff(m.now) {
+	for _, name := range m.notices.HoldOffTargets(m.now) {
 		decl := m.topo.decl.Targets[name]
 		if decl.Pool == ev.Pool {
-			if left := m.notices.HoldsOff(m.now, name, decl.Start); left > 0 {
+			if left := m.notices.HoldOffLeft(m.now, name, decl.Start); left > 0 {
 				after = min(after, m.jitter(left))
 			}
 		}
--- a/control/place.go
+++ b/control/place.go
@@ -40,14 +40,14 @@
 // declareEngine creates or updates the model of a target that counts in tokens.
 func (m *Machine) declareEngine(t *target, slots int, memory int64) {
 	if t.engine != nil {
-		t.engine.Declare(slots, memory)
+		t.engine.SetCapacity(slots, memory)
 		return
 	}
 	t.engine = sched.NewEngine(sched.EngineOptions{
-		Slots:    slots,
-		Memory:   memory,
-		Reading:  t.shard.reading,
-		EvenPace: m.opts.Tokens.NoSpeed,
+		Slots:          slots,
+		Memory:         memory,
+		ReadModel:      t.shard.reading,
+		IgnoreSlowdown: m.opts.Tokens.NoSpeed,
 	})
 }
 
@@ -58,10 +58,10 @@
 		targets = len(decl.targets)
 	}
 	if s.reading != nil {
-		s.reading.Declare(perSecond, targets)
+		s.reading.SetDeclaredRate(perSecond, targets)
 		return
 	}
-	s.reading = sched.NewReading(perSecond, targets)
+	s.reading = sched.NewReadModel(perSecond, targets)
 	s.reading.Frozen = m.opts.Tokens.NoLearning
 }
 
@@ -272,7 +272,7 @@
 		return
 	}
 	m.targetSucceeded(g.target, "first event")
-	g.target.engine.Begun(m.now, g.engineRun, after)
+	g.target.engine.FirstEvent(m.now, g.engineRun, after)
 	m.grantWaiting(g.shard)
 }
 
@@ -289,5 +289,5 @@
 	for _, part := range ev.Parts {
 		parts = append(parts, sched.EnginePart{ID: part.ID, Tokens: part.Tokens})
 	}
-	t.engine.Tell(m.now, ev.Full, parts)
+	t.engine.UpdateKept(m.now, ev.Full, parts)
 }
--- a/control/place_test.go
+++ b/control/place_test.go
@@ -236,7 +236,7 @@
 		}
 	}
 	s := f.machine.sched.shards[ShardID{Pool: "gen"}]
-	if s.shares.Ask(f.now, "a", nominalService(engineTaskOf(Work{PromptTokens: 9000})).Seconds()) {
+	if s.shares.Take(f.now, "a", nominalService(engineTaskOf(Work{PromptTokens: 9000})).Seconds()) {
 		t.Fatal("the workspace is not beyond its share")
 	}
 	q := &queuedTicket{shard: s, ticket: Ticket{Workspace: "a", Work: Work{PromptTokens: 9000}, Again: true}}
--- a/control/policy/tokens.go
+++ b/control/policy/tokens.go
@@ -38,8 +38,8 @@
 	ExcessWaitPart float64 `toml:"excess_wait_part"`
 	// Excess limits the requests beyond their workspace's share, and Returning those
 	// that were refused and are sent again.
-	Excess    Spare `toml:"excess"`
-	Returning Spare `toml:"returning"`
+	Excess    SpareLimit `toml:"excess"`
+	Returning SpareLimit `toml:"returning"`
 	// ReturnWaitMillis is how long a request that is sent again may wait for capacity.
 	// Its objective has passed, and its caller waits only a few seconds more.
 	ReturnWaitMillis float64 `toml:"return_wait_millis"`
@@ -69,7 +69,7 @@
 // SpareLimit bounds how much of a target the requests of one rank may use: as fractions
 // of its slots, and of the wait that its unread prompts may cause. The rest is left to
 // higher ranks.
-type Spare struct {
+type SpareLimit struct {
 	Slots float64 `toml:"slots"`
 	Wait  float64 `toml:"wait"`
 }
@@ -85,8 +85,8 @@
 		HomeMillis:       30,
 		FarMillis:        25,
 		ExcessWaitPart:   0.4,
-		Excess:           Spare{Slots: 0.75, Wait: 0.8},
-		Returning:        Spare{Slots: 0.33, Wait: 0.15},
+		Excess:           SpareLimit{Slots: 0.75, Wait: 0.8},
+		Returning:        SpareLimit{Slots: 0.33, Wait: 0.15},
 		ReturnWaitMillis: 50,
 		YieldPart:        0.7,
 	}
@@ -95,8 +95,8 @@
 // Bound is a value of a policy with its permitted range.
 type Bound struct {
 	// Key is the settings key, relative to the section of the policy.
-	Key                string
-	Value, Least, Most float64
+	Key             string
+	Value, Min, Max float64
 }
 
 // Bounds lists the values of a policy with their bounds.
--- a/control/quarantine/property_test.go
+++ b/control/quarantine/property_test.go
@@ -193,7 +193,7 @@
 	for i := range uint64(1000) {
 		now := time.Duration(i) * 20 * time.Second
 		fingerprints := []uint64{i % 13, i, i + 1, i + 2, i + 3, i + 4, i + 5, i + 6, i + 7, i + 8}
-		tracker.Lost(now, fmt.Sprint(i%7), fingerprints)
+		tracker.ConnectionsLost(now, fmt.Sprint(i%7), fingerprints)
 		tracker.Crashed(now, fmt.Sprint(i), fingerprints)
 		tracker.Merge(now, Notice{Kind: NoticeCrash, Target: "x", Running: fingerprints, Age: time.Minute})
 		tracker.Completed(now, i)
--- a/control/quarantine/script_test.go
+++ b/control/quarantine/script_test.go
@@ -49,11 +49,11 @@
 	case "crashed":
 		return f.report(name, router.Crashed(f.now, target, numbers(t, d, "running")))
 	case "lost":
-		return f.report(name, router.Lost(f.now, target, numbers(t, d, "running")))
+		return f.report(name, router.ConnectionsLost(f.now, target, numbers(t, d, "running")))
 	case "confirm":
 		return f.report(name, router.CrashConfirmed(f.now, target))
 	case "refute":
-		return f.report(name, router.Alive(f.now, f.since(t, d), target))
+		return f.report(name, router.StillRunning(f.now, f.since(t, d), target))
 	case "completed":
 		return f.report(name, router.Completed(f.now, numbers(t, d, "fingerprint")[0]))
 	case "expire":
@@ -62,7 +62,7 @@
 		f.routers[name] = New(Options{})
 		return ""
 	case "state":
-		f.send(name, router.State(f.now))
+		f.send(name, router.Evidence(f.now))
 		return ""
 	case "deliver":
 		return f.deliver(len(f.pending) * 1000)
--- a/control/quarantine/tracker.go
+++ b/control/quarantine/tracker.go
@@ -71,7 +71,7 @@
 // ConnectionsLost records that the connections to a target broke while it ran
 // fingerprints. It counts as a crash if the target is known to have crashed within
 // Options.ConfirmWindow before or after.
-func (t *Tracker) Lost(now Instant, target string, running []uint64) Output {
+func (t *Tracker) ConnectionsLost(now Instant, target string, running []uint64) Output {
 	if at, ok := t.confirmedAt[target]; ok && now-at <= t.options.ConfirmWindow {
 		return t.Crashed(now, target, running)
 	}
@@ -94,7 +94,7 @@
 // StillRunning records that a target has run without a restart from since until now, as
 // it still reports the start identity that it had then. Broken connections to it are
 // forgotten, and a crash in that time is retracted on all routers.
-func (t *Tracker) Alive(now, since Instant, target string) Output {
+func (t *Tracker) StillRunning(now, since Instant, target string) Output {
 	var out Output
 	t.unconfirmed = slices.DeleteFunc(t.unconfirmed, func(l loss) bool { return l.target == target })
 	if t.uptimes[target] == (interval{}) && !t.crashedWithin(target, interval{since, now}) {
@@ -143,7 +143,7 @@
 
 // Evidence returns the evidence known here, for a router that has just connected or
 // restarted.
-func (t *Tracker) State(now Instant) []Notice {
+func (t *Tracker) Evidence(now Instant) []Notice {
 	var notices []Notice
 	for _, c := range t.crashes {
 		notices = append(notices, c.notice(now))
--- a/control/rank.go
+++ b/control/rank.go
@@ -42,14 +42,14 @@
 
 // spareFor returns how much of a target a rank may use. Returning requests may use a part,
 // so that lightly loaded engines do not refuse them.
-func (m *Machine) spareFor(r rank) policy.Spare {
+func (m *Machine) spareFor(r rank) policy.SpareLimit {
 	switch r {
 	case rankExcess:
 		return m.opts.Tokens.Excess
 	case rankReturning:
 		return m.opts.Tokens.Returning
 	default:
-		return policy.Spare{Slots: 1, Wait: 1}
+		return policy.SpareLimit{Slots: 1, Wait: 1}
 	}
 }
 
@@ -60,7 +60,7 @@
 		return true
 	}
 	spare := m.spareFor(r)
-	return t.engine.Fill() < spare.Slots && t.engine.Wait(m.now) <= scale(spare.Wait, m.maxWait(t.shard))
+	return t.engine.Utilisation() < spare.Slots && t.engine.Wait(m.now) <= scale(spare.Wait, m.maxWait(t.shard))
 }
 
 // classifyTicket derives from a ticket's tokens its work, its objective, its rank, and how
@@ -87,7 +87,7 @@
 			// Retries must not get capacity that was refused to other workspaces.
 			q.waitUntil = m.now
 		}
-	case shares.Ask(m.now, q.ticket.Workspace, nominalService(q.task).Seconds()) || m.opts.Tokens.NoShares:
+	case shares.Take(m.now, q.ticket.Workspace, nominalService(q.task).Seconds()) || m.opts.Tokens.NoShares:
 		q.shareTaken = nominalService(q.task).Seconds()
 	case m.mustYield(q):
 		q.rank = rankExcess
@@ -117,10 +117,10 @@
 	if s == nil || !m.countsTokens(s) {
 		return
 	}
-	if s.shares.HasLeft(m.now, msg.Workspace) && m.hasRoom(s) {
+	if s.shares.HasCredit(m.now, msg.Workspace) && m.hasRoom(s) {
 		m.counters.UnreadWhileOwed += uint64(msg.Count)
 	}
-	s.shares.Unread(m.now, msg.Workspace, msg.Count)
+	s.shares.RefusedUnread(m.now, msg.Workspace, msg.Count)
 	m.reportShareGap(s)
 }
 
@@ -154,7 +154,7 @@
 	}
 	ideal := never
 	for _, c := range m.listCandidates(q.shard.targets, q.task) {
-		ideal = min(ideal, c.target.engine.Alone(q.task, c.reads))
+		ideal = min(ideal, c.target.engine.PredictIdle(q.task, c.reads))
 	}
 	left := q.objective - m.now
 	if ideal > scale(m.opts.Tokens.TimelyPart, left) {
--- a/control/sched/engine.go
+++ b/control/sched/engine.go
@@ -46,7 +46,7 @@
 	memory int64
 	// model is shared by the targets of the pool; slowdown is this target's reading time
 	// divided by that of the model.
-	model    *Reading
+	model    *ReadModel
 	slowdown float64
 	// ignoreSlowdown keeps slowdown at 1.
 	ignoreSlowdown bool
@@ -83,9 +83,9 @@
 	// Memory is in tokens; zero means unbounded.
 	Memory int64
 	// ReadModel is shared by all targets of a pool. Required.
-	Reading *Reading
+	ReadModel *ReadModel
 	// IgnoreSlowdown assumes that the target is as fast as the others of its pool.
-	EvenPace bool
+	IgnoreSlowdown bool
 }
 
 // NewEngine returns the model of a target without runs.
@@ -93,15 +93,15 @@
 	return &Engine{
 		slots:          max(1, o.Slots),
 		memory:         o.Memory,
-		model:          o.Reading,
+		model:          o.ReadModel,
 		slowdown:       1,
-		ignoreSlowdown: o.EvenPace,
+		ignoreSlowdown: o.IgnoreSlowdown,
 		kept:           newKeptParts(o.Memory),
 	}
 }
 
 // SetCapacity updates the declared slots and memory of the target.
-func (e *Engine) Declare(slots int, memory int64) {
+func (e *Engine) SetCapacity(slots int, memory int64) {
 	e.slots, e.memory, e.kept.capacity = max(1, slots), memory, memory
 }
 
@@ -144,11 +144,11 @@
 // Predict returns how long after now the first event of a task granted now would come if
 // the given number of its prompt tokens have to be read.
 func (e *Engine) Predict(now time.Duration, task EngineTask, reads int) time.Duration {
-	return e.Wait(now) + e.Alone(task, reads)
+	return e.Wait(now) + e.PredictIdle(task, reads)
 }
 
 // PredictIdle is Predict for a target that has no unread prompts.
-func (e *Engine) Alone(task EngineTask, reads int) time.Duration {
+func (e *Engine) PredictIdle(task EngineTask, reads int) time.Duration {
 	return toDuration(e.model.fixed + e.slowdown*e.model.seconds(promptLoad(reads, task.PromptTokens)))
 }
 
@@ -171,7 +171,7 @@
 func (e *Engine) FreeSlots() int { return max(0, e.slots-e.running) }
 
 // Utilisation returns the fraction of the slots in use.
-func (e *Engine) Fill() float64 { return float64(e.running) / float64(e.slots) }
+func (e *Engine) Utilisation() float64 { return float64(e.running) / float64(e.slots) }
 
 // Start adds a run that is granted now and has to read the given number of tokens. Its
 // prompt counts as kept from now on.
@@ -236,7 +236,7 @@
 
 // FirstEvent records that the first event of a run came the given time after its grant.
 // The prompt of this run and all earlier ones have been read.
-func (e *Engine) Begun(now time.Duration, run *EngineRun, after time.Duration) {
+func (e *Engine) FirstEvent(now time.Duration, run *EngineRun, after time.Duration) {
 	if run.promptRead {
 		return
 	}
@@ -291,7 +291,7 @@
 // UpdateKept takes the target's report of the prompt parts that it keeps: all of them if
 // whole is set, else those that changed. Parts that were granted within grantGrace are
 // left as they are, because they may not be read yet.
-func (e *Engine) Tell(now time.Duration, whole bool, parts []EnginePart) {
+func (e *Engine) UpdateKept(now time.Duration, whole bool, parts []EnginePart) {
 	if whole {
 		e.kept.forgetBefore(now - grantGrace)
 	}
--- a/control/sched/engine_test.go
+++ b/control/sched/engine_test.go
@@ -7,7 +7,7 @@
 
 // newTestEngine returns an engine with the initial model, which reads 60 tokens per ms.
 func newTestEngine(slots int, memory int64) *Engine {
-	return NewEngine(EngineOptions{Slots: slots, Memory: memory, Reading: NewReading(0, 1)})
+	return NewEngine(EngineOptions{Slots: slots, Memory: memory, ReadModel: NewReadModel(0, 1)})
 }
 
 func task(prompt, output int, parts ...EnginePart) EngineTask {
@@ -27,7 +27,7 @@
 	if wait := e.Wait(50 * time.Millisecond); wait != 250*time.Millisecond {
 		t.Errorf("wait %s after 50 ms", wait)
 	}
-	e.Begun(200*time.Millisecond, second, 200*time.Millisecond)
+	e.FirstEvent(200*time.Millisecond, second, 200*time.Millisecond)
 	if wait := e.Wait(200 * time.Millisecond); wait > e.ReadTime(6000)+toDuration(e.model.pair*e.backlog.pairs) {
 		t.Errorf("wait %s while only the third is unread", wait)
 	}
@@ -94,7 +94,7 @@
 		}
 		run := e.Start(now, task(prompt, 10), reads)
 		now += took
-		e.Begun(now, run, took)
+		e.FirstEvent(now, run, took)
 		e.End(now, run)
 	}
 	return predictedCount
@@ -132,15 +132,15 @@
 // TestSlowdownIsLearnedPerTarget checks that a target which is slower than the others of
 // its pool is predicted as slow, and that the others are not.
 func TestSlowdownIsLearnedPerTarget(t *testing.T) {
-	model := NewReading(0, 2)
-	slow := NewEngine(EngineOptions{Slots: 64, Reading: model})
-	usual := NewEngine(EngineOptions{Slots: 64, Reading: model})
+	model := NewReadModel(0, 2)
+	slow := NewEngine(EngineOptions{Slots: 64, ReadModel: model})
+	usual := NewEngine(EngineOptions{Slots: 64, ReadModel: model})
 	now := time.Duration(0)
 	for n := range 600 {
 		for e, factor := range map[*Engine]float64{slow: 2, usual: 1} {
 			run := e.Start(now, task(3000+100*(n%7), 10), 3000)
 			took := toDuration(0.04 + factor*20e-6*3000)
-			e.Begun(now+took, run, took)
+			e.FirstEvent(now+took, run, took)
 			e.End(now+took, run)
 		}
 		now += time.Second
@@ -161,20 +161,20 @@
 	e := newTestEngine(64, 100_000)
 	shared, own := EnginePart{ID: 2, Tokens: 4000}, EnginePart{ID: 3, Tokens: 100}
 	prompt := task(4100, 10, shared, own)
-	e.Tell(0, true, []EnginePart{shared})
+	e.UpdateKept(0, true, []EnginePart{shared})
 	if reads, again := e.Reads(prompt); reads != 100 || again != 0 {
 		t.Errorf("%d read, %d shared, of a part that is kept", reads, again)
 	}
-	e.Tell(time.Second, false, []EnginePart{{ID: 2, Tokens: 1000}})
+	e.UpdateKept(time.Second, false, []EnginePart{{ID: 2, Tokens: 1000}})
 	if reads, again := e.Reads(prompt); reads != 3100 || again != 3000 {
 		t.Errorf("%d read, %d shared, with a quarter of the part kept", reads, again)
 	}
 	e.Start(10*time.Second, prompt, 3100)
-	e.Tell(11*time.Second, true, nil)
+	e.UpdateKept(11*time.Second, true, nil)
 	if _, again := e.Reads(prompt); again != 0 {
 		t.Error("a prompt that was granted just now counts as dropped")
 	}
-	e.Tell(20*time.Second, true, nil)
+	e.UpdateKept(20*time.Second, true, nil)
 	if _, again := e.Reads(prompt); again != 4000 {
 		t.Error("a part that the target dropped counts as kept")
 	}
@@ -186,9 +186,9 @@
 // registered, so that starts on a cold fleet were predicted to take a sixth of their
 // real time.
 func TestInitialRateFollowsTargetCount(t *testing.T) {
-	model := NewReading(190_000, 1)
+	model := NewReadModel(190_000, 1)
 	for targets := 2; targets <= 9; targets++ {
-		model.Declare(190_000, targets)
+		model.SetDeclaredRate(190_000, targets)
 	}
 	if rate := model.Rate(); rate < 40_000 || rate > 45_000 {
 		t.Errorf("%.0f tokens per second for each of nine targets with a total of 190,000", rate)
@@ -213,7 +213,7 @@
 	if reads, _ := e.Reads(task(4100, 10, shared, EnginePart{ID: 9, Tokens: 100})); reads != 100 {
 		t.Errorf("%d tokens to read of a prompt that an adopted run has already read", reads)
 	}
-	e.Begun(time.Second+100*time.Millisecond, adopted, 120*time.Millisecond)
+	e.FirstEvent(time.Second+100*time.Millisecond, adopted, 120*time.Millisecond)
 	if own.promptRead || e.Wait(time.Second+100*time.Millisecond) == 0 {
 		t.Error("a later grant counts as read because of an earlier run's first event")
 	}
--- a/control/sched/gap.go
+++ b/control/sched/gap.go
@@ -13,7 +13,7 @@
 	Workspace string
 	// Demand is the amount that its requests asked for here, and Unread an estimate of
 	// the amount of those that routers refused before reading them.
-	Asked, Unread, Granted float64
+	Demand, Unread, Granted float64
 	// RefusedHere is set if requests were refused here within refusalWindow.
 	RefusedHere bool
 	// Best is the workspace that was granted most.
@@ -38,14 +38,14 @@
 		}
 		gap := Gap{
 			Workspace:   name,
-			Asked:       ratePerSecond(f.demand, now-f.updatedAt),
+			Demand:      ratePerSecond(f.demand, now-f.updatedAt),
 			Unread:      ratePerSecond(f.unread, now-f.updatedAt),
 			Granted:     ratePerSecond(f.granted, now-f.updatedAt),
 			RefusedHere: f.refused && now-f.refusedAt <= refusalWindow,
 			Best:        best,
 			BestGranted: bestGranted,
 		}
-		if gap.Granted >= maxGapRatio*min(gap.Asked+gap.Unread, bestGranted) {
+		if gap.Granted >= maxGapRatio*min(gap.Demand+gap.Unread, bestGranted) {
 			continue
 		}
 		if !found || gap.Granted < widest.Granted || gap.Granted == widest.Granted && name < widest.Workspace {
--- a/control/sched/gap_test.go
+++ b/control/sched/gap_test.go
@@ -17,15 +17,15 @@
 		gap           bool
 	}{
 		{"refused here", 900, 100, func(s *Shares) { s.Refused(now, "small") }, true},
-		{"refused unread", 100, 100, func(s *Shares) { s.Unread(now, "small", 8) }, true},
+		{"refused unread", 100, 100, func(s *Shares) { s.RefusedUnread(now, "small", 8) }, true},
 		{"not refused", 900, 100, func(*Shares) {}, false},
 		{"more than half", 900, 500, func(s *Shares) { s.Refused(now, "small") }, false},
 		{"asks for little", 100, 90, func(s *Shares) { s.Refused(now, "small") }, false},
 	} {
 		s := NewShares(10_000)
-		s.Ask(now, "large", 900)
+		s.Take(now, "large", 900)
 		s.Served(now, "large", 900)
-		s.Ask(now, "small", c.asked)
+		s.Take(now, "small", c.asked)
 		s.Served(now, "small", c.served)
 		c.refused(s)
 		gap, found := s.WidestGap(now)
--- a/control/sched/queue.go
+++ b/control/sched/queue.go
@@ -184,7 +184,7 @@
 
 // ResetLift recomputes the lift of a waiting flow after its total became known more
 // exactly.
-func (f *Flow[T]) Relift(credit float64) {
+func (f *Flow[T]) ResetLift(credit float64) {
 	f.lift = 0
 	least := f.queue.minReceivedExcept(f)
 	if shortfall := least - credit - f.received(); shortfall > 0 && !math.IsInf(least, 1) {
--- a/control/sched/reading.go
+++ b/control/sched/reading.go
@@ -70,7 +70,7 @@
 //
 // All targets of a pool share a model, so a target that was just added is predicted from
 // what the others do. ReadModel is not safe for concurrent use.
-type Reading struct {
+type ReadModel struct {
 	// fixed, token and pair are in seconds.
 	fixed, token, pair float64
 	// initialToken is the value of token before any start was seen.
@@ -83,9 +83,9 @@
 }
 
 // NewReadModel returns a model that has seen no start.
-func NewReading(perSecond float64, targets int) *Reading {
-	r := &Reading{fixed: initialFixed.Seconds()}
-	r.Declare(perSecond, targets)
+func NewReadModel(perSecond float64, targets int) *ReadModel {
+	r := &ReadModel{fixed: initialFixed.Seconds()}
+	r.SetDeclaredRate(perSecond, targets)
 	return r
 }
 
@@ -93,7 +93,7 @@
 // declared to have together, in tokens per second; zero means that none is declared. It
 // is called again when the number of targets changes, as they register one after the
 // other.
-func (r *Reading) Declare(perSecond float64, targets int) {
+func (r *ReadModel) SetDeclaredRate(perSecond float64, targets int) {
 	rate := defaultReadRate
 	if perSecond > 0 && targets > 0 {
 		rate = min(max(readRateFactor*perSecond/float64(targets), minReadRate), maxReadRate)
@@ -104,14 +104,14 @@
 
 // Rate returns the tokens per second that a target of the pool reads, without the cost
 // of pairs.
-func (r *Reading) Rate() float64 { return 1 / r.token }
+func (r *ReadModel) Rate() float64 { return 1 / r.token }
 
 // seconds returns the predicted reading time of a load at a target with slowdown 1.
-func (r *Reading) seconds(l load) float64 { return r.token*l.tokens + r.pair*l.pairs }
+func (r *ReadModel) seconds(l load) float64 { return r.token*l.tokens + r.pair*l.pairs }
 
 // learn records that the first event came after took seconds of reading the given load
 // at a target with the given slowdown.
-func (r *Reading) learn(l load, slowdown, took float64) {
+func (r *ReadModel) learn(l load, slowdown, took float64) {
 	if r.Frozen {
 		return
 	}
@@ -129,7 +129,7 @@
 }
 
 // fit solves the least squares, with the initial values as a few additional samples.
-func (r *Reading) fit() {
+func (r *ReadModel) fit() {
 	// The prior of each term has about the size that the term has in a sample.
 	weights := [3]float64{priorSamples, 0.1 * priorSamples, 0.05 * priorSamples}
 	prior := [3]float64{initialFixed.Seconds(), r.initialToken / tokenScale, 0}
--- a/control/sched/shares.go
+++ b/control/sched/shares.go
@@ -72,14 +72,14 @@
 }
 
 // SetCapacity changes the capacity.
-func (s *Shares) Declare(perSecond float64) { s.capacityPerSecond = perSecond }
+func (s *Shares) SetCapacity(perSecond float64) { s.capacityPerSecond = perSecond }
 
 // Level returns the share per second of each workspace whose demand exceeds it.
 func (s *Shares) Level() float64 { return s.level }
 
 // Take records a request and reports whether it is within its workspace's share. If it
 // is, the amount is taken from the share.
-func (s *Shares) Ask(now time.Duration, workspace string, amount float64) bool {
+func (s *Shares) Take(now time.Duration, workspace string, amount float64) bool {
 	if s.capacityPerSecond <= 0 {
 		return true
 	}
@@ -102,7 +102,7 @@
 // reduce the share. A workspace that is not behind already gets its share through its
 // other grants, and more requests within the share would only wait for one another until
 // they are late.
-func (s *Shares) Return(now time.Duration, workspace string, amount float64) {
+func (s *Shares) Refund(now time.Duration, workspace string, amount float64) {
 	f := s.flow(now, workspace)
 	if f.granted < behindShareRatio*s.shareRate()*demandTimeConstant.Seconds() {
 		f.credit = min(f.credit+amount, s.maxCredit())
@@ -110,7 +110,7 @@
 }
 
 // HasCredit reports whether a workspace has not used up its share.
-func (s *Shares) HasLeft(now time.Duration, workspace string) bool {
+func (s *Shares) HasCredit(now time.Duration, workspace string) bool {
 	if s.capacityPerSecond <= 0 || math.IsInf(s.level, 1) {
 		return true
 	}
@@ -136,7 +136,7 @@
 // them. If these exceed what it was granted, the routers are its bottleneck, and others
 // yield to it as they do to a workspace that is refused here. A few refused requests
 // have no effect, as their retries are served through other routers.
-func (s *Shares) Unread(now time.Duration, workspace string, count int) {
+func (s *Shares) RefusedUnread(now time.Duration, workspace string, count int) {
 	f := s.flow(now, workspace)
 	wantedBefore := f.wantsMore(now)
 	f.unread += float64(count) * f.size
--- a/control/sched/shares_test.go
+++ b/control/sched/shares_test.go
@@ -17,7 +17,7 @@
 	for now := start; now < start+time.Duration(seconds)*time.Second; now += step {
 		for i, demand := range demands {
 			for asked[i] += demand * step.Seconds(); asked[i] >= 10; asked[i] -= 10 {
-				if s.Ask(now, fmt.Sprint(i), 10) {
+				if s.Take(now, fmt.Sprint(i), 10) {
 					within[i] += 10
 				}
 			}
@@ -61,7 +61,7 @@
 	simulateDemand(s, 0, 20, []float64{0, 5000})
 	burst := 0.0
 	at := 20*time.Second + time.Millisecond
-	for s.Ask(at, "late", 10) {
+	for s.Take(at, "late", 10) {
 		if burst += 10; burst > 2000 {
 			break
 		}
@@ -164,14 +164,14 @@
 		for range 200 {
 			now += 10 * time.Millisecond
 			for range 4 {
-				s.Ask(now, "by all", 10)
+				s.Take(now, "by all", 10)
 				s.Served(now, "by all", 10)
 			}
-			s.Ask(now, "by one", 10)
+			s.Take(now, "by one", 10)
 			s.Served(now, "by one", 10)
-			s.Unread(now, "by one", c.unread)
+			s.RefusedUnread(now, "by one", c.unread)
 		}
-		s.Unread(now, "by one", 1)
+		s.RefusedUnread(now, "by one", 1)
 		if got := s.Yields(now, "by all", 0.7); got != c.yields {
 			t.Errorf("%s: the other workspace yields: %v", c.name, got)
 		}
@@ -180,7 +180,7 @@
 		}
 		// From here on only the workspace that uses all routers sends requests.
 		for end := now + 5*time.Second; now < end; now += 10 * time.Millisecond {
-			s.Ask(now, "by all", 10)
+			s.Take(now, "by all", 10)
 			s.Served(now, "by all", 10)
 		}
 		if s.Yields(now, "by all", 0.7) {
@@ -196,9 +196,9 @@
 	s := NewShares(100)
 	s.Served(0, "first", 1000)
 	s.Refused(0, "first")
-	s.Ask(0, "second", 10)
+	s.Take(0, "second", 10)
 	s.Served(0, "second", 10)
-	s.Unread(0, "second", 4)
+	s.RefusedUnread(0, "second", 4)
 	if s.Yields(0, "first", 0.7) {
 		t.Error("the first yields for capacity that the second did not ask for before")
 	}
@@ -225,14 +225,14 @@
 	}
 	tries := 0
 	for now := time.Duration(0); now < seconds*time.Second; now += step {
-		if s.Ask(now, "placed", amount) {
+		if s.Take(now, "placed", amount) {
 			serve(now, "placed")
 		}
-		if !s.Ask(now, "crowded", amount) {
+		if !s.Take(now, "crowded", amount) {
 			continue
 		}
 		if tries++; tries%4 != 0 {
-			s.Return(now, "crowded", amount)
+			s.Refund(now, "crowded", amount)
 			continue
 		}
 		serve(now, "crowded")
--- a/control/sched/window.go
+++ b/control/sched/window.go
@@ -62,7 +62,7 @@
 func MaxExtra(slots int) int { return max(1, slots/4) }
 
 // SetSlots changes the declared slots.
-func (w *Window) Declare(slots int) { w.declaredSlots = max(1, slots) }
+func (w *Window) SetSlots(slots int) { w.declaredSlots = max(1, slots) }
 
 // Slots returns how many runs the target serves at once.
 func (w *Window) Slots() int {
@@ -73,17 +73,17 @@
 }
 
 // MeanService returns the average time of a run; zero before the first one ended.
-func (w *Window) Service() time.Duration { return toDuration(w.service.value) }
+func (w *Window) MeanService() time.Duration { return toDuration(w.service.value) }
 
 // Held returns the number of grants held.
-func (w *Window) Out() int { return w.held }
+func (w *Window) Held() int { return w.held }
 
 // Free returns how many more grants the target may hold now.
-func (w *Window) Room(now time.Duration) int { return max(0, w.limit(now)-w.held) }
+func (w *Window) Free(now time.Duration) int { return max(0, w.limit(now)-w.held) }
 
 // Utilisation returns the fraction of the slots in use, including known load of other
 // schedulers.
-func (w *Window) Fill(now time.Duration) float64 {
+func (w *Window) Utilisation(now time.Duration) float64 {
 	return float64(w.held+w.currentForeign(now)) / float64(w.Slots())
 }
 
--- a/control/sched/window_test.go
+++ b/control/sched/window_test.go
@@ -20,19 +20,19 @@
 			case 0:
 				w.Reported(now, rapid.IntRange(-5, 100).Draw(t, "running"), rapid.IntRange(-5, 100).Draw(t, "queued"), rapid.IntRange(-1, 100).Draw(t, "reported"))
 			case 1:
-				if w.Out() > 0 {
+				if w.Held() > 0 {
 					service := time.Duration(rapid.IntRange(0, 2000).Draw(t, "service")) * time.Millisecond
 					w.Ended(now, service, time.Duration(rapid.IntRange(-10, 500).Draw(t, "loop"))*time.Millisecond)
 				}
 			default:
-				if w.Room(now) > 0 {
+				if w.Free(now) > 0 {
 					w.Granted(now)
 				}
 			}
-			if w.Out() > slots+MaxExtra(slots) {
-				t.Fatalf("%d grants for %d slots", w.Out(), slots)
+			if w.Held() > slots+MaxExtra(slots) {
+				t.Fatalf("%d grants for %d slots", w.Held(), slots)
 			}
-			if w.Out() == 0 && w.Room(now) == 0 {
+			if w.Held() == 0 && w.Free(now) == 0 {
 				t.Fatalf("a target without grants gets none")
 			}
 		}
@@ -42,14 +42,14 @@
 func TestWindowLeavesRoomForAnotherScheduler(t *testing.T) {
 	w := NewWindow(0, 4)
 	w.Reported(time.Second, 3, 0, 4)
-	if free := w.Room(time.Second); free != 1 {
+	if free := w.Free(time.Second); free != 1 {
 		t.Errorf("%d free beside three foreign runs in four slots", free)
 	}
 	w.Adopted(time.Second)
-	if free := w.Room(time.Second); free != 1 {
+	if free := w.Free(time.Second); free != 1 {
 		t.Errorf("%d free after one of them was adopted", free)
 	}
-	if free := w.Room(time.Second + foreignTimeout); free != 3 {
+	if free := w.Free(time.Second + foreignTimeout); free != 3 {
 		t.Errorf("%d free after the report expired", free)
 	}
 }
@@ -64,7 +64,7 @@
 		w.Ended(2*time.Second, time.Second, 0)
 	}
 	w.Reported(2100*time.Millisecond, 4, 0, 4) // sent before the runs ended
-	if free := w.Room(2100 * time.Millisecond); free != 4 {
+	if free := w.Free(2100 * time.Millisecond); free != 4 {
 		t.Errorf("%d free after a late report", free)
 	}
 }
@@ -77,7 +77,7 @@
 		w.Granted(now)
 		w.Ended(now, 20*time.Millisecond, 2*time.Millisecond)
 	}
-	if free := w.Room(2 * time.Second); free != 9 {
+	if free := w.Free(2 * time.Second); free != 9 {
 		t.Errorf("%d free for 8 slots with an overhead of a tenth of a run", free)
 	}
 }
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -126,7 +126,7 @@
 
 // mayScheduleHere returns false once this node drains and another can take over.
 func (m *Machine) mayScheduleHere() bool {
-	return !m.draining || m.opts.Policy == PolicyAlone || m.view.Others() == 0
+	return !m.draining || m.opts.Policy == PolicyAlone || m.view.AliveOthers() == 0
 }
 
 // ensureShard returns the shard's queue at this node and creates it if needed.
@@ -345,7 +345,7 @@
 	m.timers.stop(&q.timer)
 	delete(q.shard.queued, q.ticket.ID)
 	if q.shareTaken > 0 {
-		q.shard.shares.Return(m.now, q.ticket.Workspace, q.shareTaken)
+		q.shard.shares.Refund(m.now, q.ticket.Workspace, q.shareTaken)
 	}
 	if q.rank == rankDeferred {
 		q.shard.deferral.waiting--
--- a/control/shard.go
+++ b/control/shard.go
@@ -37,7 +37,7 @@
 	// shares are the workspaces' shares of a pool that counts in tokens.
 	shares *sched.Shares
 	// reading models how fast its targets read prompts; nil for other pools.
-	reading *sched.Reading
+	reading *sched.ReadModel
 	// nextGapAt is when the shard is next checked for a gap between workspaces.
 	nextGapAt Instant
 	// deferral tracks the requests that waited for too long; for pools that count in slots.
@@ -111,7 +111,7 @@
 func (m *Machine) declareTargets(s *shard) {
 	clear(s.classes)
 	if tokens := m.topo.decl.Pools[s.id.Pool].Tokens; tokens != nil {
-		s.shares.Declare(tokens.PerSecond * servicePerToken.Seconds())
+		s.shares.SetCapacity(tokens.PerSecond * servicePerToken.Seconds())
 		m.declareReading(s, tokens.PerSecond)
 	}
 	var names []string
--- a/control/share_test.go
+++ b/control/share_test.go
@@ -43,7 +43,7 @@
 // crowd has a workspace ask for more than the pool serves.
 func (f *tokenFleet) crowd() {
 	const muchMore = 10 // seconds of service
-	f.machine.ensureShard(ShardID{Pool: "gen"}).shares.Ask(f.now, "b", muchMore)
+	f.machine.ensureShard(ShardID{Pool: "gen"}).shares.Take(f.now, "b", muchMore)
 }
 
 // withinShare returns how many more requests for one thing each are within a workspace's share.
@@ -51,7 +51,7 @@
 	shares := f.machine.ensureShard(ShardID{Pool: "gen"}).shares
 	amount := nominalService(engineTaskOf(Work{Parts: []PromptPart{thing(1)}, OutputTokens: 50})).Seconds()
 	requests := 0
-	for shares.Ask(f.now, workspace, amount) {
+	for shares.Take(f.now, workspace, amount) {
 		requests++
 	}
 	return requests
--- a/control/slots.go
+++ b/control/slots.go
@@ -12,7 +12,7 @@
 
 // addGrant counts a new grant in a slot of the target, or as waiting behind the others.
 func (t *target) addGrant(now Instant, g *grant) {
-	if t.window.Out() > t.window.Slots() {
+	if t.window.Held() > t.window.Slots() {
 		g.waitsInTarget = true
 		t.waitingGrants = append(t.waitingGrants, g)
 		return
--- a/control/status.go
+++ b/control/status.go
@@ -157,7 +157,7 @@
 		st.Targets = append(st.Targets, TargetStatus{
 			Target:    t.name,
 			Slots:     t.window.Slots(),
-			Granted:   t.window.Out(),
+			Granted:   t.window.Held(),
 			Room:      t.room(m.now),
 			Leaving:   t.leaving || t.reportedLeaving,
 			Evacuated: t.evacuated,
--- a/control/suspicion.go
+++ b/control/suspicion.go
@@ -91,7 +91,7 @@
 			running = append(running, other.fingerprint)
 		}
 	}
-	m.applyQuarantine(m.crashEvidence.tracker.Lost(m.now, g.target.name, nonZeroFingerprints(running)))
+	m.applyQuarantine(m.crashEvidence.tracker.ConnectionsLost(m.now, g.target.name, nonZeroFingerprints(running)))
 	st := m.crashEvidence.startOf(g.target.name)
 	st.lost, st.lostAt = true, m.now
 }
@@ -133,7 +133,7 @@
 		}
 	case st.lost && m.now-st.lostAt >= lossSettleTime:
 		st.lost = false
-		m.applyQuarantine(s.tracker.Alive(m.now, st.since, target))
+		m.applyQuarantine(s.tracker.StillRunning(m.now, st.since, target))
 	}
 }
 
@@ -218,7 +218,7 @@
 
 // sendEvidence sends the evidence known here to a node that has returned.
 func (m *Machine) sendEvidence(node NodeID) {
-	m.sendNotices(node, m.crashEvidence.tracker.State(m.now))
+	m.sendNotices(node, m.crashEvidence.tracker.Evidence(m.now))
 }
 
 func (m *Machine) quarantineNoticeReceived(msg QuarantineNotice) {
--- a/control/target.go
+++ b/control/target.go
@@ -93,7 +93,7 @@
 	t.leaving = decl.Leaving
 	t.evacuated = decl.Evacuated
 	t.dataCentre = decl.DataCentre
-	t.window.Declare(decl.Slots)
+	t.window.SetSlots(decl.Slots)
 }
 
 // room returns how many more grants the target may currently be given.
@@ -104,11 +104,11 @@
 	room := 0
 	switch {
 	case t.failures > 0:
-		room = max(0, 1-t.window.Out()) // a single run as a probe
+		room = max(0, 1-t.window.Held()) // a single run as a probe
 	case t.engine != nil:
 		room = t.engine.FreeSlots()
 	default:
-		room = t.window.Room(now)
+		room = t.window.Free(now)
 	}
 	if t.isCold(now) {
 		return min(room, t.coldRoom(now))
--- a/control/unread_test.go
+++ b/control/unread_test.go
@@ -45,7 +45,7 @@
 	}
 	f.now += time.Second
 	const muchMore = 1e6
-	if !f.machine.sched.shards[ShardID{Pool: "gen"}].shares.Ask(f.now, "a", muchMore) {
+	if !f.machine.sched.shards[ShardID{Pool: "gen"}].shares.Take(f.now, "a", muchMore) {
 		t.Fatal("the share was used up before")
 	}
 	if got := counted("a", 3); got != 0 {
--- a/router/loop.go
+++ b/router/loop.go
@@ -233,7 +233,7 @@
 func (l *loop) logGap(c control.ShareGap) {
 	l.log.Warn("control: Workspace was granted less than half of another.",
 		"pool", c.Shard.Pool, "workspace", c.Gap.Workspace,
-		"asked", c.Gap.Asked, "refused_unread", c.Gap.Unread, "granted", c.Gap.Granted, "refused_here", c.Gap.RefusedHere,
+		"asked", c.Gap.Demand, "refused_unread", c.Gap.Unread, "granted", c.Gap.Granted, "refused_here", c.Gap.RefusedHere,
 		"best", c.Gap.Best, "best_granted", c.Gap.BestGranted)
 }
 
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -149,8 +149,8 @@
 		c.add("scheduling.cold_slack", "is %g; must be from 0 to %d", s.Scheduling.ColdSlack, maxColdSlack)
 	}
 	for _, bound := range s.Scheduling.Tokens.Bounds() {
-		if !(bound.Value >= bound.Least && bound.Value <= bound.Most) {
-			c.add("scheduling.tokens."+bound.Key, "is %g; must be from %g to %g", bound.Value, bound.Least, bound.Most)
+		if !(bound.Value >= bound.Min && bound.Value <= bound.Max) {
+			c.add("scheduling.tokens."+bound.Key, "is %g; must be from %g to %g", bound.Value, bound.Min, bound.Max)
 		}
 	}
 	if s.Scheduling.MemberTimeout <= s.Scheduling.HeartbeatEvery {
