--- a/control/commands.go
+++ b/control/commands.go
@@ -21,9 +21,9 @@
 	Grant   GrantID
 	Target  string
 	// PredictedStart, Reads and FetchFrom have the same meaning as in Grant.
-	Start     time.Duration
-	Reads     int
-	FetchFrom string
+	PredictedStart time.Duration
+	Reads          int
+	FetchFrom      string
 }
 
 // Refuse ends a waiting request with a result code.
@@ -41,14 +41,14 @@
 
 // TargetHealthChanged reports that this node, as a scheduler, changed its assessment of a
 // target's health.
-type TargetJudged struct {
+type TargetHealthChanged struct {
 	Target string
 	// Failing reports that the target gets no grants for Backoff, after Failures
 	// consecutive failures; otherwise it serves again. Cause is the latest event that led
 	// to the change.
 	Failing  bool
 	Failures int
-	Pause    time.Duration
+	Backoff  time.Duration
 	Cause    string
 }
 
@@ -61,9 +61,9 @@
 // SchedulerAvoided reports that a scheduler left a ticket unanswered, that nothing was
 // received from it for SilentFor, and that this node grants locally for a while.
 type SchedulerAvoided struct {
-	Node   NodeID
-	Pool   string
-	Silent time.Duration
+	Node      NodeID
+	Pool      string
+	SilentFor time.Duration
 }
 
 // WatchTargets replaces the set of targets whose load this node polls.
@@ -87,11 +87,11 @@
 
 // FeedRole tells this node whether it has to follow the platform's feeds itself. Otherwise
 // other nodes of its data centre forward what they learn.
-type FeedTurn struct {
-	Wanted bool
+type FeedRole struct {
+	Follow bool
 	// Probe reports that no other node verifies, by calls of its own, that the platform
 	// still accepts calls that wait for changes; this node has to.
-	Proves bool
+	Probe bool
 	// Ahead counts the nodes that rank before this one to follow the feeds and do not
 	// follow yet.
 	Ahead int
@@ -99,20 +99,20 @@
 
 // RecheckFeeds reports that the platform stopped answering another node: this node's own
 // calls that wait for changes may have been lost.
-type FeedsDoubted struct{}
+type RecheckFeeds struct{}
 
 // Drained reports that no shard and no request is left here after DrainStarted.
 type Drained struct{}
 
-func (Send) isCommand()              {}
-func (Dispatch) isCommand()          {}
-func (Refuse) isCommand()            {}
-func (WatchTargets) isCommand()      {}
-func (QuarantineChanged) isCommand() {}
-func (VersionSeen) isCommand()       {}
-func (FeedTurn) isCommand()          {}
-func (FeedsDoubted) isCommand()      {}
-func (Drained) isCommand()           {}
-func (TargetJudged) isCommand()      {}
-func (TargetCold) isCommand()        {}
-func (SchedulerAvoided) isCommand()  {}
+func (Send) isCommand()                {}
+func (Dispatch) isCommand()            {}
+func (Refuse) isCommand()              {}
+func (WatchTargets) isCommand()        {}
+func (QuarantineChanged) isCommand()   {}
+func (VersionSeen) isCommand()         {}
+func (FeedRole) isCommand()            {}
+func (RecheckFeeds) isCommand()        {}
+func (Drained) isCommand()             {}
+func (TargetHealthChanged) isCommand() {}
+func (TargetCold) isCommand()          {}
+func (SchedulerAvoided) isCommand()    {}
--- a/control/events.go
+++ b/control/events.go
@@ -153,20 +153,20 @@
 // TargetCacheReported lists the prompt parts that a target has cached, with the tokens now
 // cached of each: the parts that changed, or all of them if Full. It lags behind, and some
 // reports are lost.
-type TargetKept struct {
+type TargetCacheReported struct {
 	Target string
 	// Start distinguishes the starts of the target; see config.Target.Start.
 	Start int64
-	Whole bool
+	Full  bool
 	Parts []PromptPart
 }
 
 // FeedState reports whether this node follows the platform's feeds and they answer.
-type FeedsFollowed struct{ Live bool }
+type FeedState struct{ Live bool }
 
 // RequestsRefusedUnread reports that this router refused requests before it read them. It
 // is sent at most a few times a second for each pool and workspace.
-type RequestsUnread struct {
+type RequestsRefusedUnread struct {
 	Pool, Workspace string
 	Count           int
 }
@@ -178,18 +178,18 @@
 // Tick advances the time. The caller of Step sends one at Machine.NextWake.
 type Tick struct{}
 
-func (ConfigChanged) isEvent()     {}
-func (RequestArrived) isEvent()    {}
-func (RequestCancelled) isEvent()  {}
-func (RunBegan) isEvent()          {}
-func (RunEnded) isEvent()          {}
-func (MessageReceived) isEvent()   {}
-func (PeerState) isEvent()         {}
-func (MembersListed) isEvent()     {}
-func (TargetLoad) isEvent()        {}
-func (TargetUnreachable) isEvent() {}
-func (TargetKept) isEvent()        {}
-func (FeedsFollowed) isEvent()     {}
-func (RequestsUnread) isEvent()    {}
-func (DrainStarted) isEvent()      {}
-func (Tick) isEvent()              {}
+func (ConfigChanged) isEvent()         {}
+func (RequestArrived) isEvent()        {}
+func (RequestCancelled) isEvent()      {}
+func (RunBegan) isEvent()              {}
+func (RunEnded) isEvent()              {}
+func (MessageReceived) isEvent()       {}
+func (PeerState) isEvent()             {}
+func (MembersListed) isEvent()         {}
+func (TargetLoad) isEvent()            {}
+func (TargetUnreachable) isEvent()     {}
+func (TargetCacheReported) isEvent()   {}
+func (FeedState) isEvent()             {}
+func (RequestsRefusedUnread) isEvent() {}
+func (DrainStarted) isEvent()          {}
+func (Tick) isEvent()                  {}
--- a/control/feeds.go
+++ b/control/feeds.go
@@ -31,7 +31,7 @@
 
 // feedStateChanged records whether this node's feeds answer. All other nodes are informed,
 // as most of them do not receive this node's periodic heartbeats.
-func (m *Machine) feedStateChanged(ev FeedsFollowed) {
+func (m *Machine) feedStateChanged(ev FeedState) {
 	if m.fleet.feeds.following == ev.Live {
 		return
 	}
@@ -53,8 +53,8 @@
 		return
 	}
 	delete(m.fleet.feeds.followers, node)
-	if !leaving && m.feedRoleOf(node).Wanted {
-		m.emit(FeedsDoubted{})
+	if !leaving && m.feedRoleOf(node).Follow {
+		m.emit(RecheckFeeds{})
 	}
 }
 
@@ -65,18 +65,18 @@
 	}
 	m.fleet.feeds.roleStale = false
 	role := m.feedRoleOf(m.opts.Node)
-	if role.Wanted == m.fleet.feeds.follow && role.Proves == m.fleet.feeds.probe {
+	if role.Follow == m.fleet.feeds.follow && role.Probe == m.fleet.feeds.probe {
 		return
 	}
-	m.fleet.feeds.follow = role.Wanted
-	m.fleet.feeds.probe = role.Proves
+	m.fleet.feeds.follow = role.Follow
+	m.fleet.feeds.probe = role.Probe
 	m.emit(role)
 }
 
 // feedRoleOf determines whether enough higher-ranked nodes of a node's data centre follow
 // the feeds, and whether any in the fleet does. What a node last announced counts as long
 // as it is alive.
-func (m *Machine) feedRoleOf(node NodeID) FeedTurn {
+func (m *Machine) feedRoleOf(node NodeID) FeedRole {
 	ownScore := member.Score(member.HashOf(string(node)), feedKey)
 	dataCentre := m.dataCentreOf(node)
 	following, ahead := 0, 0
@@ -95,9 +95,9 @@
 		}
 	}
 	if following >= followersPerDataCentre {
-		return FeedTurn{}
+		return FeedRole{}
 	}
-	return FeedTurn{Wanted: true, Proves: probe, Ahead: ahead}
+	return FeedRole{Follow: true, Probe: probe, Ahead: ahead}
 }
 
 // feedNode is a live node that may follow the feeds.
--- a/control/feeds_test.go
+++ b/control/feeds_test.go
@@ -8,15 +8,15 @@
 // follow lets a node follow the feeds, or leave that to others.
 func (s *sim) follow(n *simNode, wanted bool) {
 	n.follows = wanted
-	s.step(n, FeedsFollowed{Live: wanted && !n.cut})
+	s.step(n, FeedState{Live: wanted && !n.cut})
 }
 
 // takeTurn follows the feeds, or not, unless the turn changes before its time.
-func (s *sim) takeTurn(n *simNode, turn FeedTurn) {
+func (s *sim) takeTurn(n *simNode, turn FeedRole) {
 	n.turn = turn
 	s.after(time.Duration(turn.Ahead)*100*time.Millisecond, func() {
 		if n.turn == turn {
-			s.follow(n, turn.Wanted)
+			s.follow(n, turn.Follow)
 		}
 	})
 }
@@ -59,7 +59,7 @@
 	for _, id := range s.names {
 		if n := s.nodes[id]; n.up && n.follows {
 			n.cut = true
-			s.step(n, FeedsFollowed{})
+			s.step(n, FeedState{})
 		}
 	}
 	settled("after all were turned away", followersPerDataCentre)
@@ -109,12 +109,12 @@
 	load := workload{workspaces: map[string]float64{"a": 1}, perCentre: 1, slots: 4, centres: centres}
 	s.fleet(12, load.snapshot(), Options{}, centres...)
 	for _, id := range s.names {
-		s.nodes[id].turn = FeedTurn{Wanted: true, Proves: true} // as each begins
+		s.nodes[id].turn = FeedRole{Follow: true, Probe: true} // as each begins
 		s.follow(s.nodes[id], true)
 	}
 	provers := func() (names []NodeID) {
 		for _, id := range s.names {
-			if n := s.nodes[id]; n.up && n.follows && n.turn.Proves {
+			if n := s.nodes[id]; n.up && n.follows && n.turn.Probe {
 				names = append(names, id)
 			}
 		}
@@ -171,7 +171,7 @@
 	}
 	cut := follower()
 	cut.cut = true
-	s.step(cut, FeedsFollowed{})
+	s.step(cut, FeedState{})
 	s.runUntil(s.now + time.Second)
 	if told := doubts(); told != len(s.names)-1 {
 		t.Errorf("%d of %d nodes doubt their calls", told, len(s.names)-1)
--- a/control/gap_test.go
+++ b/control/gap_test.go
@@ -17,7 +17,7 @@
 		s.shares.Served(f.now, "a", 1)
 		s.shares.Ask(f.now, "b", 0.1)
 		s.shares.Served(f.now, "b", 0.1)
-		for _, command := range f.step(RequestsUnread{Pool: "gen", Workspace: "b", Count: 9}) {
+		for _, command := range f.step(RequestsRefusedUnread{Pool: "gen", Workspace: "b", Count: 9}) {
 			gap, ok := command.(ShareGap)
 			if !ok {
 				continue
--- a/control/grants.go
+++ b/control/grants.go
@@ -222,13 +222,13 @@
 		}
 	}
 	m.send(g.from, Grant{
-		ID:        g.id,
-		Ticket:    g.ticket,
-		Target:    g.target.name,
-		Spare:     spare,
-		Start:     g.placement.start,
-		Reads:     g.placement.reads,
-		FetchFrom: g.placement.fetchName(),
+		ID:             g.id,
+		Ticket:         g.ticket,
+		Target:         g.target.name,
+		Spare:          spare,
+		PredictedStart: g.placement.start,
+		Reads:          g.placement.reads,
+		FetchFrom:      g.placement.fetchName(),
 	})
 }
 
--- a/control/loadtest/pattern.go
+++ b/control/loadtest/pattern.go
@@ -236,6 +236,6 @@
 	counts := by.unread
 	by.unread = nil
 	for _, workspace := range slices.Sorted(maps.Keys(counts)) {
-		w.step(by, control.RequestsUnread{Pool: pool, Workspace: workspace, Count: counts[workspace]})
+		w.step(by, control.RequestsRefusedUnread{Pool: pool, Workspace: workspace, Count: counts[workspace]})
 	}
 }
--- a/control/loadtest/world.go
+++ b/control/loadtest/world.go
@@ -356,7 +356,7 @@
 func (w *world) dispatch(r *router, c control.Dispatch) {
 	one := w.calls[c.Request]
 	e := w.engines[c.Target]
-	started := &run{request: c.Request, grant: c.Grant, at: r, inc: r.inc, engine: e, work: one.work, started: w.now, predicted: c.Start, attempt: c.Attempt}
+	started := &run{request: c.Request, grant: c.Grant, at: r, inc: r.inc, engine: e, work: one.work, started: w.now, predicted: c.PredictedStart, attempt: c.Attempt}
 	r.runs[c.Grant] = started
 	if since := w.now - w.pattern.StallAt; since >= 0 && since < stallWindow {
 		served := w.result.Workspaces[one.workspace]
@@ -407,7 +407,7 @@
 func (w *world) told(target string, parts []control.PromptPart) {
 	for _, r := range w.routers {
 		if r.up {
-			w.step(r, control.TargetKept{Target: target, Whole: true, Parts: parts})
+			w.step(r, control.TargetCacheReported{Target: target, Full: true, Parts: parts})
 		}
 	}
 }
--- a/control/machine.go
+++ b/control/machine.go
@@ -155,13 +155,13 @@
 		m.targetLoadReported(ev)
 	case TargetUnreachable:
 		m.targetUnreachable(ev)
-	case TargetKept:
+	case TargetCacheReported:
 		m.targetCacheReported(ev)
-	case TargetNoticed:
+	case TargetNoticeReceived:
 		m.targetNoticeReceived(ev)
-	case FeedsFollowed:
+	case FeedState:
 		m.feedStateChanged(ev)
-	case RequestsUnread:
+	case RequestsRefusedUnread:
 		m.requestsRefusedUnread(ev)
 	case DrainStarted:
 		m.drainStarted()
--- a/control/messages.go
+++ b/control/messages.go
@@ -45,8 +45,8 @@
 	// PredictedStart is the predicted time from now until the answer begins, and Reads the
 	// number of prompt tokens that the target has to read; for targets that count in
 	// tokens.
-	Start time.Duration
-	Reads int
+	PredictedStart time.Duration
+	Reads          int
 	// FetchFrom is the target that has the shared parts of the prompt in its cache, if they
 	// are to be fetched from it; empty otherwise.
 	FetchFrom string
--- a/control/notices.go
+++ b/control/notices.go
@@ -21,7 +21,7 @@
 
 // TargetNoticeReceived reports a notice that an answer to this node carried about its
 // target.
-type TargetNoticed struct {
+type TargetNoticeReceived struct {
 	Target string
 	// Start identifies the start of the target that was listed when the request was sent;
 	// zero: unknown.
@@ -39,21 +39,21 @@
 
 // TargetLeaving reports that a target announced that it is leaving, to this node or to
 // From.
-type TargetLeaves struct {
+type TargetLeaving struct {
 	Target string
 	From   NodeID
 }
 
-func (TargetNoticed) isEvent()   {}
-func (LeavingNotice) isMessage() {}
-func (TargetLeaves) isCommand()  {}
+func (TargetNoticeReceived) isEvent() {}
+func (LeavingNotice) isMessage()      {}
+func (TargetLeaving) isCommand()      {}
 
 // targetNoticeReceived records a notice that an answer carried about its target.
-func (m *Machine) targetNoticeReceived(ev TargetNoticed) {
+func (m *Machine) targetNoticeReceived(ev TargetNoticeReceived) {
 	if !m.notices.Add(m.now, ev.Target, ev.Start, ev.Notice) {
 		return
 	}
-	m.emit(TargetLeaves{Target: ev.Target, From: m.opts.Node})
+	m.emit(TargetLeaving{Target: ev.Target, From: m.opts.Node})
 	if m.topo == nil {
 		return
 	}
@@ -79,7 +79,7 @@
 	}
 	t.saidLeaving = true
 	if from != m.opts.Node {
-		m.emit(TargetLeaves{Target: msg.Target, From: from})
+		m.emit(TargetLeaving{Target: msg.Target, From: from})
 	}
 	m.updateUnservable(t)
 }
--- a/control/notices_test.go
+++ b/control/notices_test.go
@@ -10,7 +10,7 @@
 
 // saysLeaving gives the machine an answer of a start of a target that says that it leaves.
 func (f *tokenFleet) saysLeaving(target string, start int64) []Command {
-	return f.step(TargetNoticed{Target: target, Start: start, Notice: notice.Notice{Leaving: true}})
+	return f.step(TargetNoticeReceived{Target: target, Start: start, Notice: notice.Notice{Leaving: true}})
 }
 
 // grantFor returns a grant of another node's scheduler for a request that waits here.
@@ -118,7 +118,7 @@
 
 // holdsOff gives the machine an answer of a target that asks this node to wait.
 func (f *tokenFleet) holdsOff(target string, d time.Duration) {
-	f.step(TargetNoticed{Target: target, Notice: notice.Notice{HoldOff: d}})
+	f.step(TargetNoticeReceived{Target: target, Notice: notice.Notice{HoldOff: d}})
 }
 
 // TestHoldOffBindsOnlyThisNode: requests that entered here are not granted a target that asked
--- a/control/place.go
+++ b/control/place.go
@@ -277,7 +277,7 @@
 }
 
 // targetCacheReported records what a target reports to have cached.
-func (m *Machine) targetCacheReported(ev TargetKept) {
+func (m *Machine) targetCacheReported(ev TargetCacheReported) {
 	t := m.localTarget(ev.Target)
 	if t == nil || t.engine == nil || ev.Start != 0 && ev.Start < t.start {
 		return
@@ -289,5 +289,5 @@
 	for _, part := range ev.Parts {
 		parts = append(parts, sched.EnginePart{ID: part.ID, Tokens: part.Tokens})
 	}
-	t.engine.Tell(m.now, ev.Whole, parts)
+	t.engine.Tell(m.now, ev.Full, parts)
 }
--- a/control/rank.go
+++ b/control/rank.go
@@ -102,7 +102,7 @@
 
 // requestsRefusedUnread tells the schedulers of a pool which requests this node refused
 // before reading them.
-func (m *Machine) requestsRefusedUnread(ev RequestsUnread) {
+func (m *Machine) requestsRefusedUnread(ev RequestsRefusedUnread) {
 	if m.topo == nil || m.topo.decl.Pools[ev.Pool].Tokens == nil {
 		return
 	}
--- a/control/runs.go
+++ b/control/runs.go
@@ -112,7 +112,7 @@
 	m.entry.runs[g.ID] = run
 	m.entry.latestRun[run.request] = run
 	m.timers.set(&run.timer, run, m.now+firstReportAfter)
-	m.emit(Dispatch{Request: r.ev.Request, Attempt: r.ev.Attempt, Grant: g.ID, Target: g.Target, Start: g.Start, Reads: g.Reads, FetchFrom: g.FetchFrom})
+	m.emit(Dispatch{Request: r.ev.Request, Attempt: r.ev.Attempt, Grant: g.ID, Target: g.Target, PredictedStart: g.PredictedStart, Reads: g.Reads, FetchFrom: g.FetchFrom})
 	m.offerWaiting(shard)
 }
 
--- a/control/sim_test.go
+++ b/control/sim_test.go
@@ -64,8 +64,8 @@
 	// cut says that the platform does not answer this node; follows, that it follows
 	// the platform's feeds.
 	cut, follows bool
-	turn         FeedTurn
-	// doubts counts FeedsDoubted.
+	turn         FeedRole
+	// doubts counts RecheckFeeds.
 	doubts int
 	offset Instant // the node's own clock started at this time
 }
@@ -233,9 +233,9 @@
 		s.send(n, c)
 	case Dispatch:
 		s.dispatch(n, c)
-	case FeedTurn:
+	case FeedRole:
 		s.takeTurn(n, c)
-	case FeedsDoubted:
+	case RecheckFeeds:
 		n.doubts++
 	case Refuse:
 		if r := s.find(n, c.Request); r != nil {
--- a/control/start_test.go
+++ b/control/start_test.go
@@ -22,7 +22,7 @@
 
 // kept tells that a start of a target keeps a part.
 func (f *tokenFleet) kept(target string, start int64, part PromptPart) {
-	f.step(TargetKept{Target: target, Start: start, Whole: true, Parts: []PromptPart{part}})
+	f.step(TargetCacheReported{Target: target, Start: start, Full: true, Parts: []PromptPart{part}})
 }
 
 // TestNextStartKnowsNothing: a target that starts again under its name keeps
--- a/control/target.go
+++ b/control/target.go
@@ -191,7 +191,7 @@
 	}
 	backoff := min(minBackoff<<(t.failures-1), longest)
 	t.backoffUntil = m.now + m.jitter(backoff)
-	m.emit(TargetJudged{Target: t.name, Failing: true, Failures: t.failures, Pause: t.backoffUntil - m.now, Cause: cause})
+	m.emit(TargetHealthChanged{Target: t.name, Failing: true, Failures: t.failures, Backoff: t.backoffUntil - m.now, Cause: cause})
 	m.timers.set(&t.timer, t, t.backoffUntil)
 	m.updateUnservable(t)
 }
@@ -218,7 +218,7 @@
 		return
 	}
 	if t.failures > 0 {
-		m.emit(TargetJudged{Target: t.name, Failures: t.failures, Cause: cause})
+		m.emit(TargetHealthChanged{Target: t.name, Failures: t.failures, Cause: cause})
 	}
 	likelyRestarted := t.unreachable || t.lostRuns >= restartLostRuns
 	t.resetFailures()
--- a/control/tickets.go
+++ b/control/tickets.go
@@ -122,7 +122,7 @@
 func (m *Machine) grantLocally(r *request, sent *sentTicket) {
 	m.counters.TicketsLocal++
 	if silent := m.now - m.view.HeardAt(string(sent.to)); silent >= m.opts.LocalAfter && m.entry.avoidUntil[sent.to] < m.now {
-		m.emit(SchedulerAvoided{Node: sent.to, Pool: r.ev.Pool, Silent: silent})
+		m.emit(SchedulerAvoided{Node: sent.to, Pool: r.ev.Pool, SilentFor: silent})
 		m.entry.avoidUntil[sent.to] = m.now + avoidDuration
 	}
 	m.send(sent.to, CancelTicket{Ticket: r.id, Shard: sent.shard})
--- a/control/unread_test.go
+++ b/control/unread_test.go
@@ -9,13 +9,13 @@
 // itself or another node, and nobody where the pool does not count in tokens.
 func TestSchedulerLearnsWhatEntriesRefuse(t *testing.T) {
 	f := newTokenFleet("e1")
-	f.step(RequestsUnread{Pool: "gen", Workspace: "a", Count: 3})
+	f.step(RequestsRefusedUnread{Pool: "gen", Workspace: "a", Count: 3})
 	if f.machine.sched.shards[ShardID{Pool: "gen"}] == nil {
 		t.Fatal("this node does not schedule the pool")
 	}
 	f.hearsLarger()
 	var sent []Send
-	for _, command := range f.step(RequestsUnread{Pool: "gen", Workspace: "a", Count: 3}) {
+	for _, command := range f.step(RequestsRefusedUnread{Pool: "gen", Workspace: "a", Count: 3}) {
 		if send, ok := command.(Send); ok {
 			sent = append(sent, send)
 		}
@@ -24,7 +24,7 @@
 	if len(sent) != 1 || sent[0].To != "other" || sent[0].Message != want {
 		t.Errorf("sent %+v", sent)
 	}
-	for _, command := range f.step(RequestsUnread{Pool: "plain", Workspace: "a", Count: 3}) {
+	for _, command := range f.step(RequestsRefusedUnread{Pool: "plain", Workspace: "a", Count: 3}) {
 		if send, ok := command.(Send); ok {
 			t.Errorf("told %+v of a pool that is not known", send)
 		}
@@ -37,7 +37,7 @@
 	f := newTokenFleet("e1")
 	counted := func(workspace string, count int) uint64 {
 		before := f.machine.Counters().UnreadWhileOwed
-		f.step(RequestsUnread{Pool: "gen", Workspace: workspace, Count: count})
+		f.step(RequestsRefusedUnread{Pool: "gen", Workspace: workspace, Count: count})
 		return f.machine.Counters().UnreadWhileOwed - before
 	}
 	if got := counted("a", 3); got != 3 {
--- a/peer/wire/codec_queue.go
+++ b/peer/wire/codec_queue.go
@@ -123,7 +123,7 @@
 		Attempt:      m.Ticket.Attempt,
 		Target:       target,
 		Spare:        int64(m.Spare),
-		Start:        micros(m.Start),
+		Start:        micros(m.PredictedStart),
 		Reads:        uint32(m.Reads),
 	}
 	if m.FetchFrom != "" {
@@ -154,10 +154,10 @@
 			Request:     control.RequestID(p.GetRequest()),
 			Attempt:     p.GetAttempt(),
 		},
-		Target: target,
-		Spare:  int(p.GetSpare()),
-		Start:  fromMicros(p.GetStart()),
-		Reads:  int(p.GetReads()),
+		Target:         target,
+		Spare:          int(p.GetSpare()),
+		PredictedStart: fromMicros(p.GetStart()),
+		Reads:          int(p.GetReads()),
 
 		FetchFrom: fetchFrom,
 	}, nil
--- a/router/acquire.go
+++ b/router/acquire.go
@@ -122,7 +122,7 @@
 	ex.Address = declared.Address
 	ex.TargetServes = func() bool { return g.serves(ex, answer.dispatch.Target, declared.Address) }
 	ex.FetchAddress = g.inForce().Declarations.Targets[answer.dispatch.FetchFrom].Address
-	ex.Placed = pipeline.Placement{Start: answer.dispatch.Start, Reads: answer.dispatch.Reads, FetchFrom: answer.dispatch.FetchFrom}
+	ex.Placed = pipeline.Placement{Start: answer.dispatch.PredictedStart, Reads: answer.dispatch.Reads, FetchFrom: answer.dispatch.FetchFrom}
 	return nil
 }
 
--- a/router/loop.go
+++ b/router/loop.go
@@ -48,7 +48,7 @@
 	watchTargets(targets []string)
 	quarantineChanged(fingerprint uint64, quarantined bool)
 	versionSeen(from control.NodeID, version uint64)
-	feedTurn(turn control.FeedTurn)
+	feedTurn(turn control.FeedRole)
 	feedsDoubted()
 	membersChanged(alive []control.NodeID)
 	drained()
@@ -209,22 +209,22 @@
 		l.shell.quarantineChanged(c.Fingerprint, c.Quarantined)
 	case control.VersionSeen:
 		l.shell.versionSeen(c.From, c.Version)
-	case control.FeedTurn:
+	case control.FeedRole:
 		l.shell.feedTurn(c)
-	case control.FeedsDoubted:
+	case control.RecheckFeeds:
 		l.shell.feedsDoubted()
 	case control.Drained:
 		l.shell.drained()
-	case control.TargetJudged:
+	case control.TargetHealthChanged:
 		l.logJudgement(c)
-	case control.TargetLeaves:
+	case control.TargetLeaving:
 		l.log.Info("control: Target says that it leaves.", "target", c.Target, "told", c.From)
 	case control.TargetCold:
 		l.log.Info("control: Target is cold, few requests at a time.", "target", c.Target, "for", c.For)
 	case control.ShareGap:
 		l.logGap(c)
 	case control.SchedulerAvoided:
-		l.log.Warn("control: Scheduler does not answer, granting here.", "scheduler", c.Node, "pool", c.Pool, "silent", c.Silent)
+		l.log.Warn("control: Scheduler does not answer, granting here.", "scheduler", c.Node, "pool", c.Pool, "silent", c.SilentFor)
 	}
 }
 
@@ -238,9 +238,9 @@
 }
 
 // logJudgement tells what this router thinks of a target from now on.
-func (l *loop) logJudgement(c control.TargetJudged) {
+func (l *loop) logJudgement(c control.TargetHealthChanged) {
 	if c.Failing {
-		l.log.Warn("control: Target is passed over.", "target", c.Target, "cause", c.Cause, "failures", c.Failures, "pause", c.Pause)
+		l.log.Warn("control: Target is passed over.", "target", c.Target, "cause", c.Cause, "failures", c.Failures, "pause", c.Backoff)
 		return
 	}
 	l.log.Info("control: Target serves again.", "target", c.Target, "cause", c.Cause, "failures", c.Failures)
--- a/router/managed.go
+++ b/router/managed.go
@@ -78,7 +78,7 @@
 			ProbeEra:      s.Era,
 			Routers:       func() int { return int(r.members.Load()) },
 			Shared:        true,
-			OnFollowing:   func(live bool) { r.loop.post(control.FeedsFollowed{Live: live}) },
+			OnFollowing:   func(live bool) { r.loop.post(control.FeedState{Live: live}) },
 			Log:           r.log,
 		}),
 		othersKnown: make(chan struct{}),
@@ -94,12 +94,12 @@
 }
 
 // feedTurn implements shell.
-func (r *Router) feedTurn(turn control.FeedTurn) {
+func (r *Router) feedTurn(turn control.FeedRole) {
 	if r.managed == nil {
 		return
 	}
-	r.log.Info("directory: Turn to follow the platform's feeds changed.", "wanted", turn.Wanted, "proves", turn.Proves, "ahead", turn.Ahead)
-	r.directory.SetTurn(directory.Turn{Wanted: turn.Wanted, Proves: turn.Proves, Ahead: turn.Ahead})
+	r.log.Info("directory: Turn to follow the platform's feeds changed.", "wanted", turn.Follow, "proves", turn.Probe, "ahead", turn.Ahead)
+	r.directory.SetTurn(directory.Turn{Wanted: turn.Follow, Proves: turn.Probe, Ahead: turn.Ahead})
 }
 
 // feedsDoubted implements shell.
@@ -159,7 +159,7 @@
 }
 
 // targetKept hands what a target keeps to the control goroutine.
-func (r *Router) targetKept(kept control.TargetKept) { r.loop.post(kept) }
+func (r *Router) targetKept(kept control.TargetCacheReported) { r.loop.post(kept) }
 
 // managedConfig is the configuration in force, for operators.
 func (b backend) managedConfig(known *config.Snapshot, version config.Version) (*config.Snapshot, error) {
--- a/router/notices.go
+++ b/router/notices.go
@@ -46,7 +46,7 @@
 // passed on.
 func (r *Router) targetNoticed(target string, start int64, said notice.Notice) {
 	if r.notices.add(r.loop.instant(time.Now()), target, start, said) || said.HoldOff > 0 {
-		r.loop.post(control.TargetNoticed{Target: target, Start: start, Notice: said})
+		r.loop.post(control.TargetNoticeReceived{Target: target, Start: start, Notice: said})
 	}
 }
 
--- a/router/unread.go
+++ b/router/unread.go
@@ -50,7 +50,7 @@
 		case <-ticker.C:
 		}
 		for key, count := range u.take() {
-			to.post(control.RequestsUnread{Pool: key.pool, Workspace: key.workspace, Count: count})
+			to.post(control.RequestsRefusedUnread{Pool: key.pool, Workspace: key.workspace, Count: count})
 		}
 	}
 }
--- a/targets/cachewatch/cachewatch.go
+++ b/targets/cachewatch/cachewatch.go
@@ -62,7 +62,7 @@
 type Watcher struct {
 	source Source
 	// told gets what a target keeps.
-	told func(control.TargetKept)
+	told func(control.TargetCacheReported)
 	log  *slog.Logger
 
 	mu      sync.Mutex
@@ -78,7 +78,7 @@
 }
 
 // New returns a watcher of no targets.
-func New(source Source, told func(control.TargetKept), log *slog.Logger) *Watcher {
+func New(source Source, told func(control.TargetCacheReported), log *slog.Logger) *Watcher {
 	return &Watcher{source: source, told: told, log: log, watched: make(map[string]*watch)}
 }
 
@@ -135,7 +135,7 @@
 			listed = false
 			continue
 		default:
-			w.told(control.TargetKept{Target: name, Start: news.Start, Whole: !listed, Parts: news.Parts})
+			w.told(control.TargetCacheReported{Target: name, Start: news.Start, Full: !listed, Parts: news.Parts})
 			last, listed, pause = news, true, pace
 		}
 		wait.For(ctx, pause/2+rand.N(pause))
--- a/targets/cachewatch/cachewatch_test.go
+++ b/targets/cachewatch/cachewatch_test.go
@@ -65,10 +65,10 @@
 		target := &fakeTarget{epoch: "1", kept: map[uint64]int{7: 100}}
 		var mu sync.Mutex
 		known := make(map[uint64]int)
-		w := New(target, func(kept control.TargetKept) {
+		w := New(target, func(kept control.TargetCacheReported) {
 			mu.Lock()
 			defer mu.Unlock()
-			if kept.Whole {
+			if kept.Full {
 				clear(known)
 			}
 			for _, part := range kept.Parts {
