--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -9,15 +9,16 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// The size that the project is heading for.
+// The largest fleet that the project is designed for.
 const (
-	benchNodes      = 340
-	benchCentres    = 7
-	benchPools      = 38
-	benchTargets    = 3800
-	benchWorkspaces = 16000
+	benchNodes       = 340
+	benchDataCentres = 7
+	benchPools       = 38
+	benchTargets     = 3800
+	benchWorkspaces  = 16000
 )
 
+// benchSnapshot declares the targets and workspaces of that fleet.
 func benchSnapshot() *config.Snapshot {
 	d := config.Declarations{
 		Workspaces: make(map[string]config.Workspace, benchWorkspaces),
@@ -35,7 +36,7 @@
 	for i := range benchTargets {
 		d.Targets[fmt.Sprintf("target-%04d", i)] = config.Target{
 			Pool:       pools[i%benchPools],
-			DataCentre: fmt.Sprintf("dc%d", i/benchPools%benchCentres),
+			DataCentre: fmt.Sprintf("dc%d", i/benchPools%benchDataCentres),
 			Slots:      8,
 		}
 	}
@@ -44,17 +45,18 @@
 
 func benchWorkspace(i int) string { return fmt.Sprintf("workspace-%05d", i) }
 
-// benchNode is a node that schedules a shard; there are fewer shards than nodes.
+// benchNode is a node that schedules a shard. There are fewer shards than nodes, so not
+// every node does.
 const benchNode = "n7"
 
-// benchMachine returns one node of the fleet, which has heard every other node,
-// and a shard that it schedules.
+// benchMachine returns the machine of benchNode, which has received a heartbeat of every
+// other node, with a shard that it schedules and the current time.
 func benchMachine(b *testing.B) (*Machine, ShardID, Instant) {
 	b.Helper()
 	m := New(Options{Node: benchNode, Incarnation: 1, DataCentre: "dc0", Seed: 1})
 	var members []Member
 	for i := range benchNodes {
-		members = append(members, Member{Node: NodeID(fmt.Sprintf("n%d", i)), DataCentre: fmt.Sprintf("dc%d", i%benchCentres)})
+		members = append(members, Member{Node: NodeID(fmt.Sprintf("n%d", i)), DataCentre: fmt.Sprintf("dc%d", i%benchDataCentres)})
 	}
 	now := Instant(time.Second)
 	m.Step(now, MembersListed{Members: members})
@@ -80,6 +82,7 @@
 	}
 }
 
+// grantIn returns the first grant that commands send.
 func grantIn(cmds []Command) (Grant, bool) {
 	for _, c := range cmds {
 		if send, ok := c.(Send); ok {
@@ -91,8 +94,8 @@
 	return Grant{}, false
 }
 
-// BenchmarkStepTicketGrantEnd is one request at its scheduler: the ticket, the
-// grant and the end of the run.
+// BenchmarkStepTicketGrantEnd measures one request at its scheduler: the ticket, the grant
+// and the end of the run.
 func BenchmarkStepTicketGrantEnd(b *testing.B) {
 	m, id, now := benchMachine(b)
 	b.ReportAllocs()
@@ -110,15 +113,15 @@
 	}
 }
 
-// BenchmarkStepBacklogged is the same with 1600 workspaces waiting in the shard.
+// BenchmarkStepBacklogged measures the same while 1600 workspaces wait in the shard.
 func BenchmarkStepBacklogged(b *testing.B) {
 	m, id, now := benchMachine(b)
-	var held []Grant
+	var grants []Grant
 	seq := 0
 	push := func(workspace int) {
 		seq++
 		if g, ok := grantIn(m.Step(now, MessageReceived{From: "n1", Incarnation: 1, Message: benchTicket(id, seq, workspace)})); ok {
-			held = append(held, g)
+			grants = append(grants, g)
 		}
 	}
 	for i := range 3200 {
@@ -128,20 +131,20 @@
 	b.ResetTimer()
 	for i := range b.N {
 		now += time.Millisecond
-		g := held[0]
-		held = held[1:]
+		g := grants[0]
+		grants = grants[1:]
 		next, ok := grantIn(m.Step(now, MessageReceived{From: "n1", Incarnation: 1, Message: Report{
 			Grant: g.ID, Ticket: g.Ticket, Shard: id, Target: g.Target, Phase: PhaseEnded, Service: 300 * time.Millisecond,
 		}}))
 		if ok {
-			held = append(held, next)
+			grants = append(grants, next)
 		}
 		push(i % 1600)
 	}
 }
 
-// BenchmarkStepEntry is one request at its entry node: its arrival, the grant,
-// the end of the run and the acknowledgement.
+// BenchmarkStepEntry measures one request at its entry node: its arrival, the grant, the
+// end of the run and the acknowledgement.
 func BenchmarkStepEntry(b *testing.B) {
 	m, _, now := benchMachine(b)
 	id := ShardID{}
@@ -167,7 +170,7 @@
 	}
 }
 
-// BenchmarkStepHeartbeat is one heartbeat received.
+// BenchmarkStepHeartbeat measures the receipt of one heartbeat.
 func BenchmarkStepHeartbeat(b *testing.B) {
 	m, _, now := benchMachine(b)
 	b.ReportAllocs()
@@ -178,7 +181,7 @@
 	}
 }
 
-// BenchmarkStepTick is a tick with nothing to do but heartbeats.
+// BenchmarkStepTick measures a tick with nothing to do but heartbeats.
 func BenchmarkStepTick(b *testing.B) {
 	m, _, now := benchMachine(b)
 	b.ReportAllocs()
@@ -192,8 +195,8 @@
 	}
 }
 
-// BenchmarkExchange is one period of the exchange of service counts with a
-// number of active workspaces: the reports, and as many totals received.
+// BenchmarkExchange measures one period of the exchange of service counts, by the number of
+// active workspaces: the reports sent and as many totals received.
 func BenchmarkExchange(b *testing.B) {
 	for _, active := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(active), func(b *testing.B) {
@@ -226,7 +229,7 @@
 	}
 }
 
-// BenchmarkMembershipChange is the loss and return of one node of the fleet.
+// BenchmarkMembershipChange measures the departure and return of one node of the fleet.
 func BenchmarkMembershipChange(b *testing.B) {
 	m, _, now := benchMachine(b)
 	b.ReportAllocs()
@@ -238,8 +241,8 @@
 	}
 }
 
-// BenchmarkMemory reports the bytes that a machine at the size ahead takes, and
-// those of each queued ticket at its scheduler and waiting request at its entry.
+// BenchmarkMemory reports the bytes that a machine of such a fleet takes, and those of each
+// queued ticket at its scheduler and each waiting request at its entry.
 func BenchmarkMemory(b *testing.B) {
 	snapshot := benchSnapshot()
 	for range b.N {
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -17,7 +17,7 @@
 	coldTime         = 3 * time.Second
 )
 
-// newColdStartFleet returns a tokenFleet whose pool declares a cold start. Its targets are warm.
+// newColdStartFleet returns a tokenFleet whose pool limits cold targets. Its targets are warm.
 func newColdStartFleet(engines ...string) *tokenFleet {
 	f := newTokenFleet(engines...)
 	declarations := *f.machine.topo.decl
@@ -37,7 +37,7 @@
 // sendLoad sends short requests at a constant rate and returns the times of the grants by target.
 func (f *tokenFleet) sendLoad(d time.Duration, perSecond int) map[string][]Instant {
 	grants := make(map[string][]Instant)
-	for end, pause := f.now+d, time.Second/time.Duration(perSecond); f.now < end; f.now += pause {
+	for end, interval := f.now+d, time.Second/time.Duration(perSecond); f.now < end; f.now += interval {
 		f.requests++
 		commands := f.step(RequestArrived{
 			Request: f.requests, Attempt: 1, Workspace: "a", Pool: "gen",
@@ -61,7 +61,7 @@
 
 // maxPerSecond returns the maximum number of the given times within any one second.
 func maxPerSecond(grantTimes []Instant) int {
-	most := 0
+	highest := 0
 	for n, from := range grantTimes {
 		count := 0
 		for _, at := range grantTimes[n:] {
@@ -69,9 +69,9 @@
 				count++
 			}
 		}
-		most = max(most, count)
+		highest = max(highest, count)
 	}
-	return most
+	return highest
 }
 
 // checkCold checks that a target is limited while it is cold, yet gets at least one second's
@@ -79,11 +79,11 @@
 func (f *tokenFleet) checkCold(t *testing.T, name string) {
 	t.Helper()
 	cold := f.sendLoad(coldTime-100*time.Millisecond, 200)[name]
-	if most := maxPerSecond(cold); most > maxColdPerSecond {
-		t.Errorf("cold target %s was granted %d requests in one second, want at most %v", name, most, maxColdPerSecond)
+	if highest := maxPerSecond(cold); highest > maxColdPerSecond {
+		t.Errorf("cold target %s was granted %d requests in one second, want at most %v", name, highest, maxColdPerSecond)
 	}
-	if least := coldPerSecond; len(cold) < least {
-		t.Errorf("cold target %s was granted %d requests, want at least %d at %d per second", name, len(cold), least, coldPerSecond)
+	if minGrants := coldPerSecond; len(cold) < minGrants {
+		t.Errorf("cold target %s was granted %d requests, want at least %d at %d per second", name, len(cold), minGrants, coldPerSecond)
 	}
 	f.now += time.Second
 	if warm := f.sendLoad(time.Second, 200)[name]; len(warm) <= maxColdPerSecond {
@@ -94,7 +94,7 @@
 // TestColdTargetIsLimited guards against overloading a cold target, for each event by which a
 // scheduler learns, or must assume, that the target is cold.
 func TestColdTargetIsLimited(t *testing.T) {
-	ways := map[string]func(f *tokenFleet){
+	causes := map[string]func(f *tokenFleet){
 		"reported by its entry": func(f *tokenFleet) {
 			f.redeclareTargets(func(_ string, t *config.Target) { t.ColdMillis = 3000 })
 		},
@@ -109,7 +109,7 @@
 		"connection failed": func(f *tokenFleet) { f.failRuns(1, OutcomeUnreachable) },
 		"several runs lost": func(f *tokenFleet) { f.failRuns(4, OutcomeLost) },
 	}
-	for name, becomesCold := range ways {
+	for name, becomesCold := range causes {
 		t.Run(name, func(t *testing.T) {
 			f := newColdStartFleet("e1")
 			f.sendLoad(2*time.Second, 200)
@@ -123,7 +123,7 @@
 func (f *tokenFleet) failRuns(count int, outcome Outcome) {
 	var runs []*Dispatch
 	for n := range count {
-		_, d, _ := f.arrive("a", own(uint64(5000+n)))
+		_, d, _ := f.arrive("a", ownPart(uint64(5000+n)))
 		runs = append(runs, d)
 	}
 	for _, d := range runs {
@@ -131,14 +131,14 @@
 	}
 	f.now += time.Second
 	f.step(Tick{})
-	_, probe, _ := f.arrive("a", own(6000))
+	_, probe, _ := f.arrive("a", ownPart(6000))
 	f.step(RunBegan{Grant: probe.Grant, After: time.Millisecond})
 	f.step(RunEnded{Request: probe.Request, Grant: probe.Grant, Outcome: OutcomeAnswered})
 }
 
-// TestSingleLostRunIsNoRestart guards against treating a single lost run as a restart, which
+// TestSingleLostRunIsNotARestart guards against treating a single lost run as a restart, which
 // would limit every target while the network loses answers.
-func TestSingleLostRunIsNoRestart(t *testing.T) {
+func TestSingleLostRunIsNotARestart(t *testing.T) {
 	f := newColdStartFleet("e1")
 	f.failRuns(1, OutcomeLost)
 	if warm := f.sendLoad(time.Second, 200)["e1"]; len(warm) <= maxColdPerSecond {
--- a/control/evacuation_test.go
+++ b/control/evacuation_test.go
@@ -35,7 +35,7 @@
 // centre, and against aborting the runs in progress there.
 func TestEvacuatedTargetIsNotGranted(t *testing.T) {
 	f := newTokenFleet("e1", "e2")
-	_, running, _ := f.arrive("a", own(1))
+	_, running, _ := f.arrive("a", ownPart(1))
 	evacuated := running.Target
 	for _, command := range f.setEvacuated(evacuated, true) {
 		if _, refused := command.(Refuse); refused {
@@ -43,33 +43,33 @@
 		}
 	}
 	for n := range uint64(12) {
-		if _, d, _ := f.arrive("a", own(10+n)); d != nil && d.Target == evacuated {
+		if _, d, _ := f.arrive("a", ownPart(10+n)); d != nil && d.Target == evacuated {
 			t.Fatalf("request %d was granted the evacuated target", n)
 		}
 	}
 	f.finish(running)
 	f.setEvacuated(evacuated, false)
 	f.now += time.Second
-	if _, d, _ := f.arrive("a", own(50)); d == nil || d.Target != evacuated {
+	if _, d, _ := f.arrive("a", ownPart(50)); d == nil || d.Target != evacuated {
 		t.Errorf("after the evacuation ended: grant %+v, want the idle target", d)
 	}
 }
 
-// TestAllEvacuatedIsRefusedAtOnce guards against requests that wait until their deadlines
+// TestRequestIsRefusedAtOnceIfAllAreEvacuated guards against requests that wait until their deadlines
 // while all data centres are evacuated.
-func TestAllEvacuatedIsRefusedAtOnce(t *testing.T) {
+func TestRequestIsRefusedAtOnceIfAllAreEvacuated(t *testing.T) {
 	f := newTokenFleet("e1")
 	for n := range uint64(8) {
-		f.arrive("a", own(100+n))
+		f.arrive("a", ownPart(100+n))
 	}
-	waiting, d, _ := f.arrive("a", own(1))
+	waiting, d, _ := f.arrive("a", ownPart(1))
 	if d != nil {
 		t.Fatal("a request beyond the eight slots of the target was granted")
 	}
 	if _, refuse := outcomeOf(f.setEvacuated("e1", true), waiting); refuse == nil || refuse.Code != result.TargetsEvacuated {
 		t.Errorf("waiting request: refusal %+v", refuse)
 	}
-	if _, _, refuse := f.arrive("a", own(2)); refuse == nil || refuse.Code != result.TargetsEvacuated || refuse.RetryAfter <= 0 {
+	if _, _, refuse := f.arrive("a", ownPart(2)); refuse == nil || refuse.Code != result.TargetsEvacuated || refuse.RetryAfter <= 0 {
 		t.Errorf("new request: refusal %+v", refuse)
 	}
 }
--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestDeadEntryHoldsNoSlot kills an entry node with many tickets waiting: the
-// scheduler grants them no slot.
-func TestDeadEntryHoldsNoSlot(t *testing.T) {
+// TestDeadEntryIsGrantedNoSlot guards against slots granted to an entry node that died with
+// many tickets waiting: each would stay unused until its lease ends.
+func TestDeadEntryIsGrantedNoSlot(t *testing.T) {
 	s := newSim(9)
-	s.fleet(3, workload{workspaces: map[string]float64{"a": 1}, perCentre: 1, slots: 4, centres: centres[:1]}.snapshot(), Options{}, "ikeja")
+	s.startFleet(3, fleetSpec{workspaces: map[string]float64{"a": 1}, targetsPerDataCentre: 1, slots: 4, dataCentres: testDataCentres[:1]}.snapshot(), Options{}, "ikeja")
 	s.runUntil(time.Second)
 	scheduler := s.schedulerOf(t)
 	var entries []NodeID
@@ -31,65 +31,69 @@
 			}
 		}
 	}
-	s.stop(entries[0])
+	s.stopNode(entries[0])
 	for _, id := range s.names {
 		if id != entries[0] {
 			s.step(s.nodes[id], PeerState{Node: entries[0]})
 		}
 	}
 	s.runUntil(10*time.Second + 2*grantLease)
-	// One more may be granted before the broken connection counts.
+	// One more may be granted before the broken connection is noticed.
 	if reclaimed := s.nodes[scheduler].machine.Counters().GrantsReclaimed; reclaimed > held+1 {
-		t.Errorf("%d grants were reclaimed, %d were held", reclaimed, held)
+		t.Errorf("%d grants were reclaimed, want at most one more than the %d held at the failure", reclaimed, held)
 	}
 }
 
-// TestLoadReportsNeitherFloodNorIdle has targets whose reports lie.
-func TestLoadReportsNeitherFloodNorIdle(t *testing.T) {
-	lies := map[string]func(TargetLoad) TargetLoad{
+// TestFalseLoadReportsNeitherOverfillNorIdleTargets guards against relying on load reports,
+// which may be wrong: neither may they make a scheduler exceed a target's slots by more
+// than one, nor leave slots idle while requests wait.
+func TestFalseLoadReportsNeitherOverfillNorIdleTargets(t *testing.T) {
+	falseReports := map[string]func(TargetLoad) TargetLoad{
 		"always empty": func(l TargetLoad) TargetLoad { l.Running, l.Queued = 0, 0; return l },
 		"always full":  func(l TargetLoad) TargetLoad { l.Running, l.Queued = l.Slots, 50; return l },
 		"many slots":   func(l TargetLoad) TargetLoad { l.Slots = 1000; return l },
 	}
-	for name, lie := range lies {
+	for name, falsify := range falseReports {
 		t.Run(name, func(t *testing.T) {
 			s := newSim(5)
-			s.fleet(3, workload{workspaces: map[string]float64{"a": 1}, perCentre: 2, slots: 4, centres: centres[:1]}.snapshot(), Options{}, "ikeja")
+			s.startFleet(3, fleetSpec{workspaces: map[string]float64{"a": 1}, targetsPerDataCentre: 2, slots: 4, dataCentres: testDataCentres[:1]}.snapshot(), Options{}, "ikeja")
 			for _, target := range s.targets {
-				target.report = lie
+				target.alterLoad = falsify
 			}
 			s.runUntil(time.Second)
 			s.keepBacklogged("a", 40, "n0", "n1")
 			s.runUntil(15 * time.Second)
-			start, busy := s.now, s.busy()
+			start, busy := s.now, s.totalBusyTime()
 			s.runUntil(45 * time.Second)
 			if u := s.utilisation(start, busy); u < 0.95 {
-				t.Errorf("utilisation is %.3f", u)
+				t.Errorf("utilisation is %.3f, want at least 0.95", u)
 			}
 			for _, target := range s.targets {
-				if target.mostActive > 4+1 {
-					t.Errorf("%s held %d requests at once", target.name, target.mostActive)
+				if target.maxHeld > 4+1 {
+					t.Errorf("%s held %d requests at once", target.name, target.maxHeld)
 				}
 			}
 		})
 	}
 }
 
-// checkServesAlone fails unless a node that is cut off serves its own requests.
-func (s *sim) checkServesAlone(t *testing.T, id NodeID) {
+// checkServesIsolated checks that a node without connections to others serves its own
+// requests.
+func (s *sim) checkServesIsolated(t *testing.T, id NodeID) {
 	t.Helper()
 	r := s.arrive(id, "a", "draft", 2*time.Second)
 	s.runUntil(s.now + 3*time.Second)
 	if r.dispatches == 0 {
-		t.Errorf("%s, cut off, does not serve its own request: %s", id, r.outcome)
+		t.Errorf("%s, isolated, does not serve its own request: %s", id, r.outcome)
 	}
 }
 
-// TestCutOffSchedulerServesAtOnce has a scheduler that is cut off hold grants
-// of entries that it cannot hear: once it knows, their slots do not idle.
-func TestCutOffSchedulerServesAtOnce(t *testing.T) {
+// TestIsolatedSchedulerReusesSlots guards against slots that stay idle at a scheduler that
+// has lost the connections to all other nodes: it gets no report of the end of their runs,
+// and has to reuse the slots as soon as it has detected the loss.
+func TestIsolatedSchedulerReusesSlots(t *testing.T) {
 	s := newSim(11)
-	s.fleet(3, workload{workspaces: map[string]float64{"a": 1}, perCentre: 1, slots: 4, centres: centres[:1]}.snapshot(), Options{}, "ikeja")
+	s.startFleet(3, fleetSpec{workspaces: map[string]float64{"a": 1}, targetsPerDataCentre: 1, slots: 4, dataCentres: testDataCentres[:1]}.snapshot(), Options{}, "ikeja")
 	s.runUntil(time.Second)
 	scheduler := s.schedulerOf(t)
 	for _, id := range s.names {
@@ -99,12 +103,12 @@
 		}
 	}
 	s.runUntil(s.now + 500*time.Millisecond)
-	s.cut = func(a, b NodeID) bool { return (a == scheduler) != (b == scheduler) }
-	s.runUntil(s.now + 2500*time.Millisecond) // the runs have ended unheard
+	s.linkDown = func(a, b NodeID) bool { return (a == scheduler) != (b == scheduler) }
+	s.runUntil(s.now + 2500*time.Millisecond) // the runs have ended, unreported
 	r := s.arrive(scheduler, "a", "draft", time.Minute)
 	s.runUntil(s.now + time.Second)
 	if r.dispatches == 0 {
-		t.Error("the slots of runs that ended unheard stay taken")
+		t.Error("the slots of runs whose end was not reported stay occupied")
 	}
 }
 
@@ -118,23 +122,24 @@
 			}
 		}
 	}
-	t.Fatal("nobody schedules the shard")
+	t.Fatal("no node schedules the shard")
 	return ""
 }
 
-// TestSchedulerFails kills, freezes, cuts off or drains the scheduler under
-// load: the others go on within seconds, without flooding the targets.
-func TestSchedulerFails(t *testing.T) {
-	fail := map[string]func(*sim, NodeID){
-		"killed":  func(s *sim, id NodeID) { s.stop(id) },
+// TestSchedulerFailureIsCompensated guards against idle slots and overfilled targets after
+// the scheduler of a shard is killed, frozen, isolated or drained under load: another node
+// has to take over within seconds.
+func TestSchedulerFailureIsCompensated(t *testing.T) {
+	failures := map[string]func(*sim, NodeID){
+		"killed":  func(s *sim, id NodeID) { s.stopNode(id) },
 		"frozen":  func(s *sim, id NodeID) { s.freeze(id); s.after(6*time.Second, func() { s.unfreeze(id) }) },
-		"cut off": func(s *sim, id NodeID) { s.cut = func(a, b NodeID) bool { return (a == id) != (b == id) } },
+		"cut off": func(s *sim, id NodeID) { s.linkDown = func(a, b NodeID) bool { return (a == id) != (b == id) } },
 		"drained": func(s *sim, id NodeID) { s.step(s.nodes[id], DrainStarted{}) },
 	}
-	for name, fail := range fail {
+	for name, fail := range failures {
 		t.Run(name, func(t *testing.T) {
 			s := newSim(6)
-			s.fleet(5, workload{workspaces: map[string]float64{"a": 1, "b": 1}, perCentre: 3, slots: 4, centres: centres[:1]}.snapshot(), Options{}, "ikeja")
+			s.startFleet(5, fleetSpec{workspaces: map[string]float64{"a": 1, "b": 1}, targetsPerDataCentre: 3, slots: 4, dataCentres: testDataCentres[:1]}.snapshot(), Options{}, "ikeja")
 			s.runUntil(time.Second)
 			scheduler := s.schedulerOf(t)
 			var entries []NodeID
@@ -148,18 +153,18 @@
 			s.runUntil(10 * time.Second)
 			fail(s, scheduler)
 			s.runUntil(13 * time.Second)
-			start, busy := s.now, s.busy()
+			start, busy := s.now, s.totalBusyTime()
 			s.runUntil(30 * time.Second)
 			if u := s.utilisation(start, busy); u < 0.97 {
-				t.Errorf("utilisation afterwards is %.3f", u)
+				t.Errorf("utilisation afterwards is %.3f, want at least 0.97", u)
 			}
 			for _, target := range s.targets {
-				if target.mostActive > 2*(4+1) {
-					t.Errorf("%s held %d requests at once", target.name, target.mostActive)
+				if target.maxHeld > 2*(4+1) {
+					t.Errorf("%s held %d requests at once", target.name, target.maxHeld)
 				}
 			}
 			if name == "cut off" {
-				s.checkServesAlone(t, scheduler)
+				s.checkServesIsolated(t, scheduler)
 			}
 			if name == "drained" && !s.nodes[scheduler].drained {
 				t.Errorf("the scheduler has not drained")
--- a/control/feeds_test.go
+++ b/control/feeds_test.go
@@ -5,80 +5,82 @@
 	"time"
 )
 
-// follow lets a node follow the feeds, or leave that to others.
-func (s *sim) follow(n *simNode, wanted bool) {
+// setFollowing makes a node follow the feeds, or stop.
+func (s *sim) setFollowing(n *simNode, wanted bool) {
 	n.follows = wanted
-	s.step(n, FeedState{Live: wanted && !n.cut})
+	s.step(n, FeedState{Live: wanted && !n.platformDown})
 }
 
-// takeTurn follows the feeds, or not, unless the turn changes before its time.
-func (s *sim) takeTurn(n *simNode, turn FeedRole) {
-	n.turn = turn
-	s.after(time.Duration(turn.Ahead)*100*time.Millisecond, func() {
-		if n.turn == turn {
-			s.follow(n, turn.Follow)
+// applyFeedRole makes a node follow the feeds, or stop, as its new role says: after 100 ms
+// for each node ahead of it, and unless its role changes meanwhile.
+func (s *sim) applyFeedRole(n *simNode, role FeedRole) {
+	n.feedRole = role
+	s.after(time.Duration(role.Ahead)*100*time.Millisecond, func() {
+		if n.feedRole == role {
+			s.setFollowing(n, role.Follow)
 		}
 	})
 }
 
-// followers counts the nodes that live and follow feeds that answer.
+// followers returns how many live nodes follow feeds that answer.
 func (s *sim) followers() int {
 	count := 0
 	for _, n := range s.nodes {
-		if n.up && n.follows && !n.cut {
+		if n.up && n.follows && !n.platformDown {
 			count++
 		}
 	}
 	return count
 }
 
-// TestFewNodesFollowTheFeeds: of many nodes of a data centre a few follow the feeds;
-// others take over from those that end or are turned away, and too many never stay.
+// TestFewNodesFollowTheFeeds guards against a data centre without followers, or with too
+// many. Other nodes have to take over from followers that end or whose feeds stop answering.
 func TestFewNodesFollowTheFeeds(t *testing.T) {
 	s := newSim(3)
-	load := workload{workspaces: map[string]float64{"a": 1}, perCentre: 1, slots: 4, centres: centres[:1]}
-	s.fleet(12, load.snapshot(), Options{}, "ikeja")
+	spec := fleetSpec{workspaces: map[string]float64{"a": 1}, targetsPerDataCentre: 1, slots: 4, dataCentres: testDataCentres[:1]}
+	s.startFleet(12, spec.snapshot(), Options{}, "ikeja")
 	for _, id := range s.names {
-		s.follow(s.nodes[id], true) // as each does at its start
+		s.setFollowing(s.nodes[id], true) // as every node does at its start
 	}
-	settled := func(what string, least int) {
+	checkFollowers := func(when string, minFollowers int) {
 		t.Helper()
 		s.runUntil(s.now + 5*time.Second)
-		if count := s.followers(); count < least || count > followersPerDataCentre {
-			t.Errorf("%s: %d follow the feeds", what, count)
+		if count := s.followers(); count < minFollowers || count > followersPerDataCentre {
+			t.Errorf("%s: %d nodes follow the feeds", when, count)
 		}
 	}
-	settled("at first", followersPerDataCentre)
+	checkFollowers("at first", followersPerDataCentre)
 	for _, id := range s.names {
 		if n := s.nodes[id]; n.follows {
-			s.stop(id)
+			s.stopNode(id)
 			break
 		}
 	}
-	settled("after one ended", followersPerDataCentre)
+	checkFollowers("after one ended", followersPerDataCentre)
 	for _, id := range s.names {
 		if n := s.nodes[id]; n.up && n.follows {
-			n.cut = true
+			n.platformDown = true
 			s.step(n, FeedState{})
 		}
 	}
-	settled("after all were turned away", followersPerDataCentre)
+	checkFollowers("after the feeds of all followers stopped answering", followersPerDataCentre)
 	for _, id := range s.names {
-		if n := s.nodes[id]; n.cut {
-			n.cut = false
-			s.follow(n, n.follows)
+		if n := s.nodes[id]; n.platformDown {
+			n.platformDown = false
+			s.setFollowing(n, n.follows)
 		}
 	}
-	settled("after their return", followersPerDataCentre)
+	checkFollowers("after these feeds answer again", followersPerDataCentre)
 }
 
-// TestIsolatedNodeFollowsTheFeeds: a node that hears nobody follows them itself.
+// TestIsolatedNodeFollowsTheFeeds guards against a node that relies on followers which it
+// can no longer reach: it has to follow the feeds itself.
 func TestIsolatedNodeFollowsTheFeeds(t *testing.T) {
 	s := newSim(4)
-	load := workload{workspaces: map[string]float64{"a": 1}, perCentre: 1, slots: 4, centres: centres[:1]}
-	s.fleet(8, load.snapshot(), Options{}, "ikeja")
+	spec := fleetSpec{workspaces: map[string]float64{"a": 1}, targetsPerDataCentre: 1, slots: 4, dataCentres: testDataCentres[:1]}
+	s.startFleet(8, spec.snapshot(), Options{}, "ikeja")
 	for _, id := range s.names {
-		s.follow(s.nodes[id], true)
+		s.setFollowing(s.nodes[id], true)
 	}
 	s.runUntil(5 * time.Second)
 	for _, id := range s.names {
@@ -91,7 +93,7 @@
 		}
 		for _, other := range s.names {
 			if other != id {
-				s.stop(other)
+				s.stopNode(other)
 			}
 		}
 		break
@@ -102,50 +104,52 @@
 	}
 }
 
-// TestOneNodeProvesItsCalls: of the nodes that follow the feeds one has to prove its calls,
-// and when it is lost another one has to.
-func TestOneNodeProvesItsCalls(t *testing.T) {
+// TestOneNodeProbesFeeds guards against a fleet in which no follower, or more than one,
+// probes whether the platform still accepts calls that wait for changes. If the one that
+// does is lost, another one has to.
+func TestOneNodeProbesFeeds(t *testing.T) {
 	s := newSim(5)
-	load := workload{workspaces: map[string]float64{"a": 1}, perCentre: 1, slots: 4, centres: centres}
-	s.fleet(12, load.snapshot(), Options{}, centres...)
+	spec := fleetSpec{workspaces: map[string]float64{"a": 1}, targetsPerDataCentre: 1, slots: 4, dataCentres: testDataCentres}
+	s.startFleet(12, spec.snapshot(), Options{}, testDataCentres...)
 	for _, id := range s.names {
-		s.nodes[id].turn = FeedRole{Follow: true, Probe: true} // as each begins
-		s.follow(s.nodes[id], true)
+		s.nodes[id].feedRole = FeedRole{Follow: true, Probe: true} // as every node starts
+		s.setFollowing(s.nodes[id], true)
 	}
-	provers := func() (names []NodeID) {
+	probers := func() (names []NodeID) {
 		for _, id := range s.names {
-			if n := s.nodes[id]; n.up && n.follows && n.turn.Probe {
+			if n := s.nodes[id]; n.up && n.follows && n.feedRole.Probe {
 				names = append(names, id)
 			}
 		}
 		return names
 	}
 	s.runUntil(s.now + 5*time.Second)
-	first := provers()
+	first := probers()
 	if len(first) != 1 {
-		t.Fatalf("%v prove their calls", first)
+		t.Fatalf("%v probe the feeds, want one node", first)
 	}
-	s.stop(first[0])
+	s.stopNode(first[0])
 	s.runUntil(s.now + 5*time.Second)
-	if then := provers(); len(then) != 1 || then[0] == first[0] {
-		t.Errorf("%v prove their calls after %v was lost", then, first)
+	if second := probers(); len(second) != 1 || second[0] == first[0] {
+		t.Errorf("%v probe the feeds after %v was lost, want another node", second, first)
 	}
 }
 
-// TestSilenceOfThePlatformIsTold: a node to which the platform falls silent makes all
-// others doubt their calls; one that others relieve, or that leaves, does not.
-func TestSilenceOfThePlatformIsTold(t *testing.T) {
+// TestLostFollowerMakesOthersRecheckFeeds guards against waiting calls that are lost
+// unnoticed: if the platform stops answering one follower, all other nodes have to recheck
+// their feeds. They must not if a follower leaves or others have taken its place.
+func TestLostFollowerMakesOthersRecheckFeeds(t *testing.T) {
 	s := newSim(6)
-	load := workload{workspaces: map[string]float64{"a": 1}, perCentre: 1, slots: 4, centres: centres}
-	s.fleet(12, load.snapshot(), Options{}, centres...)
+	spec := fleetSpec{workspaces: map[string]float64{"a": 1}, targetsPerDataCentre: 1, slots: 4, dataCentres: testDataCentres}
+	s.startFleet(12, spec.snapshot(), Options{}, testDataCentres...)
 	for _, id := range s.names {
-		s.follow(s.nodes[id], true)
+		s.setFollowing(s.nodes[id], true)
 	}
 	s.runUntil(s.now + 5*time.Second)
-	doubts := func() int {
+	rechecks := func() int {
 		count := 0
 		for _, id := range s.names {
-			count += s.nodes[id].doubts
+			count += s.nodes[id].feedRechecks
 		}
 		return count
 	}
@@ -155,25 +159,25 @@
 				return n
 			}
 		}
-		t.Fatal("nobody follows")
+		t.Fatal("no node follows the feeds")
 		return nil
 	}
-	if settling := doubts(); settling > 0 {
-		t.Errorf("%d doubts while the nodes settle who follows", settling)
+	if initial := rechecks(); initial > 0 {
+		t.Errorf("%d rechecks while the followers are determined", initial)
 	}
 	leaving := follower()
 	s.step(leaving, DrainStarted{})
 	s.runUntil(s.now + time.Second)
-	s.follow(leaving, false)
+	s.setFollowing(leaving, false)
 	s.runUntil(s.now + time.Second)
-	if told := doubts(); told > 0 {
-		t.Errorf("%d doubts as a node leaves", told)
+	if count := rechecks(); count > 0 {
+		t.Errorf("%d rechecks as a follower leaves", count)
 	}
 	cut := follower()
-	cut.cut = true
+	cut.platformDown = true
 	s.step(cut, FeedState{})
 	s.runUntil(s.now + time.Second)
-	if told := doubts(); told != len(s.names)-1 {
-		t.Errorf("%d of %d nodes doubt their calls", told, len(s.names)-1)
+	if count := rechecks(); count != len(s.names)-1 {
+		t.Errorf("%d of %d nodes recheck their feeds", count, len(s.names)-1)
 	}
 }
--- a/control/gap_test.go
+++ b/control/gap_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestGapIsReported: the scheduler reports a workspace that is granted much less than another
-// one while routers refuse its requests, once a second at most.
-func TestGapIsReported(t *testing.T) {
+// TestShareGapIsReported guards against a gap that operators do not see: the scheduler has
+// to report a workspace that is granted much less than another one while routers refuse its
+// requests, once a second at most.
+func TestShareGapIsReported(t *testing.T) {
 	f := newTokenFleet("e1")
 	s := f.machine.ensureShard(ShardID{Pool: "gen"})
 	reported := 0
@@ -29,6 +30,6 @@
 		}
 	}
 	if reported != 2 {
-		t.Errorf("%d reports in two seconds", reported)
+		t.Errorf("%d reports in two seconds, want 2", reported)
 	}
 }
--- a/control/local_test.go
+++ b/control/local_test.go
@@ -7,11 +7,11 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// unansweredGrants sends requests whose scheduler, another node, does not answer, and returns
-// how many are granted here.
-func unansweredGrants(f *tokenFleet, requests uint64) int {
+// countLocalGrants sends requests whose scheduler, another node, does not answer, and returns
+// how many of them the machine grants itself.
+func countLocalGrants(f *tokenFleet, requests uint64) int {
 	for n := range requests {
-		f.arrive("a", thing(100+n))
+		f.arrive("a", sharedPart(100+n))
 	}
 	granted := 0
 	for range 20 {
@@ -25,15 +25,17 @@
 	return granted
 }
 
-// TestGrantsItsPartAlone: a node whose scheduler does not answer grants as targets allow, and
-// no more than its part where the scheduler had nothing left a moment before.
-func TestGrantsItsPartAlone(t *testing.T) {
+// TestLocalGrantsAreLimitedAfterOverload guards against overfilled targets while a scheduler
+// does not answer: as each node that grants locally does not know the grants of the others,
+// it may grant only its equal part if the scheduler recently refused a request for lack of
+// capacity. Otherwise it grants as much as the targets allow.
+func TestLocalGrantsAreLimitedAfterOverload(t *testing.T) {
 	const requests = 6 // one for each engine
 	for _, c := range []struct {
-		name        string
-		full        bool
-		after       time.Duration
-		least, most int
+		name                   string
+		overloaded             bool
+		after                  time.Duration
+		minGranted, maxGranted int
 	}{
 		{"the pool was not full", false, 0, requests, requests},
 		{"the pool was full", true, 0, 1, 3},
@@ -41,44 +43,44 @@
 	} {
 		f := newTokenFleet("e1", "e2", "e3", "e4", "e5", "e6")
 		f.machine.opts.LocalAfter = 100 * time.Millisecond
-		f.hearsLarger()
-		if c.full {
+		f.addLargerNode()
+		if c.overloaded {
 			f.now += time.Millisecond
-			id, _, _ := f.arrive("a", own(1))
+			id, _, _ := f.arrive("a", ownPart(1))
 			ticket := f.machine.entry.requests[id].id
 			f.step(MessageReceived{From: "other", Incarnation: 5, Message: Refusal{
 				Ticket: ticket, Shard: ShardID{Pool: "gen"}, Code: result.Overloaded, RetryAfter: time.Second,
 			}})
 		}
 		f.now += c.after
-		f.hearsLarger()
-		if got := unansweredGrants(f, requests); got < c.least || got > c.most {
+		f.addLargerNode()
+		if got := countLocalGrants(f, requests); got < c.minGranted || got > c.maxGranted {
 			t.Errorf("%s: %d of %d granted", c.name, got, requests)
 		}
 	}
 }
 
-// TestSecondTriesAloneAreBounded: when targets crash, the requests that ran there are sent again
-// by all entries at once, and the scheduler answers late. Nodes that grant alone then grant
-// second tries within their part, as they do first ones, where the pool was full a moment before;
-// the rest wait for the scheduler.
-func TestSecondTriesAloneAreBounded(t *testing.T) {
+// TestLocalRetriesAreLimitedAfterOverload guards against overfilled targets after a crash: all
+// entries retry the requests that ran there at once, and the scheduler answers late. If the pool
+// was overloaded just before, nodes grant retries locally only within their part, as they do first
+// attempts. The other retries have to wait for the scheduler rather than be refused.
+func TestLocalRetriesAreLimitedAfterOverload(t *testing.T) {
 	const requests = 6 // one for each engine
 	f := newTokenFleet("e1", "e2", "e3", "e4", "e5", "e6")
 	f.machine.opts.LocalAfter = 100 * time.Millisecond
-	f.hearsLarger()
+	f.addLargerNode()
 	f.now += time.Millisecond
-	id, _, _ := f.arrive("a", own(1))
+	id, _, _ := f.arrive("a", ownPart(1))
 	f.step(MessageReceived{From: "other", Incarnation: 5, Message: Refusal{
 		Ticket: f.machine.entry.requests[id].id, Shard: ShardID{Pool: "gen"}, Code: result.Overloaded, RetryAfter: time.Second,
 	}})
-	f.hearsLarger()
+	f.addLargerNode()
 	for n := range uint64(requests) {
 		f.requests++
 		f.step(RequestArrived{
 			Request: f.requests, Attempt: 2, Workspace: "a", Pool: "gen",
 			Deadline: f.now + 12*time.Second, Objective: f.now + 400*time.Millisecond,
-			Work: Work{Parts: []PromptPart{thing(100 + n)}, OutputTokens: 50},
+			Work: Work{Parts: []PromptPart{sharedPart(100 + n)}, OutputTokens: 50},
 		})
 	}
 	granted, refused := 0, 0
@@ -94,17 +96,18 @@
 		}
 	}
 	if granted < 1 || granted > 3 {
-		t.Errorf("%d of %d second tries granted alone", granted, requests)
+		t.Errorf("%d of %d retries granted locally, want 1 to 3", granted, requests)
 	}
 	if refused > 0 {
-		t.Errorf("%d of %d second tries refused while the scheduler may answer", refused, requests)
+		t.Errorf("%d of %d retries refused while the scheduler may answer", refused, requests)
 	}
 }
 
-// TestNobodyBeyondTheShareIsGrantedAlone: while the scheduler does not answer, a node grants
-// nothing alone to a workspace that was refused as beyond its share a moment before, and goes on
-// granting others. Callers that come by all nodes would otherwise get a part of each.
-func TestNobodyBeyondTheShareIsGrantedAlone(t *testing.T) {
+// TestNoLocalGrantsBeyondShare guards against a workspace beyond its share that receives the parts
+// of all nodes while the scheduler does not answer, because its callers use all of them. A node
+// grants nothing locally to a workspace recently refused as beyond its share, and continues to
+// grant to others.
+func TestNoLocalGrantsBeyondShare(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		excess bool
@@ -117,25 +120,25 @@
 	} {
 		f := newTokenFleet("e1", "e2", "e3", "e4", "e5", "e6")
 		f.machine.opts.LocalAfter = 100 * time.Millisecond
-		f.hearsLarger()
+		f.addLargerNode()
 		f.now += time.Millisecond
-		id, _, _ := f.arrive("a", own(1))
+		id, _, _ := f.arrive("a", ownPart(1))
 		f.step(MessageReceived{From: "other", Incarnation: 5, Message: Refusal{
 			Ticket: f.machine.entry.requests[id].id, Shard: ShardID{Pool: "gen"},
 			Code: result.Overloaded, RetryAfter: time.Second, Excess: c.excess,
 		}})
 		f.now += c.after
-		f.hearsLarger()
-		hot, _, _ := f.arrive("a", own(2))
-		other, _, _ := f.arrive("b", own(3))
+		f.addLargerNode()
+		exceeding, _, _ := f.arrive("a", ownPart(2))
+		other, _, _ := f.arrive("b", ownPart(3))
 		granted := make(map[RequestID]bool)
-		for _, command := range f.pass(200 * time.Millisecond) {
+		for _, command := range f.tickFor(200 * time.Millisecond) {
 			if dispatch, ok := command.(Dispatch); ok {
 				granted[dispatch.Request] = true
 			}
 		}
-		if granted[hot] != c.want || !granted[other] {
-			t.Errorf("%s: granted %v, another workspace %v", c.name, granted[hot], granted[other])
+		if granted[exceeding] != c.want || !granted[other] {
+			t.Errorf("%s: granted %v, and %v to another workspace", c.name, granted[exceeding], granted[other])
 		}
 	}
 }
--- a/control/main_test.go
+++ b/control/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the random tests, unless one is given.
+// TestMain uses a fixed seed for the property tests unless a flag sets one, so that their
+// runs can be repeated.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -9,48 +9,50 @@
 	"pgregory.net/rapid"
 )
 
-// chaos is one random schedule of faults over a fleet under load.
-type chaos struct {
+// faultSchedule applies random faults to a simulated fleet under load.
+type faultSchedule struct {
 	*sim
-	t       *rapid.T
-	members []Member
-	load    workload
-	opts    Options
-	down    map[NodeID]bool
-	left    map[NodeID]bool
-	side    map[NodeID]int
+	t             *rapid.T
+	members       []Member
+	spec          fleetSpec
+	opts          Options
+	down          map[NodeID]bool
+	draining      map[NodeID]bool
+	partitionSide map[NodeID]int
 }
 
-func newChaos(t *rapid.T) *chaos {
-	c := &chaos{
-		sim:  newSim(rapid.Uint64().Draw(t, "seed")),
-		t:    t,
-		down: make(map[NodeID]bool),
-		left: make(map[NodeID]bool),
-		side: make(map[NodeID]int),
+// newFaultSchedule starts a fleet of random size, policy and network quality.
+func newFaultSchedule(t *rapid.T) *faultSchedule {
+	c := &faultSchedule{
+		sim:           newSim(rapid.Uint64().Draw(t, "seed")),
+		t:             t,
+		down:          make(map[NodeID]bool),
+		draining:      make(map[NodeID]bool),
+		partitionSide: make(map[NodeID]int),
 	}
 	c.loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
-	c.doubling = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "doubling")
+	c.duplication = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "doubling")
 	c.opts.Policy = rapid.SampledFrom([]Policy{PolicyShardQueue, PolicyShardQueue, PolicyAlone}).Draw(t, "policy")
 	c.service = func(*simRequest) time.Duration { return time.Duration(50+c.rng.IntN(1500)) * time.Millisecond }
-	c.cut = func(from, to NodeID) bool { return c.side[from] != c.side[to] }
-	c.load = workload{
-		workspaces: map[string]float64{"a": 1, "b": 1, "c": 3},
-		perCentre:  rapid.IntRange(1, 2).Draw(t, "targets"),
-		slots:      rapid.IntRange(1, 4).Draw(t, "slots"),
-		centres:    centres[:rapid.IntRange(1, 3).Draw(t, "centres")],
+	c.linkDown = func(from, to NodeID) bool { return c.partitionSide[from] != c.partitionSide[to] }
+	c.spec = fleetSpec{
+		workspaces:           map[string]float64{"a": 1, "b": 1, "c": 3},
+		targetsPerDataCentre: rapid.IntRange(1, 2).Draw(t, "targets"),
+		slots:                rapid.IntRange(1, 4).Draw(t, "slots"),
+		dataCentres:          testDataCentres[:rapid.IntRange(1, 3).Draw(t, "centres")],
 	}
 	count := rapid.IntRange(1, 5).Draw(t, "nodes")
-	c.fleet(count, c.load.snapshot(), c.opts, c.load.centres...)
+	c.startFleet(count, c.spec.snapshot(), c.opts, c.spec.dataCentres...)
 	for _, id := range c.names {
 		c.members = append(c.members, Member{Node: id, DataCentre: c.nodes[id].dataCentre})
 	}
 	return c
 }
 
-func (c *chaos) node(label string) NodeID { return rapid.SampledFrom(c.names).Draw(c.t, label) }
+func (c *faultSchedule) node(label string) NodeID { return rapid.SampledFrom(c.names).Draw(c.t, label) }
 
-func (c *chaos) arrivals() {
+// arrivals delivers a burst of requests to one node; some of them are cancelled later.
+func (c *faultSchedule) arrivals() {
 	id := c.node("entry")
 	if c.down[id] {
 		return
@@ -64,32 +66,34 @@
 	}
 }
 
-// cancel acts as a caller that goes away while its request waits.
-func (c *chaos) cancel(r *simRequest) {
+// cancel cancels a request if it still waits, as when its caller disconnects.
+func (c *faultSchedule) cancel(r *simRequest) {
 	n := c.nodes[r.node]
 	if r.done || r.dispatches > 0 || n.inc != r.inc || !n.up || n.frozen {
 		return
 	}
 	c.step(n, RequestCancelled{Request: r.id})
 	if !r.done { // the step may have ended it at its deadline
-		c.finish(r, "cancelled")
+		c.finishRequest(r, "cancelled")
 	}
 }
 
-func (c *chaos) stopOrStart() {
+// toggleNode stops a node, or starts it if it is stopped.
+func (c *faultSchedule) toggleNode() {
 	id := c.node("node")
 	switch {
 	case !c.down[id]:
-		c.stop(id)
+		c.stopNode(id)
 		c.down[id] = true
 	default:
-		c.start(id, c.load.snapshot(), c.members, c.opts)
+		c.startNode(id, c.spec.snapshot(), c.members, c.opts)
 		delete(c.down, id)
-		delete(c.left, id)
+		delete(c.draining, id)
 	}
 }
 
-func (c *chaos) pause() {
+// pause freezes a node for up to 8 s.
+func (c *faultSchedule) pause() {
 	id := c.node("node")
 	if c.down[id] || c.nodes[id].frozen {
 		return
@@ -103,20 +107,22 @@
 	})
 }
 
-func (c *chaos) drain() {
+func (c *faultSchedule) drain() {
 	id := c.node("node")
-	if !c.down[id] && !c.left[id] {
-		c.left[id] = true
+	if !c.down[id] && !c.draining[id] {
+		c.draining[id] = true
 		c.step(c.nodes[id], DrainStarted{})
 	}
 }
 
-func (c *chaos) partition() {
+// partition moves a node to the other side of the network partition.
+func (c *faultSchedule) partition() {
 	id := c.node("node")
-	c.side[id] = 1 - c.side[id]
+	c.partitionSide[id] = 1 - c.partitionSide[id]
 }
 
-func (c *chaos) crashTarget() {
+// toggleTarget crashes a target, or starts it if it has crashed.
+func (c *faultSchedule) toggleTarget() {
 	names := sortedKeys(c.targets)
 	t := c.targets[rapid.SampledFrom(names).Draw(c.t, "target")]
 	if !t.up {
@@ -125,16 +131,16 @@
 	}
 	t.up = false
 	for _, r := range append(slices.Clone(t.running), t.queue...) {
-		r.gone = true
-		c.leave(t, r)
+		r.removed = true
+		c.removeRun(t, r)
 		c.endRun(r, OutcomeLost)
 	}
 }
 
-// heal ends all faults and gives the fleet time to finish.
-func (c *chaos) heal() {
-	clear(c.side)
-	c.loss, c.doubling = 0, 0
+// heal ends all faults and lets 60 s pass, so that all requests can end.
+func (c *faultSchedule) heal() {
+	clear(c.partitionSide)
+	c.loss, c.duplication = 0, 0
 	for _, t := range c.targets {
 		t.up = true
 	}
@@ -146,7 +152,9 @@
 	c.runUntil(c.now + 60*time.Second)
 }
 
-func (c *chaos) check() {
+// check fails the test if an invariant was violated, a request of a live node has not ended, or
+// a node still holds state of requests.
+func (c *faultSchedule) check() {
 	for _, f := range c.faults {
 		c.t.Fatal(f)
 	}
@@ -161,13 +169,13 @@
 	}
 }
 
-// checkNode fails if a node still holds anything after all work has ended.
-func (c *chaos) checkNode(id NodeID) {
+// checkNode fails the test if a node still holds state of requests after all have ended.
+func (c *faultSchedule) checkNode(id NodeID) {
 	n := c.nodes[id]
 	if !n.up {
 		return
 	}
-	if c.left[id] && !n.drained {
+	if c.draining[id] && !n.drained {
 		c.t.Fatalf("%s has not drained", id)
 	}
 	status := n.machine.Status()
@@ -181,15 +189,16 @@
 			}
 		}
 	}
-	if err := c.orphans(n.machine); err != "" {
+	if err := c.leftoverRecords(n.machine); err != "" {
 		c.t.Fatalf("%s: %s", id, err)
 	}
 }
 
-// orphans tells of records that nothing refers to any more.
-func (c *chaos) orphans(m *Machine) string {
+// leftoverRecords describes the records that a machine still holds after all requests have
+// ended; empty if there are none.
+func (c *faultSchedule) leftoverRecords(m *Machine) string {
 	if n := len(m.entry.requests) + len(m.entry.runs) + len(m.entry.latestRun) + len(m.entry.workspaces) + len(m.entry.waitingByPool); n > 0 {
-		return fmt.Sprintf("the entry part holds %d records", n)
+		return fmt.Sprintf("the entry holds %d records", n)
 	}
 	if n := len(m.sched.grants) + len(m.sched.byNode); n > 0 {
 		return fmt.Sprintf("the scheduler holds %d records", n)
@@ -202,15 +211,16 @@
 	return ""
 }
 
-// TestEveryRequestEndsOnce runs random schedules of arrivals, cancellations,
-// restarts, freezes, drains, partitions and target crashes.
+// TestEveryRequestEndsOnce guards against requests that never end, end twice or are dispatched
+// twice, and against state that outlives them, under random schedules of arrivals,
+// cancellations, restarts, freezes, drains, partitions and target crashes.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newChaos(t)
+		c := newFaultSchedule(t)
 		c.runUntil(time.Second)
-		acts := []func(){c.arrivals, c.arrivals, c.arrivals, c.stopOrStart, c.pause, c.drain, c.partition, c.crashTarget}
+		actions := []func(){c.arrivals, c.arrivals, c.arrivals, c.toggleNode, c.pause, c.drain, c.partition, c.toggleTarget}
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
-			acts[rapid.IntRange(0, len(acts)-1).Draw(t, "act")]()
+			actions[rapid.IntRange(0, len(actions)-1).Draw(t, "act")]()
 			c.runUntil(c.now + time.Duration(rapid.IntRange(0, 2000).Draw(t, "pause"))*time.Millisecond)
 		}
 		c.heal()
--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -38,7 +38,7 @@
 	return f.step(RequestArrived{
 		Request: f.requests, Attempt: 1, Workspace: workspace, Pool: "gen", Route: "r", Excluded: excluded,
 		Deadline: f.now + 12*time.Second, Objective: f.now + 400*time.Millisecond,
-		Work: Work{Parts: []PromptPart{thing(1), own(uint64(f.requests))}, OutputTokens: 50},
+		Work: Work{Parts: []PromptPart{sharedPart(1), ownPart(uint64(f.requests))}, OutputTokens: 50},
 	}), f.requests
 }
 
@@ -84,7 +84,7 @@
 	cases := map[string]struct{ route, workspace, excluded []string }{
 		"no common region": {route: []string{"north"}, workspace: []string{"south"}},
 		"unknown region":   {route: []string{"nowhere"}},
-		"second try":       {workspace: []string{"north"}, excluded: []string{"e-north"}},
+		"second attempt":   {workspace: []string{"north"}, excluded: []string{"e-north"}},
 	}
 	for name, c := range cases {
 		f := newRegionFleet(c.route, c.workspace)
--- a/control/script_test.go
+++ b/control/script_test.go
@@ -12,8 +12,8 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// script drives machines step by step. Messages stay on their links until the
-// script delivers, doubles or drops them.
+// script runs several machines step by step. Messages stay on their links until the script
+// delivers, duplicates or drops them.
 type script struct {
 	t        *testing.T
 	now      Instant
@@ -28,8 +28,8 @@
 	restarts int
 }
 
-// TestScripts runs the scripts of testdata. They bring about crossed, late,
-// lost and doubled messages between several machines.
+// TestScripts runs the scripts in testdata. They guard against mistakes in the protocol
+// between machines when messages cross, or are late, lost or duplicated.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata/scripts", func(t *testing.T, path string) {
 		s := &script{
@@ -50,87 +50,89 @@
 	})
 }
 
+// run executes one command of a script.
 func (s *script) run(d *datadriven.TestData) {
-	arg := func(key, otherwise string) string {
+	arg := func(key, fallback string) string {
 		for _, a := range d.CmdArgs {
 			if a.Key == key && len(a.Vals) > 0 {
 				return a.Vals[0]
 			}
 		}
-		return otherwise
+		return fallback
 	}
 	has := func(key string) bool { return d.HasArg(key) }
-	number := func(key string, otherwise int) int {
-		n, err := strconv.Atoi(arg(key, strconv.Itoa(otherwise)))
+	number := func(key string, fallback int) int {
+		n, err := strconv.Atoi(arg(key, strconv.Itoa(fallback)))
 		if err != nil {
 			d.Fatalf(s.t, "%s: %v", key, err)
 		}
 		return n
 	}
-	span := func(key, otherwise string) time.Duration {
-		v, err := time.ParseDuration(arg(key, otherwise))
+	duration := func(key, fallback string) time.Duration {
+		v, err := time.ParseDuration(arg(key, fallback))
 		if err != nil {
 			d.Fatalf(s.t, "%s: %v", key, err)
 		}
 		return v
 	}
-	first := ""
+	operand := ""
 	if len(d.CmdArgs) > 0 && d.CmdArgs[0].Key != "twice" {
-		first = d.CmdArgs[0].Key
+		operand = d.CmdArgs[0].Key
 	}
 	request := RequestID(number("id", 0))
 	attempt := uint32(number("attempt", 1))
 	switch d.Cmd {
 	case "fleet":
-		s.fleet(d.Input)
+		s.startFleet(d.Input)
 	case "config":
 		s.configure(d.Input, arg("at", ""))
 	case "arrive":
 		ev := RequestArrived{
 			Request: request, Attempt: attempt, Workspace: arg("ws", "a"), Pool: arg("pool", "p"),
-			Deadline: s.now + span("wait", "1m"), Bytes: int64(number("bytes", 0)),
+			Deadline: s.now + duration("wait", "1m"), Bytes: int64(number("bytes", 0)),
 			PrefixHash: uint64(number("prefix", 0)), Fingerprint: uint64(number("finger", 0)),
-			CostHint: span("hint", "0s"),
+			CostHint: duration("hint", "0s"),
 		}
 		if has("excluded") {
 			ev.Excluded = strings.Split(arg("excluded", ""), "+")
 		}
-		s.step(first, ev)
+		s.step(operand, ev)
 	case "cancel":
-		s.step(first, RequestCancelled{Request: request})
+		s.step(operand, RequestCancelled{Request: request})
 	case "end":
 		outcome := map[string]Outcome{"answered": OutcomeAnswered, "lost": OutcomeLost, "not-run": OutcomeNotRun, "unreachable": OutcomeUnreachable, "refused": OutcomeRefused}[arg("outcome", "answered")]
-		s.step(first, RunEnded{Request: request, Grant: s.grants[fmt.Sprintf("%s/%d", first, request)], Outcome: outcome, Service: span("service", "1s")})
+		s.step(operand, RunEnded{Request: request, Grant: s.grants[fmt.Sprintf("%s/%d", operand, request)], Outcome: outcome, Service: duration("service", "1s")})
 	case "load":
-		s.step(first, TargetLoad{Target: arg("target", ""), Running: number("running", 0), Queued: number("queued", 0), Slots: number("slots", 0), Leaving: has("leaving"), StartID: uint64(number("start", 0))})
+		s.step(operand, TargetLoad{Target: arg("target", ""), Running: number("running", 0), Queued: number("queued", 0), Slots: number("slots", 0), Leaving: has("leaving"), StartID: uint64(number("start", 0))})
 	case "unreachable":
-		s.step(first, TargetUnreachable{Target: arg("target", "")})
+		s.step(operand, TargetUnreachable{Target: arg("target", "")})
 	case "drain":
-		s.step(first, DrainStarted{})
+		s.step(operand, DrainStarted{})
 	case "disconnect":
-		s.step(first, PeerState{Node: NodeID(arg("peer", ""))})
+		s.step(operand, PeerState{Node: NodeID(arg("peer", ""))})
 	case "restart":
-		s.restart(first)
+		s.restart(operand)
 	case "pause":
-		s.paused[first] = true
+		s.paused[operand] = true
 	case "resume":
-		delete(s.paused, first)
-		s.step(first, Tick{})
+		delete(s.paused, operand)
+		s.step(operand, Tick{})
 	case "advance":
-		s.advance(span("for", "50ms"), has("deliver"))
+		s.advance(duration("for", "50ms"), has("deliver"))
 	case "deliver":
-		s.deliver(first, has("twice"), number("max", 1000))
+		s.deliver(operand, has("twice"), number("max", 1000))
 	case "drop":
-		delete(s.links, first)
+		delete(s.links, operand)
 	case "grants":
-		s.showGrants(first)
+		s.showGrants(operand)
 	default:
 		d.Fatalf(s.t, "unknown command %s", d.Cmd)
 	}
 }
 
-// fleet starts a machine for each line "name data-centre" and lets them meet.
-func (s *script) fleet(input string) {
+// startFleet starts a machine for each line "name data-centre" and delivers their first
+// messages.
+func (s *script) startFleet(input string) {
 	var members []Member
 	for i, line := range strings.Split(strings.TrimSpace(input), "\n") {
 		f := strings.Fields(line)
@@ -162,9 +164,9 @@
 	return ConfigChanged{Snapshot: &config.Snapshot{Version: s.version, Declarations: s.config}}
 }
 
-// configure reads lines "workspace NAME [queued=N] [bytes=N] [only=T+T]" and
-// "target NAME data-centre slots [leaving]", all of pool p, and gives the
-// version to one node or to all.
+// configure reads lines "workspace NAME [queued=N] [bytes=N] [only=T+T]" and "target NAME
+// data-centre slots [leaving]", all of pool p, and applies them as the next version at one
+// node or at all nodes.
 func (s *script) configure(input, at string) {
 	s.config = config.Declarations{
 		Workspaces: make(map[string]config.Workspace),
@@ -202,6 +204,7 @@
 	s.advance(600*time.Millisecond, true)
 }
 
+// advance lets time pass in steps of 50 ms, with a tick of each running machine.
 func (s *script) advance(d time.Duration, deliver bool) {
 	for end := s.now + d; s.now < end; {
 		s.now += 50 * time.Millisecond
@@ -218,14 +221,14 @@
 
 func (s *script) step(name string, ev Event) {
 	for _, cmd := range s.machines[name].Step(s.now, ev) {
-		s.show(name, cmd)
+		s.showCommand(name, cmd)
 	}
 }
 
-// deliver delivers what waits on one link ("n1>n2"), or on all links until
-// nothing is left.
-func (s *script) deliver(link string, twice bool, most int) {
-	for range most {
+// deliver delivers up to maxMessages messages of one link ("n1>n2"), or of all links, until
+// none is left.
+func (s *script) deliver(link string, twice bool, maxMessages int) {
+	for range maxMessages {
 		found := false
 		for _, l := range sortedKeys(s.links) {
 			if link != "" && l != link || len(s.links[l]) == 0 {
@@ -250,12 +253,13 @@
 	}
 }
 
-func (s *script) show(name string, cmd Command) {
+// showCommand writes a command to the output; messages are put on their links.
+func (s *script) showCommand(name string, cmd Command) {
 	switch c := cmd.(type) {
 	case Send:
 		link := name + ">" + string(c.To)
 		s.links[link] = append(s.links[link], MessageReceived{From: NodeID(name), Incarnation: s.machines[name].opts.Incarnation, Message: c.Message})
-		if text := describe(c.Message); text != "" {
+		if text := describeMessage(c.Message); text != "" {
 			fmt.Fprintf(&s.out, "%s: %s\n", link, text)
 		}
 	case Dispatch:
@@ -270,8 +274,9 @@
 	}
 }
 
-// describe returns a message as the scripts show it; "" for periodic ones.
-func describe(msg Message) string {
+// describeMessage returns a message as shown in the output; "" for the types of messages
+// that scripts do not show.
+func describeMessage(msg Message) string {
 	switch msg := msg.(type) {
 	case Ticket:
 		return fmt.Sprintf("ticket %d for %s", msg.ID.Request, msg.Shard.DataCentre)
@@ -301,7 +306,7 @@
 
 func grantName(id GrantID) string { return fmt.Sprintf("%s#%d", id.Scheduler, id.Seq) }
 
-// showGrants shows what a scheduler counts.
+// showGrants writes how many grants and tickets a scheduler holds in each shard.
 func (s *script) showGrants(name string) {
 	for _, shard := range s.machines[name].Status().Shards {
 		fmt.Fprintf(&s.out, "%s: %d granted, %d queued\n", shard.Shard.DataCentre, shard.Granted, shard.Queued)
--- a/control/share_test.go
+++ b/control/share_test.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// TestRefusedRequestsUseNoShare: requests within their workspace's share that are refused, as no
-// target can begin them in time, leave the share to the ones that come after them. A workspace
-// whose requests wait last after a crash would otherwise have nothing for seconds.
+// TestRefusedRequestsUseNoShare guards against share that is lost with refused requests. Requests
+// within their workspace's share that are refused, because no target can begin them in time, have
+// to return it for later requests. Otherwise a workspace whose requests are the last to wait after
+// a crash has no share left for seconds.
 func TestRefusedRequestsUseNoShare(t *testing.T) {
 	f := newTokenFleet("e1")
-	f.crowd()
-	// atOnce is how many such requests half of the pool is in the time for which a share may be
-	// used at once.
-	const atOnce = 7
+	f.overloadPool()
+	// minWithinShare is the number of such requests that half of the pool serves in the time whose
+	// share a workspace may use at once.
+	const minWithinShare = 7
 	granted, waiting := 0, make(map[RequestID]bool)
 	for n := range uint64(14) {
-		id, dispatch, refuse := f.arrive("a", thing(100+n))
+		id, dispatch, refuse := f.arrive("a", sharedPart(100+n))
 		switch {
 		case refuse != nil:
 			t.Fatalf("request %d is refused at once: %+v", n, refuse)
@@ -27,29 +28,30 @@
 		}
 	}
 	refused := 0
-	for _, command := range f.pass(time.Second / 2) {
+	for _, command := range f.tickFor(time.Second / 2) {
 		if refuse, ok := command.(Refuse); ok && waiting[refuse.Request] {
 			refused++
 		}
 	}
 	if refused != len(waiting) || granted > 3 {
-		t.Fatalf("%d granted, %d of %d refused: not the case to test", granted, refused, len(waiting))
+		t.Fatalf("%d granted, %d of %d refused: want at most 3 granted and the others refused", granted, refused, len(waiting))
 	}
-	if left := f.withinShare("a"); left < atOnce {
-		t.Errorf("%d more requests are within the share, of %d, after %d were granted and %d refused", left, atOnce, granted, refused)
+	if left := f.countWithinShare("a"); left < minWithinShare {
+		t.Errorf("%d more requests are within the share, want at least %d after %d were granted and %d refused", left, minWithinShare, granted, refused)
 	}
 }
 
-// crowd has a workspace ask for more than the pool serves.
-func (f *tokenFleet) crowd() {
-	const muchMore = 10 // seconds of service
-	f.machine.ensureShard(ShardID{Pool: "gen"}).shares.Ask(f.now, "b", muchMore)
+// overloadPool makes workspace "b" request more than the pool serves.
+func (f *tokenFleet) overloadPool() {
+	const excess = 10 // seconds of service
+	f.machine.ensureShard(ShardID{Pool: "gen"}).shares.Ask(f.now, "b", excess)
 }
 
-// withinShare returns how many more requests for one thing each are within a workspace's share.
-func (f *tokenFleet) withinShare(workspace string) int {
+// countWithinShare returns how many more requests with one shared part each are within a
+// workspace's share.
+func (f *tokenFleet) countWithinShare(workspace string) int {
 	shares := f.machine.ensureShard(ShardID{Pool: "gen"}).shares
-	amount := nominalService(engineTaskOf(Work{Parts: []PromptPart{thing(1)}, OutputTokens: 50})).Seconds()
+	amount := nominalService(engineTaskOf(Work{Parts: []PromptPart{sharedPart(1)}, OutputTokens: 50})).Seconds()
 	requests := 0
 	for shares.Ask(f.now, workspace, amount) {
 		requests++
--- a/control/sim_test.go
+++ b/control/sim_test.go
@@ -9,8 +9,8 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// sim drives several machines in simulated time, over a network that delays,
-// loses and doubles messages, before targets that run what is dispatched.
+// sim runs several machines in simulated time. They exchange messages over a network that
+// may delay, lose and duplicate them, and dispatch requests to simulated targets.
 type sim struct {
 	now     Instant
 	events  simEvents
@@ -19,24 +19,31 @@
 	nodes   map[NodeID]*simNode
 	names   []NodeID
 	targets map[string]*simTarget
-	// delay, loss and doubling describe the network; cut says which links fail.
-	delay          time.Duration
-	loss, doubling float64
-	cut            func(from, to NodeID) bool
-	service        func(*simRequest) time.Duration
-	loadEvery      time.Duration
-	requests       []*simRequest
-	// ended is called at the end of a request.
-	ended  func(*simRequest)
+	// delay is the time that a message takes if the network neither loses nor duplicates
+	// messages; loss and duplication are the probabilities of either.
+	delay             time.Duration
+	loss, duplication float64
+	// linkDown reports whether messages between two nodes are dropped.
+	linkDown func(from, to NodeID) bool
+	// service returns how long a request runs at its target.
+	service func(*simRequest) time.Duration
+	// loadEvery is the period of load polls.
+	loadEvery time.Duration
+	requests  []*simRequest
+	// onEnd is called when a request has ended.
+	onEnd func(*simRequest)
+	// faults lists the violated invariants.
 	faults []string
 }
 
+// simEvent is a function to be called at a time.
 type simEvent struct {
 	at  Instant
 	seq uint64
 	run func()
 }
 
+// simEvents is a heap of events by time; events with the same time keep their order.
 type simEvents []simEvent
 
 func (h simEvents) Len() int { return len(h) }
@@ -52,24 +59,26 @@
 	return e
 }
 
+// simNode is a router of the simulated fleet.
 type simNode struct {
-	id         NodeID
-	dataCentre string
-	machine    *Machine
-	inc        Incarnation
-	up, frozen bool
-	watched    []string
-	drained    bool
-	held       []func()
-	// cut says that the platform does not answer this node; follows, that it follows
-	// the platform's feeds.
-	cut, follows bool
-	turn         FeedRole
-	// doubts counts RecheckFeeds.
-	doubts int
-	offset Instant // the node's own clock started at this time
+	id             NodeID
+	dataCentre     string
+	machine        *Machine
+	inc            Incarnation
+	up, frozen     bool
+	watchedTargets []string
+	drained        bool
+	pendingSteps   []func()
+	// platformDown reports that the platform does not answer this node, and follows that the
+	// node follows the platform's feeds.
+	platformDown, follows bool
+	feedRole              FeedRole
+	// feedRechecks counts the RecheckFeeds commands.
+	feedRechecks int
+	startedAt    Instant // when its process, and with it its clock, started
 }
 
+// simTarget runs up to slots requests at once, in the order of arrival.
 type simTarget struct {
 	name    string
 	slots   int
@@ -77,13 +86,14 @@
 	leaving bool
 	running []*simRun
 	queue   []*simRun
-	// report, if set, replaces the load report.
-	report     func(TargetLoad) TargetLoad
-	busy       time.Duration
-	changedAt  Instant
-	mostActive int
+	// alterLoad, if set, falsifies the load reports.
+	alterLoad     func(TargetLoad) TargetLoad
+	busyTime      time.Duration
+	busyUpdatedAt Instant
+	maxHeld       int
 }
 
+// simRequest is a request and what became of it.
 type simRequest struct {
 	id         RequestID
 	node       NodeID
@@ -96,10 +106,11 @@
 	outcome    string
 	grantedAt  Instant
 	endedAt    Instant
-	served     time.Duration
+	slotTime   time.Duration
 	cost       time.Duration
 }
 
+// simRun is one run of a request at a target.
 type simRun struct {
 	req     *simRequest
 	grant   GrantID
@@ -107,7 +118,7 @@
 	inc     Incarnation
 	target  *simTarget
 	started Instant
-	gone    bool
+	removed bool
 }
 
 func newSim(seed uint64) *sim {
@@ -116,9 +127,9 @@
 		nodes:     make(map[NodeID]*simNode),
 		targets:   make(map[string]*simTarget),
 		delay:     time.Millisecond,
-		cut:       func(NodeID, NodeID) bool { return false },
+		linkDown:  func(NodeID, NodeID) bool { return false },
 		service:   func(*simRequest) time.Duration { return time.Second },
-		ended:     func(*simRequest) {},
+		onEnd:     func(*simRequest) {},
 		loadEvery: 200 * time.Millisecond,
 	}
 }
@@ -130,7 +141,7 @@
 
 func (s *sim) after(d time.Duration, run func()) { s.at(s.now+d, run) }
 
-// runUntil lets time pass.
+// runUntil handles all events up to a time.
 func (s *sim) runUntil(end Instant) {
 	for len(s.events) > 0 && s.events[0].at <= end {
 		e := heap.Pop(&s.events).(simEvent)
@@ -140,12 +151,13 @@
 	s.now = end
 }
 
-// fleet starts nodes n0, n1, ... spread over the data centres, all listed.
-func (s *sim) fleet(count int, snapshot *config.Snapshot, opts Options, centres ...string) {
+// startFleet starts nodes n0, n1, ... spread over the data centres. The platform lists all
+// of them.
+func (s *sim) startFleet(count int, snapshot *config.Snapshot, opts Options, dataCentres ...string) {
 	var members []Member
 	for i := range count {
 		id := NodeID(fmt.Sprintf("n%d", i))
-		n := &simNode{id: id, dataCentre: centres[i%len(centres)]}
+		n := &simNode{id: id, dataCentre: dataCentres[i%len(dataCentres)]}
 		s.nodes[id] = n
 		s.names = append(s.names, id)
 		members = append(members, Member{Node: id, DataCentre: n.dataCentre})
@@ -154,15 +166,15 @@
 		s.targets[name] = &simTarget{name: name, slots: t.Slots, up: true}
 	}
 	for _, id := range s.names {
-		s.start(id, snapshot, members, opts)
+		s.startNode(id, snapshot, members, opts)
 	}
 }
 
-// start starts a node's process, anew if it ran before.
-func (s *sim) start(id NodeID, snapshot *config.Snapshot, members []Member, opts Options) {
+// startNode starts or restarts the process of a node.
+func (s *sim) startNode(id NodeID, snapshot *config.Snapshot, members []Member, opts Options) {
 	n := s.nodes[id]
 	n.inc = Incarnation(s.rng.Uint64() | 1)
-	n.offset = s.now
+	n.startedAt = s.now
 	n.up, n.frozen, n.drained = true, false, false
 	opts.Node, opts.Incarnation, opts.DataCentre, opts.Seed = id, n.inc, n.dataCentre, s.rng.Uint64()
 	n.machine = New(opts)
@@ -173,6 +185,7 @@
 	s.every(n, inc, s.loadEvery, func() { s.poll(n) })
 }
 
+// every calls a function periodically until the node's process ends; not while it is frozen.
 func (s *sim) every(n *simNode, inc Incarnation, period time.Duration, run func()) {
 	if !n.up || n.inc != inc {
 		return
@@ -183,46 +196,48 @@
 	s.after(period, func() { s.every(n, inc, period, run) })
 }
 
-// stop ends a node's process; its runs are cut.
-func (s *sim) stop(id NodeID) {
+// stopNode ends a node's process and aborts its runs.
+func (s *sim) stopNode(id NodeID) {
 	n := s.nodes[id]
 	n.up = false
 	for _, t := range s.targets {
 		for _, r := range append(append([]*simRun(nil), t.running...), t.queue...) {
 			if r.node == n {
-				r.gone = true
-				s.leave(t, r)
+				r.removed = true
+				s.removeRun(t, r)
 			}
 		}
 	}
 }
 
+// freeze suspends a node's process: events for it are held until unfreeze.
 func (s *sim) freeze(id NodeID) { s.nodes[id].frozen = true }
 
 func (s *sim) unfreeze(id NodeID) {
 	n := s.nodes[id]
 	n.frozen = false
-	held := n.held
-	n.held = nil
-	for _, f := range held {
+	pending := n.pendingSteps
+	n.pendingSteps = nil
+	for _, f := range pending {
 		f()
 	}
 }
 
+// step passes an event to a node's machine and carries out the resulting commands.
 func (s *sim) step(n *simNode, ev Event) {
 	if !n.up {
 		return
 	}
 	if n.frozen {
 		inc := n.inc
-		n.held = append(n.held, func() {
+		n.pendingSteps = append(n.pendingSteps, func() {
 			if n.inc == inc {
 				s.step(n, ev)
 			}
 		})
 		return
 	}
-	for _, cmd := range n.machine.Step(s.now-n.offset, ev) {
+	for _, cmd := range n.machine.Step(s.now-n.startedAt, ev) {
 		s.carryOut(n, cmd)
 	}
 }
@@ -234,15 +249,15 @@
 	case Dispatch:
 		s.dispatch(n, c)
 	case FeedRole:
-		s.takeTurn(n, c)
+		s.applyFeedRole(n, c)
 	case RecheckFeeds:
-		n.doubts++
+		n.feedRechecks++
 	case Refuse:
-		if r := s.find(n, c.Request); r != nil {
-			s.finish(r, fmt.Sprintf("refused %d", c.Code))
+		if r := s.findRequest(n, c.Request); r != nil {
+			s.finishRequest(r, fmt.Sprintf("refused %d", c.Code))
 		}
 	case WatchTargets:
-		n.watched = c.Targets
+		n.watchedTargets = c.Targets
 	case Drained:
 		n.drained = true
 	}
@@ -250,7 +265,7 @@
 
 func (s *sim) send(n *simNode, c Send) {
 	copies := 1
-	if s.rng.Float64() < s.doubling {
+	if s.rng.Float64() < s.duplication {
 		copies = 2
 	}
 	inc := n.inc
@@ -259,12 +274,12 @@
 			continue
 		}
 		delay := s.delay
-		if s.loss > 0 || s.doubling > 0 {
-			delay = time.Duration(s.rng.Int64N(int64(20*s.delay) + 1)) // crosses others
+		if s.loss > 0 || s.duplication > 0 {
+			delay = time.Duration(s.rng.Int64N(int64(20*s.delay) + 1)) // may overtake other messages
 		}
 		s.after(delay, func() {
 			to := s.nodes[c.To]
-			if to == nil || s.cut(n.id, c.To) {
+			if to == nil || s.linkDown(n.id, c.To) {
 				return
 			}
 			s.step(to, MessageReceived{From: n.id, Incarnation: inc, Message: c.Message})
@@ -272,20 +287,21 @@
 	}
 }
 
-// arrive brings a request in at a node.
-func (s *sim) arrive(node NodeID, workspace, pool string, wait time.Duration, change ...func(*RequestArrived)) *simRequest {
+// arrive delivers a new request to a node.
+func (s *sim) arrive(node NodeID, workspace, pool string, timeout time.Duration, changes ...func(*RequestArrived)) *simRequest {
 	n := s.nodes[node]
 	r := &simRequest{id: RequestID(len(s.requests) + 1), node: node, inc: n.inc, workspace: workspace, arrivedAt: s.now}
 	s.requests = append(s.requests, r)
-	ev := RequestArrived{Request: r.id, Attempt: 1, Workspace: workspace, Pool: pool, Deadline: s.now - n.offset + wait}
-	for _, f := range change {
+	ev := RequestArrived{Request: r.id, Attempt: 1, Workspace: workspace, Pool: pool, Deadline: s.now - n.startedAt + timeout}
+	for _, f := range changes {
 		f(&ev)
 	}
 	s.step(n, ev)
 	return r
 }
 
-func (s *sim) find(n *simNode, id RequestID) *simRequest {
+// findRequest returns a request of the node's current process, or nil.
+func (s *sim) findRequest(n *simNode, id RequestID) *simRequest {
 	r := s.requests[id-1]
 	if r.node != n.id || r.inc != n.inc {
 		return nil
@@ -293,15 +309,16 @@
 	return r
 }
 
-// workload describes a snapshot for tests.
-type workload struct {
-	workspaces map[string]float64 // shares
-	perCentre  int                // targets of pool "draft" in each data centre
-	slots      int
-	centres    []string
+// fleetSpec describes the workspaces and targets of a test configuration with one pool,
+// "draft".
+type fleetSpec struct {
+	workspaces           map[string]float64 // shares
+	targetsPerDataCentre int                // targets of pool "draft" in each data centre
+	slots                int
+	dataCentres          []string
 }
 
-func (w workload) snapshot() *config.Snapshot {
+func (w fleetSpec) snapshot() *config.Snapshot {
 	d := config.Declarations{
 		Workspaces: make(map[string]config.Workspace),
 		Pools:      map[string]config.Pool{"draft": {Kind: config.KindEngine}},
@@ -310,8 +327,8 @@
 	for name, share := range w.workspaces {
 		d.Workspaces[name] = config.Workspace{Share: share, Pools: []string{"draft"}, MaxQueued: 1 << 20}
 	}
-	for _, centre := range w.centres {
-		for i := range w.perCentre {
+	for _, centre := range w.dataCentres {
+		for i := range w.targetsPerDataCentre {
 			d.Targets[fmt.Sprintf("%s-%d", centre, i)] = config.Target{Pool: "draft", DataCentre: centre, Slots: w.slots}
 		}
 	}
--- a/control/simtarget_test.go
+++ b/control/simtarget_test.go
@@ -6,26 +6,27 @@
 )
 
 func (s *sim) dispatch(n *simNode, c Dispatch) {
-	r := s.find(n, c.Request)
+	r := s.findRequest(n, c.Request)
 	if r == nil {
-		s.fault("dispatch of a request of another process: %v", c)
+		s.recordFault("dispatch of a request that this process did not receive: %v", c)
 		return
 	}
 	r.dispatches++
 	if r.dispatches > 1 || r.done {
-		s.fault("request %d dispatched %d times, done %v", r.id, r.dispatches, r.done)
+		s.recordFault("request %d dispatched %d times, done %v", r.id, r.dispatches, r.done)
 	}
 	r.grantedAt = s.now
 	run := &simRun{req: r, grant: c.Grant, node: n, inc: n.inc, target: s.targets[c.Target]}
-	s.after(s.delay, func() { s.reach(run) })
+	s.after(s.delay, func() { s.runArrived(run) })
 }
 
-func (s *sim) fault(format string, args ...any) {
+// recordFault records a violated invariant.
+func (s *sim) recordFault(format string, args ...any) {
 	s.faults = append(s.faults, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
 }
 
-// reach brings a run to its target.
-func (s *sim) reach(run *simRun) {
+// runArrived handles the arrival of a run at its target.
+func (s *sim) runArrived(run *simRun) {
 	if !run.node.up || run.node.inc != run.inc {
 		return
 	}
@@ -38,9 +39,10 @@
 	s.startRuns(run.target)
 }
 
+// startRuns starts queued runs in the free slots of a target.
 func (s *sim) startRuns(t *simTarget) {
-	s.account(t)
-	t.mostActive = max(t.mostActive, len(t.running)+len(t.queue))
+	s.updateBusyTime(t)
+	t.maxHeld = max(t.maxHeld, len(t.running)+len(t.queue))
 	for len(t.running) < t.slots && len(t.queue) > 0 {
 		run := t.queue[0]
 		t.queue = t.queue[1:]
@@ -48,22 +50,23 @@
 		run.started = s.now
 		run.req.cost = s.service(run.req)
 		s.after(run.req.cost, func() {
-			if !run.gone {
-				s.leave(t, run)
+			if !run.removed {
+				s.removeRun(t, run)
 				s.endRun(run, OutcomeAnswered)
 			}
 		})
 	}
 }
 
-// account adds up the target's busy slot time.
-func (s *sim) account(t *simTarget) {
-	t.busy += time.Duration(len(t.running)) * (s.now - t.changedAt)
-	t.changedAt = s.now
+// updateBusyTime adds the slot time used since the last update to a target's busyTime.
+func (s *sim) updateBusyTime(t *simTarget) {
+	t.busyTime += time.Duration(len(t.running)) * (s.now - t.busyUpdatedAt)
+	t.busyUpdatedAt = s.now
 }
 
-func (s *sim) leave(t *simTarget, run *simRun) {
-	s.account(t)
+// removeRun removes a run from its target.
+func (s *sim) removeRun(t *simTarget, run *simRun) {
+	s.updateBusyTime(t)
 	t.running = remove(t.running, run)
 	t.queue = remove(t.queue, run)
 	s.startRuns(t)
@@ -78,32 +81,35 @@
 	return runs
 }
 
+// endRun reports the end of a run to its node.
 func (s *sim) endRun(run *simRun, outcome Outcome) {
 	if outcome == OutcomeAnswered {
-		run.req.served = s.now - run.started
+		run.req.slotTime = s.now - run.started
 	}
 	s.after(s.delay, func() {
 		if !run.node.up || run.node.inc != run.inc {
 			return
 		}
 		s.step(run.node, RunEnded{Request: run.req.id, Grant: run.grant, Outcome: outcome, Service: s.now - run.req.grantedAt})
-		s.finish(run.req, fmt.Sprintf("outcome %d", outcome))
+		s.finishRequest(run.req, fmt.Sprintf("outcome %d", outcome))
 	})
 }
 
-func (s *sim) finish(r *simRequest, outcome string) {
+// finishRequest records that a request has ended, which must happen only once.
+func (s *sim) finishRequest(r *simRequest, outcome string) {
 	if r.done {
-		s.fault("request %d ended twice: %s, then %s", r.id, r.outcome, outcome)
+		s.recordFault("request %d ended twice: %s, then %s", r.id, r.outcome, outcome)
 	}
 	r.done = true
 	r.outcome = outcome
-	s.ended(r)
+	s.onEnd(r)
 }
 
-// poll reads the load of the targets that a node watches; reports lag.
+// poll delivers the load of the targets that a node watches, each after a random delay of
+// up to loadEvery.
 func (s *sim) poll(n *simNode) {
 	inc := n.inc
-	for _, name := range n.watched {
+	for _, name := range n.watchedTargets {
 		t := s.targets[name]
 		if t == nil {
 			continue
@@ -111,8 +117,8 @@
 		var ev Event = TargetUnreachable{Target: name}
 		if t.up {
 			load := TargetLoad{Target: name, Running: len(t.running), Queued: len(t.queue), Slots: t.slots, Leaving: t.leaving}
-			if t.report != nil {
-				load = t.report(load)
+			if t.alterLoad != nil {
+				load = t.alterLoad(load)
 			}
 			ev = load
 		}
--- a/control/slots_test.go
+++ b/control/slots_test.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// TestSlotTimeLeavesTheWaitOut has a target with one slot hold two grants: the
-// second waits in the target until the first ends.
-func TestSlotTimeLeavesTheWaitOut(t *testing.T) {
+// TestSlotTimeExcludesWaitInTarget guards against charging a workspace for the time that a run
+// waits in its target: a target with one slot holds two grants, of which the second waits
+// until the first run ends.
+func TestSlotTimeExcludesWaitInTarget(t *testing.T) {
 	m := New(Options{Node: "n1", Incarnation: 1, DataCentre: "ikeja"})
-	m.Step(0, ConfigChanged{Snapshot: snapshot()})
+	m.Step(0, ConfigChanged{Snapshot: oneSlotSnapshot()})
 	at := func(ms int) Instant { return time.Duration(ms) * time.Millisecond }
 	arrive := func(ms, id int) []Dispatch {
-		return dispatches(m.Step(at(ms), RequestArrived{Request: RequestID(id), Attempt: 1, Workspace: "bakery", Pool: "draft", Deadline: time.Hour}))
+		return dispatchesIn(m.Step(at(ms), RequestArrived{Request: RequestID(id), Attempt: 1, Workspace: "bakery", Pool: "draft", Deadline: time.Hour}))
 	}
 	end := func(ms int, d Dispatch, service int) []Dispatch {
-		return dispatches(m.Step(at(ms), RunEnded{Request: d.Request, Grant: d.Grant, Service: at(service)}))
+		return dispatchesIn(m.Step(at(ms), RunEnded{Request: d.Request, Grant: d.Grant, Service: at(service)}))
 	}
-	// A short run teaches the window that a slot would idle between runs.
+	// After a short run the window allows one more grant, as the slot would idle between runs.
 	end(820, arrive(800, 1)[0], 20)
 	first := arrive(1000, 2)
 	second := arrive(1010, 3)
@@ -28,20 +29,20 @@
 	if third := arrive(1020, 4); len(third) != 0 {
 		t.Fatalf("a third run was dispatched: %v", third)
 	}
-	entry := m.sched.workspaces["bakery"].account
+	account := m.sched.workspaces["bakery"].account
 	third := end(1500, first[0], 500)
 	end(1600, second[0], 590)
-	if own := entry.Own(); math.Abs(own-0.62) > 1e-9 {
-		t.Errorf("runs of 20, 500 and 100 ms count for %v", own)
+	if own := account.Own(); math.Abs(own-0.62) > 1e-9 {
+		t.Errorf("runs of 20, 500 and 100 ms are charged with %v s", own)
 	}
 	if len(third) != 1 {
 		t.Fatalf("the third run was not dispatched: %v", third)
 	}
-	// The third run holds the slot since 1.6 s: its charge grows with it.
+	// The third run has used the slot since 1.6 s: its charge grows with that time.
 	for ms := 1700; ms <= 2300; ms += 100 {
 		m.Step(at(ms), Tick{})
 	}
-	if total := entry.Total(); total < 1.32 {
-		t.Errorf("a run of 700 ms so far is charged with %v in all", total-0.62)
+	if total := account.Total(); total < 1.32 {
+		t.Errorf("a run that has used 700 ms so far is charged with %v s", total-0.62)
 	}
 }
--- a/control/unread_test.go
+++ b/control/unread_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// TestSchedulerLearnsWhatEntriesRefuse: an entry tells the scheduler of the pool, which is
-// itself or another node, and nobody where the pool does not count in tokens.
-func TestSchedulerLearnsWhatEntriesRefuse(t *testing.T) {
+// TestSchedulerIsToldOfUnreadRefusals guards against schedulers that do not know of requests which
+// entries refused unread. The entry tells the scheduler of the pool, be it on this or on another
+// node, and no one if the pool does not count in tokens.
+func TestSchedulerIsToldOfUnreadRefusals(t *testing.T) {
 	f := newTokenFleet("e1")
 	f.step(RequestsRefusedUnread{Pool: "gen", Workspace: "a", Count: 3})
 	if f.machine.sched.shards[ShardID{Pool: "gen"}] == nil {
 		t.Fatal("this node does not schedule the pool")
 	}
-	f.hearsLarger()
+	f.addLargerNode()
 	var sent []Send
 	for _, command := range f.step(RequestsRefusedUnread{Pool: "gen", Workspace: "a", Count: 3}) {
 		if send, ok := command.(Send); ok {
@@ -26,13 +27,13 @@
 	}
 	for _, command := range f.step(RequestsRefusedUnread{Pool: "plain", Workspace: "a", Count: 3}) {
 		if send, ok := command.(Send); ok {
-			t.Errorf("told %+v of a pool that is not known", send)
+			t.Errorf("sent %+v about an unknown pool", send)
 		}
 	}
 }
 
-// TestUnreadWhileOwedIsCounted: what entries refuse unread is counted as lost to them as long
-// as the workspace's share is not used up and a target has room.
+// TestUnreadWhileOwedIsCounted guards against a counter that hides requests refused unread, or
+// counts too many: it counts them as long as their workspace has share left and a target has room.
 func TestUnreadWhileOwedIsCounted(t *testing.T) {
 	f := newTokenFleet("e1")
 	counted := func(workspace string, count int) uint64 {
@@ -41,23 +42,23 @@
 		return f.machine.Counters().UnreadWhileOwed - before
 	}
 	if got := counted("a", 3); got != 3 {
-		t.Errorf("%d of 3 counted of an idle target", got)
+		t.Errorf("counted %d of 3 while the target is idle", got)
 	}
 	f.now += time.Second
-	const muchMore = 1e6
-	if !f.machine.sched.shards[ShardID{Pool: "gen"}].shares.Ask(f.now, "a", muchMore) {
+	const wholeShare = 1e6
+	if !f.machine.sched.shards[ShardID{Pool: "gen"}].shares.Ask(f.now, "a", wholeShare) {
 		t.Fatal("the share was used up before")
 	}
 	if got := counted("a", 3); got != 0 {
-		t.Errorf("%d counted of a workspace whose share is used up", got)
+		t.Errorf("counted %d of a workspace whose share is used up, want 0", got)
 	}
 	if got := counted("b", 3); got != 3 {
-		t.Errorf("%d of 3 counted of the other workspace", got)
+		t.Errorf("counted %d of 3 of the other workspace", got)
 	}
 	for n := range uint64(50) {
-		f.arrive("b", own(n))
+		f.arrive("b", ownPart(n))
 	}
 	if got := counted("b", 3); got != 0 {
-		t.Errorf("%d counted while the target has no room", got)
+		t.Errorf("counted %d while the target has no room, want 0", got)
 	}
 }
--- a/control/watch_test.go
+++ b/control/watch_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// watchedTargets returns the last set of targets that commands ask to watch; false if none
-// does.
+// watchedTargets returns the targets of the last WatchTargets among commands; false if there is
+// none.
 func watchedTargets(commands []Command) ([]string, bool) {
 	var last []string
 	found := false
@@ -18,8 +18,8 @@
 	return last, found
 }
 
-// pass ticks for a while and returns the commands.
-func (f *tokenFleet) pass(d time.Duration) []Command {
+// tickFor lets time pass in steps of 20 ms, with a tick each, and returns the commands.
+func (f *tokenFleet) tickFor(d time.Duration) []Command {
 	var commands []Command
 	for end := f.now + d; f.now < end; {
 		f.now += 20 * time.Millisecond
@@ -28,49 +28,50 @@
 	return commands
 }
 
-// hearsLarger lets the machine hear of a node with more processor, which owns the shards from
-// then on, and returns the commands.
-func (f *tokenFleet) hearsLarger() []Command {
+// addLargerNode adds a node with more processor cores, which owns all shards from then on, and
+// returns the commands.
+func (f *tokenFleet) addLargerNode() []Command {
 	f.step(MembersListed{Members: []Member{{Node: "n", DataCentre: "d", Cores: 0.2}, {Node: "other", DataCentre: "d", Cores: 0.8}}})
 	return f.step(MessageReceived{From: "other", Incarnation: 5, Message: Heartbeat{Incarnation: 5}})
 }
 
-// TestStartWatchesNothingOfOthers plays the start of a router in a fleet: until it hears of
-// the others it owns every shard. It asks no target before that has lasted, grants all the
-// same, and stops asking as soon as another router is the owner.
-func TestStartWatchesNothingOfOthers(t *testing.T) {
+// TestStartingRouterWatchesNoTargets guards against a starting router that polls every target of
+// the fleet. It owns all shards until it has heard from the other routers: it has to grant at
+// once, but must not poll targets before it has owned their shards for watchDelay, nor once
+// another router owns them.
+func TestStartingRouterWatchesNoTargets(t *testing.T) {
 	f := newTokenFleet("e1", "e2")
-	if _, dispatch, _ := f.arrive("a", own(1)); dispatch == nil {
-		t.Error("no grant from a router that knows no other")
+	if _, dispatch, _ := f.arrive("a", ownPart(1)); dispatch == nil {
+		t.Error("no grant from a router that knows no other one")
 	}
-	if targets, told := watchedTargets(f.pass(watchDelay - 100*time.Millisecond)); told {
-		t.Errorf("watches %v before it can have heard of others", targets)
+	if targets, emitted := watchedTargets(f.tickFor(watchDelay - 100*time.Millisecond)); emitted {
+		t.Errorf("watches %v before watchDelay has passed", targets)
 	}
-	f.hearsLarger()
-	if targets, told := watchedTargets(f.pass(time.Second)); told {
+	f.addLargerNode()
+	if targets, emitted := watchedTargets(f.tickFor(time.Second)); emitted {
 		t.Errorf("watches %v, which another router owns", targets)
 	}
 }
 
-// TestLoneRouterWatches: one that stays alone watches all its targets, and none of them
-// once another one owns them.
-func TestLoneRouterWatches(t *testing.T) {
+// TestLoneRouterWatchesItsTargets guards against targets that no router watches: a router without
+// others has to watch all targets, and none of them once another router owns them.
+func TestLoneRouterWatchesItsTargets(t *testing.T) {
 	f := newTokenFleet("e1", "e2")
-	if targets, _ := watchedTargets(f.pass(watchDelay + 100*time.Millisecond)); len(targets) != 2 {
-		t.Errorf("watches %v", targets)
+	if targets, _ := watchedTargets(f.tickFor(watchDelay + 100*time.Millisecond)); len(targets) != 2 {
+		t.Errorf("watches %v, want both targets", targets)
 	}
-	commands := f.hearsLarger()
-	if targets, told := watchedTargets(append(commands, f.pass(100*time.Millisecond)...)); !told || len(targets) > 0 {
-		t.Errorf("told %v: watches %v, which another router owns", told, targets)
+	commands := f.addLargerNode()
+	if targets, emitted := watchedTargets(append(commands, f.tickFor(100*time.Millisecond)...)); !emitted || len(targets) > 0 {
+		t.Errorf("command %v: watches %v, which another router owns", emitted, targets)
 	}
 }
 
-// TestEachTargetIsWatchedOnce: in a fleet that knows itself each target is watched by one
-// node, and by another one once that ends.
+// TestEachTargetIsWatchedOnce guards against targets that no node watches, or several, once all
+// nodes know each other, also after the node that watched a target has ended.
 func TestEachTargetIsWatchedOnce(t *testing.T) {
 	s := newSim(6)
-	load := workload{workspaces: map[string]float64{"a": 1}, perCentre: 3, slots: 4, centres: centres}
-	s.fleet(12, load.snapshot(), Options{}, centres...)
+	spec := fleetSpec{workspaces: map[string]float64{"a": 1}, targetsPerDataCentre: 3, slots: 4, dataCentres: testDataCentres}
+	s.startFleet(12, spec.snapshot(), Options{}, testDataCentres...)
 	check := func(when string) NodeID {
 		t.Helper()
 		s.runUntil(s.now + 5*time.Second)
@@ -78,7 +79,7 @@
 		counts := make(map[string]int)
 		for _, id := range s.names {
 			if n := s.nodes[id]; n.up {
-				for _, name := range n.watched {
+				for _, name := range n.watchedTargets {
 					counts[name]++
 					watcher = id
 				}
@@ -86,12 +87,12 @@
 		}
 		for name := range s.targets {
 			if counts[name] != 1 {
-				t.Errorf("%s: %d nodes watch %s", when, counts[name], name)
+				t.Errorf("%s: %d nodes watch %s, want 1", when, counts[name], name)
 			}
 		}
 		return watcher
 	}
-	s.stop(check("at first"))
-	s.stop(check("after one watcher ended"))
+	s.stopNode(check("at first"))
+	s.stopNode(check("after one watcher ended"))
 	check("after two ended")
 }
