--- a/control/fairness_test.go
+++ b/control/fairness_test.go
@@ -269,9 +269,9 @@
 	}
 }
 
-// TestServiceInOtherPoolDelaysOnlyBriefly guards against starvation of a workspace that
-// received much service in one pool, in another pool where only other workspaces are
-// backlogged.
+// TestServiceInOtherPoolDelaysOnlyBriefly guards against a workspace that waits for long in
+// one pool, behind the backlog of another workspace, because it receives much service in
+// another pool.
 func TestServiceInOtherPoolDelaysOnlyBriefly(t *testing.T) {
 	s := newSim(4)
 	shares := map[string]float64{"large": 1, "small": 1}
--- a/control/feeds_test.go
+++ b/control/feeds_test.go
@@ -173,9 +173,9 @@
 	if count := rechecks(); count > 0 {
 		t.Errorf("%d rechecks as a follower leaves", count)
 	}
-	cut := follower()
-	cut.platformDown = true
-	s.step(cut, FeedState{})
+	lost := follower()
+	lost.platformDown = true
+	s.step(lost, FeedState{})
 	s.runUntil(s.now + time.Second)
 	if count := rechecks(); count != len(s.names)-1 {
 		t.Errorf("%d of %d nodes recheck their feeds", count, len(s.names)-1)
--- a/control/local_test.go
+++ b/control/local_test.go
@@ -109,10 +109,10 @@
 // grant to others.
 func TestNoLocalGrantsBeyondShare(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		excess bool
-		after  time.Duration
-		want   bool
+		wantGranted string
+		excess      bool
+		after       time.Duration
+		want        bool
 	}{
 		{"beyond its share", true, 0, false},
 		{"refused within its share", false, 0, true},
@@ -138,7 +138,7 @@
 			}
 		}
 		if granted[exceeding] != c.want || !granted[other] {
-			t.Errorf("%s: granted %v, and %v to another workspace", c.name, granted[exceeding], granted[other])
+			t.Errorf("%s: granted %v, and %v to another workspace", c.wantGranted, granted[exceeding], granted[other])
 		}
 	}
 }
--- a/control/notices_test.go
+++ b/control/notices_test.go
@@ -40,7 +40,7 @@
 // scheduler or to another node, that it is leaving. The notice applies to one start: the next
 // start has to be granted again.
 func TestLeavingTargetGetsNoGrant(t *testing.T) {
-	for name, tell := range map[string]func(f *tokenFleet, start int64){
+	for name, notify := range map[string]func(f *tokenFleet, start int64){
 		"this node": func(f *tokenFleet, start int64) { f.reportLeaving("e1", start) },
 		"another node": func(f *tokenFleet, start int64) {
 			f.machine.handleMessage("other", 5, LeavingNotice{Target: "e1", Start: start})
@@ -48,17 +48,17 @@
 	} {
 		f := newTokenFleet("e1")
 		f.relist("e1", 100)
-		tell(f, 99)
+		notify(f, 99)
 		if !f.isGrantedAtOnce() {
-			t.Errorf("told %s: a notice of the previous start is applied", name)
+			t.Errorf("notice to %s: a notice of the previous start is applied", name)
 		}
-		tell(f, 100)
+		notify(f, 100)
 		if _, dispatch, refuse := f.arrive("a", ownPart(1)); dispatch != nil || refuse == nil {
-			t.Errorf("told %s: granted %+v, refused %+v", name, dispatch, refuse)
+			t.Errorf("notice to %s: granted %+v, refused %+v", name, dispatch, refuse)
 		}
 		f.relist("e1", 200)
 		if !f.isGrantedAtOnce() {
-			t.Errorf("told %s: the next start gets no grant", name)
+			t.Errorf("notice to %s: the next start gets no grant", name)
 		}
 	}
 }
--- a/control/script_test.go
+++ b/control/script_test.go
@@ -75,7 +75,7 @@
 		}
 		return v
 	}
-	operand := ""
+	operand := "" // the node or link to which the command applies
 	if len(d.CmdArgs) > 0 && d.CmdArgs[0].Key != "twice" {
 		operand = d.CmdArgs[0].Key
 	}
