--- a/control/control.go
+++ b/control/control.go
@@ -78,7 +78,8 @@
 	Node        NodeID
 	Incarnation Incarnation
 	Request     RequestID
-	// Attempt counts the grants requested on behalf of the request, from 1.
+	// Attempt numbers the tickets of the incarnation, from 1, across all of its requests. It
+	// differs from RequestArrived.Attempt.
 	Attempt uint32
 }
 
--- a/control/entry.go
+++ b/control/entry.go
@@ -56,7 +56,8 @@
 type workspaceBacklog struct {
 	count int
 	bytes int64
-	// since and grants give the rate of grants while requests wait.
+	// since is when requests began to wait without interruption, and grants counts the
+	// grants since then: together they give the rate of grants.
 	since  Instant
 	grants int
 }
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -124,7 +124,8 @@
 	m.noteIfIdle(s)
 }
 
-// mayScheduleHere returns false once this node drains and another can take over.
+// mayScheduleHere reports whether this node may schedule shards: not once it drains and
+// another node can take over.
 func (m *Machine) mayScheduleHere() bool {
 	return !m.draining || m.opts.Policy == PolicyAlone || m.view.Others() == 0
 }
--- a/control/shard.go
+++ b/control/shard.go
@@ -364,6 +364,7 @@
 	return all
 }
 
+// compareTickets orders tickets by node, incarnation and attempt, which identify a ticket.
 func compareTickets(a, b TicketID) int {
 	return cmp.Or(
 		cmp.Compare(a.Node, b.Node),
--- a/control/target.go
+++ b/control/target.go
@@ -184,7 +184,7 @@
 		t.failingSince = m.now
 	}
 	t.pollFailed = poll
-	t.failures = min(t.failures+1, 16)
+	t.failures = min(t.failures+1, 16) // bounded, so that the shift below does not overflow
 	longest := maxBackoff
 	if !poll && m.now-t.polledAt <= pollFreshFor {
 		longest = maxRunBackoff
