--- a/control/sim_test.go
+++ b/control/sim_test.go
@@ -68,7 +68,8 @@
 	up, frozen     bool
 	watchedTargets []string
 	drained        bool
-	pendingSteps   []func()
+	// pendingSteps holds the events that arrived while the node was frozen.
+	pendingSteps []func()
 	// platformDown reports that the platform does not answer this node, and follows that the
 	// node follows the platform's feeds.
 	platformDown, follows bool
@@ -90,7 +91,8 @@
 	alterLoad     func(TargetLoad) TargetLoad
 	busyTime      time.Duration
 	busyUpdatedAt Instant
-	maxHeld       int
+	// maxHeld is the maximum number of requests, running or queued, that it held at once.
+	maxHeld int
 }
 
 // simRequest is a request and what became of it.
@@ -118,6 +120,7 @@
 	inc     Incarnation
 	target  *simTarget
 	started Instant
+	// removed reports that the run was aborted, so that it does not end by itself.
 	removed bool
 }
 
