--- a/front/accept_test.go
+++ b/front/accept_test.go
@@ -12,41 +12,41 @@
 	"github.com/walnutcove/walnutcove/pipeline"
 )
 
-// starvedListener has no descriptors for its first accepts.
-type starvedListener struct {
+// failingListener fails its first accepts as if descriptors had run out.
+type failingListener struct {
 	net.Listener
-	mu   sync.Mutex
-	left int
+	mu       sync.Mutex
+	failures int
 }
 
 // Accept implements net.Listener.
-func (l *starvedListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	l.mu.Lock()
-	starved := l.left > 0
-	l.left--
+	shouldFail := l.failures > 0
+	l.failures--
 	l.mu.Unlock()
-	if starved {
+	if shouldFail {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return l.Listener.Accept()
 }
 
-// answerEmpty answers every request.
+// answerEmpty answers every request with status 200 and no body.
 func answerEmpty(_ context.Context, ex *pipeline.Exchange) error {
 	ex.Status = http.StatusOK
 	return nil
 }
 
-// TestWantOfDescriptorsPasses: the server goes on accepting after accepts that
-// failed for want of descriptors.
-func TestWantOfDescriptorsPasses(t *testing.T) {
+// TestAcceptRetriesAfterDescriptorShortage checks that the server continues to accept
+// after accepts that failed because descriptors ran out.
+func TestAcceptRetriesAfterDescriptorShortage(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := New(Options{IdleGrace: time.Millisecond}, answerEmpty)
 	served := make(chan error, 1)
-	go func() { served <- s.Serve(&starvedListener{Listener: listener, left: 3}) }()
+	go func() { served <- s.Serve(&failingListener{Listener: listener, failures: 3}) }()
 	client := &http.Client{Timeout: 10 * time.Second}
 	answer, err := client.Get("http://" + listener.Addr().String() + "/x")
 	if err != nil {
@@ -58,13 +58,13 @@
 		t.Error(err)
 	}
 	if err := <-served; err != nil {
-		t.Errorf("the listener ended: %v", err)
+		t.Errorf("Serve returned an error: %v", err)
 	}
 }
 
-// TestCrowdedConnectionsAreClosed: past the bound a connection is closed with
-// its answer, and below it kept.
-func TestCrowdedConnectionsAreClosed(t *testing.T) {
+// TestConnectionsAboveTheLimitAreClosed checks that a connection above the limit is
+// closed after its answer, and that one below the limit is kept.
+func TestConnectionsAboveTheLimitAreClosed(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -86,6 +86,6 @@
 		t.Error("the only connection was closed")
 	}
 	if !get(second) {
-		t.Error("a connection past the bound was kept")
+		t.Error("a connection above the limit was kept")
 	}
 }
--- a/front/answer.go
+++ b/front/answer.go
@@ -14,7 +14,7 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// Headers of answers.
+// Response headers that the router sets.
 const (
 	headerRequestID    = "Walnut-Request-Id"
 	headerCode         = "Walnut-Code"
@@ -23,10 +23,10 @@
 	headerRetryAfterMS = "Retry-After-Ms"
 )
 
-// maxBufferedAnswer bounds an answer that is held whole for an HTTP/1.0 caller.
-const maxBufferedAnswer = 64 << 20
+// maxBufferedAnswerBytes limits an answer that is buffered whole for an HTTP/1.0 caller.
+const maxBufferedAnswerBytes = 64 << 20
 
-// errorBody is the JSON that a refused caller gets.
+// errorBody is the JSON body of an error response.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -39,11 +39,12 @@
 	RequestID string `json:"request_id"`
 }
 
-// writeError sets a numbered error as the response.
+// writeError sets the error response for err. An error without a result code is
+// reported as result.Internal.
 func (s *Server) writeError(ctx *fasthttp.RequestCtx, id string, err error) {
 	var refusal *result.Error
 	if !errors.As(err, &refusal) {
-		s.log.Error("front: Pipeline gave an error without a code.", "request", id, "error", err)
+		s.log.Error("front: Pipeline returned an error without a result code.", "request", id, "error", err)
 		refusals.Inc(result.Internal)
 		refusal = result.Wrap(result.Internal, err, "The router failed.")
 	}
@@ -59,7 +60,7 @@
 	encoded, _ := json.Marshal(body) // strings and ints always encode
 	response := &ctx.Response
 	response.Reset()
-	response.SetStatusCode(s.statusOf(refusal))
+	response.SetStatusCode(s.httpStatus(refusal))
 	header := &response.Header
 	header.SetContentType("application/json")
 	header.Set(headerRequestID, id)
@@ -72,26 +73,28 @@
 	response.SetBodyRaw(encoded)
 }
 
-// statusOf returns the HTTP status of a refusal. Where callers go by the status
-// alone, one that promises that nothing ran is given if and only if that is so.
-func (s *Server) statusOf(refusal *result.Error) int {
+// httpStatus returns the HTTP status of a refusal. Where callers rely on the status
+// alone (Dialect.StatusPromises), a status that promises that the request did not run
+// is used if and only if the request did not run; requests that would be refused again
+// keep their own status.
+func (s *Server) httpStatus(refusal *result.Error) int {
 	status := refusal.Code.Info().Status
 	if !s.options.Dialect.StatusPromises {
 		return status
 	}
-	promises := status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests ||
+	promisesNotRun := status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests ||
 		status == fasthttp.StatusRequestTimeout || status == fasthttp.StatusMisdirectedRequest
 	switch {
-	case refusal.Ran == result.RanNo && !promises && !isCallersFault(refusal.Code):
+	case refusal.Ran == result.RanNo && !promisesNotRun && !isCallerFault(refusal.Code):
 		return fasthttp.StatusServiceUnavailable
-	case refusal.Ran != result.RanNo && promises:
+	case refusal.Ran != result.RanNo && promisesNotRun:
 		return fasthttp.StatusBadGateway
 	}
 	return status
 }
 
-// isCallersFault says whether the same request would be refused again.
-func isCallersFault(code result.Code) bool {
+// isCallerFault reports whether the same request would be refused again.
+func isCallerFault(code result.Code) bool {
 	switch code {
 	case result.BadRequest, result.BodyTooLarge, result.HeadersTooLarge, result.UnknownPath,
 		result.MethodNotAllowed, result.KeyMissing, result.KeyWrong, result.BadHeader:
@@ -100,9 +103,9 @@
 	return false
 }
 
-// setRetryAfter sets the advice in whole seconds, rounded up as the standard
-// header has no fractions, and in milliseconds; or in seconds with fractions
-// where callers read them.
+// setRetryAfter sets the retry delay in whole seconds, rounded up because the
+// standard header has no fractions, and in milliseconds; or, where callers
+// understand it, in fractional seconds.
 func (s *Server) setRetryAfter(header *fasthttp.ResponseHeader, after time.Duration) {
 	if after <= 0 {
 		return
@@ -117,13 +120,13 @@
 	header.Set(headerRetryAfterMS, strconv.FormatInt(int64(millis), 10))
 }
 
-// writeAnswer sets the exchange's answer as the response. An error means that
-// nothing of the answer was shown to the caller.
+// writeAnswer sets the exchange's answer as the response. If it returns an error,
+// no part of the answer has reached the caller.
 func (s *Server) writeAnswer(ctx *fasthttp.RequestCtx, r *request) error {
 	ex := r.ex
 	switch {
 	case ex.AnswerStream == nil:
-	case !hasBody(ex):
+	case !allowsBody(ex):
 		ex.AnswerStream.Close()
 		ex.AnswerStream = nil
 	case !ctx.Request.Header.IsHTTP11():
@@ -134,7 +137,7 @@
 	response := &ctx.Response
 	response.SetStatusCode(ex.Status)
 	for name, value := range ex.AnswerHeader {
-		if !hopByHop(name) && !reserved(name) {
+		if !isHopByHop(name) && !isRouterHeader(name) {
 			response.Header.Set(name, value)
 		}
 	}
@@ -145,32 +148,32 @@
 		response.SetBodyRaw(ex.AnswerBody)
 		return nil
 	}
-	// The caller sees the head as soon as the target gave it.
+	// Send the headers as soon as the target has sent them.
 	response.ImmediateHeaderFlush = true
-	response.SetBodyStream(&answerStream{request: r, from: ex.AnswerStream}, -1)
+	response.SetBodyStream(&answerStream{request: r, source: ex.AnswerStream}, -1)
 	return nil
 }
 
-// reserved says whether only the router itself may set an answer's header.
-func reserved(name string) bool { return name == headerCode || name == headerRan }
+// isRouterHeader reports whether only the router itself may set a response header.
+func isRouterHeader(name string) bool { return name == headerCode || name == headerRan }
 
-// hasBody says whether HTTP allows the answer a body.
-func hasBody(ex *pipeline.Exchange) bool {
+// allowsBody reports whether HTTP allows the answer to have a body.
+func allowsBody(ex *pipeline.Exchange) bool {
 	return ex.Method != fasthttp.MethodHead &&
 		ex.Status != fasthttp.StatusNoContent &&
 		ex.Status != fasthttp.StatusNotModified
 }
 
-// bufferStream reads a stream whole, for callers that cannot tell a stream that
-// broke from one that ended.
+// bufferStream reads the whole stream, for callers that cannot tell a broken
+// stream from a complete one.
 func bufferStream(ex *pipeline.Exchange) error {
 	stream := ex.AnswerStream
 	defer stream.Close()
-	body, err := io.ReadAll(io.LimitReader(stream, maxBufferedAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(stream, maxBufferedAnswerBytes+1))
 	if err != nil {
-		return streamError(err)
+		return withResultCode(err)
 	}
-	if len(body) > maxBufferedAnswer {
+	if len(body) > maxBufferedAnswerBytes {
 		return result.New(result.StreamBroken, "The answer is too long for an HTTP/1.0 caller.")
 	}
 	ex.AnswerStream = nil
@@ -178,7 +181,8 @@
 	return nil
 }
 
-func streamError(err error) error {
+// withResultCode returns err with a result code: its own, or result.StreamBroken.
+func withResultCode(err error) error {
 	var numbered *result.Error
 	if errors.As(err, &numbered) {
 		return err
--- a/front/arrivals.go
+++ b/front/arrivals.go
@@ -7,134 +7,138 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// arrivalMargin is how much longer than Options.ReadTimeout a body may be
-// expected before its bytes are given to others.
-const arrivalMargin = time.Second
+// reservationMargin is how much longer than Options.ReadTimeout bytes stay reserved
+// for a body that has not arrived before other requests may use them.
+const reservationMargin = time.Second
 
-// arrival is what was decided about a request when its headers were in: why it
-// is refused, or the bytes that are set aside for its body.
-type arrival struct {
+// bodyReservation is the decision made about a request with a body when its headers
+// have been read: why it is refused, or the bytes reserved for its body.
+type bodyReservation struct {
 	refusal *result.Error
 
-	from      *arrivals
+	owner     *bodyReservations
 	number    uint64
 	workspace string
 	bytes     int64
-	until     time.Time // when it is no longer expected
-	taken     bool      // the request has arrived
+	expiresAt time.Time // when the bytes are freed if the request has not arrived
+	claimed   bool      // the request has arrived
 }
 
-// arrivals bounds the bytes of bodies that this process holds, from their
-// announcement to the end of their exchanges. It is safe for concurrent use.
-type arrivals struct {
+// bodyReservations limits the bytes of request bodies that this process holds, from
+// the time their headers are read to the end of their exchanges. It is safe for
+// concurrent use.
+type bodyReservations struct {
 	max     int64
 	timeout time.Duration
 
-	mu          sync.Mutex
-	total       int64
-	byWorkspace map[string]int64
-	last        uint64
-	expected    map[uint64]*arrival
-	// order holds arrivals as they were announced, which is as they expire.
-	order []*arrival
+	mu               sync.Mutex
+	totalBytes       int64
+	bytesByWorkspace map[string]int64
+	lastNumber       uint64
+	pending          map[uint64]*bodyReservation
+	// byExpiry holds the reservations in the order in which they were made, which is
+	// the order in which they expire.
+	byExpiry []*bodyReservation
 }
 
-func newArrivals(max int64, timeout time.Duration) *arrivals {
-	return &arrivals{
-		max:         max,
-		timeout:     timeout,
-		byWorkspace: make(map[string]int64),
-		expected:    make(map[uint64]*arrival),
+func newBodyReservations(max int64, timeout time.Duration) *bodyReservations {
+	return &bodyReservations{
+		max:              max,
+		timeout:          timeout,
+		bytesByWorkspace: make(map[string]int64),
+		pending:          make(map[uint64]*bodyReservation),
 	}
 }
 
-// announce sets bytes aside for a body and returns the arrival's number. It
-// reports false if there is no room: a workspace may hold as much as is left
-// free, so that one alone gets half and there is always room for another.
-func (a *arrivals) announce(workspace string, bytes int64, now time.Time) (uint64, bool) {
+// reserve reserves bytes for a body and returns the reservation's number. It
+// reports false if there is no room: a workspace may hold at most as much as is
+// left free, so a single workspace gets at most half and there is always room for
+// another one.
+func (a *bodyReservations) reserve(workspace string, bytes int64, now time.Time) (uint64, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.expire(now)
-	mine := a.byWorkspace[workspace]
-	if mine+bytes > a.max-a.total {
+	workspaceBytes := a.bytesByWorkspace[workspace]
+	if workspaceBytes+bytes > a.max-a.totalBytes {
 		return 0, false
 	}
-	a.total += bytes
-	a.byWorkspace[workspace] = mine + bytes
-	return a.expect(&arrival{from: a, workspace: workspace, bytes: bytes}, now), true
+	a.totalBytes += bytes
+	a.bytesByWorkspace[workspace] = workspaceBytes + bytes
+	return a.register(&bodyReservation{owner: a, workspace: workspace, bytes: bytes}, now), true
 }
 
-// refuse notes why a request is refused whose headers are in, and returns the
-// arrival's number.
-func (a *arrivals) refuse(refusal *result.Error, now time.Time) uint64 {
+// refuse records why a request is refused after its headers were read, and returns
+// the number of the record.
+func (a *bodyReservations) refuse(refusal *result.Error, now time.Time) uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.expire(now)
-	return a.expect(&arrival{from: a, refusal: refusal}, now)
+	return a.register(&bodyReservation{owner: a, refusal: refusal}, now)
 }
 
-// expect needs a.mu.
-func (a *arrivals) expect(one *arrival, now time.Time) uint64 {
-	a.last++
-	one.number = a.last
-	one.until = now.Add(a.timeout)
-	a.expected[one.number] = one
-	a.order = append(a.order, one)
-	return one.number
+// register numbers a reservation and sets its expiry. The caller holds a.mu.
+func (a *bodyReservations) register(reservation *bodyReservation, now time.Time) uint64 {
+	a.lastNumber++
+	reservation.number = a.lastNumber
+	reservation.expiresAt = now.Add(a.timeout)
+	a.pending[reservation.number] = reservation
+	a.byExpiry = append(a.byExpiry, reservation)
+	return reservation.number
 }
 
-// expire frees the bytes of bodies that never arrived. It needs a.mu.
-func (a *arrivals) expire(now time.Time) {
-	for len(a.order) > 0 && (a.order[0].taken || now.After(a.order[0].until)) {
-		first := a.order[0]
-		a.order = a.order[1:]
-		if !first.taken {
-			delete(a.expected, first.number)
-			a.free(first, 0)
+// expire frees the bytes reserved for bodies that did not arrive in time. The
+// caller holds a.mu.
+func (a *bodyReservations) expire(now time.Time) {
+	for len(a.byExpiry) > 0 && (a.byExpiry[0].claimed || now.After(a.byExpiry[0].expiresAt)) {
+		first := a.byExpiry[0]
+		a.byExpiry = a.byExpiry[1:]
+		if !first.claimed {
+			delete(a.pending, first.number)
+			a.shrinkLocked(first, 0)
 		}
 	}
 }
 
-// take returns an expected arrival, once; nil if it is not expected any more.
-func (a *arrivals) take(number uint64) *arrival {
+// claim returns a pending reservation once; nil if it has been claimed or has expired.
+func (a *bodyReservations) claim(number uint64) *bodyReservation {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	one := a.expected[number]
-	if one == nil {
+	reservation := a.pending[number]
+	if reservation == nil {
 		return nil
 	}
-	delete(a.expected, number)
-	one.taken = true
-	return one
+	delete(a.pending, number)
+	reservation.claimed = true
+	return reservation
 }
 
-// keep gives back what is over the given bytes. A nil arrival has none.
-func (one *arrival) keep(bytes int64) {
-	if one == nil || one.from == nil {
+// shrinkTo releases all but the given bytes. It does nothing for a nil reservation.
+func (r *bodyReservation) shrinkTo(bytes int64) {
+	if r == nil || r.owner == nil {
 		return
 	}
-	one.from.mu.Lock()
-	defer one.from.mu.Unlock()
-	one.from.free(one, bytes)
+	r.owner.mu.Lock()
+	defer r.owner.mu.Unlock()
+	r.owner.shrinkLocked(r, bytes)
 }
 
-// free needs a.mu.
-func (a *arrivals) free(one *arrival, keep int64) {
-	excess := one.bytes - keep
+// shrinkLocked is shrinkTo for callers that hold a.mu.
+func (a *bodyReservations) shrinkLocked(reservation *bodyReservation, size int64) {
+	excess := reservation.bytes - size
 	if excess <= 0 {
 		return
 	}
-	one.bytes = keep
-	a.total -= excess
-	a.byWorkspace[one.workspace] -= excess
-	if a.byWorkspace[one.workspace] == 0 {
-		delete(a.byWorkspace, one.workspace)
+	reservation.bytes = size
+	a.totalBytes -= excess
+	a.bytesByWorkspace[reservation.workspace] -= excess
+	if a.bytesByWorkspace[reservation.workspace] == 0 {
+		delete(a.bytesByWorkspace, reservation.workspace)
 	}
 }
 
-// held returns the bytes set aside.
-func (a *arrivals) held() int64 {
+// heldBytes returns the number of reserved bytes.
+func (a *bodyReservations) heldBytes() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.total
+	return a.totalBytes
 }
--- a/front/arrivals_test.go
+++ b/front/arrivals_test.go
@@ -13,65 +13,65 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-func TestHeldBytesAreShared(t *testing.T) {
+func TestHeldBytesAreSharedAmongWorkspaces(t *testing.T) {
 	now := time.Unix(0, 0)
-	a := newArrivals(1000, time.Minute)
-	announce := func(workspace string, bytes int64, want bool) *arrival {
+	a := newBodyReservations(1000, time.Minute)
+	announce := func(workspace string, bytes int64, want bool) *bodyReservation {
 		t.Helper()
-		number, ok := a.announce(workspace, bytes, now)
+		number, ok := a.reserve(workspace, bytes, now)
 		if ok != want {
-			t.Fatalf("%s, %d bytes: %t with %d held", workspace, bytes, ok, a.held())
+			t.Fatalf("%s, %d bytes: reserved %t with %d bytes held", workspace, bytes, ok, a.heldBytes())
 		}
 		if !ok {
 			return nil
 		}
-		return a.take(number)
+		return a.claim(number)
 	}
 	first := announce("flood", 500, true)
-	announce("flood", 1, false) // no more than is free
+	announce("flood", 1, false) // a workspace may hold at most what is left free
 	small := announce("small", 250, true)
 	announce("small", 1, false)
 	announce("late", 125, true)
-	first.keep(300)
+	first.shrinkTo(300)
 	announce("flood", 100, false)
-	small.keep(0)
+	small.shrinkTo(0)
 	announce("flood", 100, true)
-	first.keep(0)
-	first.keep(0) // counts once
-	if a.held() != 225 {
-		t.Errorf("%d bytes held", a.held())
+	first.shrinkTo(0)
+	first.shrinkTo(0) // has no further effect
+	if a.heldBytes() != 225 {
+		t.Errorf("%d bytes held", a.heldBytes())
 	}
 }
 
-func TestBodiesThatNeverArriveExpire(t *testing.T) {
+func TestReservationsExpire(t *testing.T) {
 	now := time.Unix(0, 0)
-	a := newArrivals(1000, time.Minute)
-	lost, _ := a.announce("w", 400, now)
-	kept, _ := a.announce("w", 100, now)
-	a.take(kept)
+	a := newBodyReservations(1000, time.Minute)
+	lost, _ := a.reserve("w", 400, now)
+	kept, _ := a.reserve("w", 100, now)
+	a.claim(kept)
 	a.refuse(result.New(result.KeyWrong, "Wrong."), now)
-	if _, ok := a.announce("w", 400, now.Add(time.Minute)); ok {
-		t.Error("bytes were given twice")
+	if _, ok := a.reserve("w", 400, now.Add(time.Minute)); ok {
+		t.Error("bytes were reserved twice")
 	}
-	if _, ok := a.announce("w", 400, now.Add(time.Minute+1)); !ok || a.held() != 500 {
-		t.Errorf("%d bytes held after the expiry", a.held())
+	if _, ok := a.reserve("w", 400, now.Add(time.Minute+1)); !ok || a.heldBytes() != 500 {
+		t.Errorf("%d bytes held after the expiry", a.heldBytes())
 	}
-	if a.take(lost) != nil || a.take(kept) != nil || len(a.expected) != 1 || len(a.order) != 1 {
-		t.Errorf("%d expected, %d in order", len(a.expected), len(a.order))
+	if a.claim(lost) != nil || a.claim(kept) != nil || len(a.pending) != 1 || len(a.byExpiry) != 1 {
+		t.Errorf("%d pending, %d in expiry order", len(a.pending), len(a.byExpiry))
 	}
 }
 
-// knowsBakery lets in the key "secret".
-func knowsBakery(header func(string) string) (string, *result.Error) {
+// authenticateBakery accepts the key "secret" and no other.
+func authenticateBakery(header func(string) string) (string, *result.Error) {
 	if header("Walnut-Key") != "secret" {
 		return "", result.New(result.KeyWrong, "Unknown.")
 	}
 	return "bakery", nil
 }
 
-// TestRefusedByHeadersAlone announces bodies and sends no byte of them.
+// TestRefusedByHeadersAlone sends headers that announce a body but no byte of the body.
 func TestRefusedByHeadersAlone(t *testing.T) {
-	options := Options{MaxBodyBytes: 1000, MaxHeldBytes: 1500, Authenticate: knowsBakery}
+	options := Options{MaxBodyBytes: 1000, MaxHeldBytes: 1500, Authenticate: authenticateBakery}
 	f := start(t, options, func(context.Context, *pipeline.Exchange) error {
 		t.Error("the pipeline was run")
 		return nil
@@ -80,13 +80,13 @@
 	for _, c := range []struct{ name, head, code string }{
 		{"wrong key", "Walnut-Key: guess\r\nContent-Length: 1000\r\n", "202"},
 		{"no key, in chunks", "Transfer-Encoding: chunked\r\n", "202"},
-		{"no key, waits for leave", "Expect: 100-continue\r\nContent-Length: 1000\r\n", "202"},
+		{"no key, expects 100-continue", "Expect: 100-continue\r\nContent-Length: 1000\r\n", "202"},
 		{"too large", "Walnut-Key: secret\r\nContent-Length: 1001\r\n", "102"},
-		{"over what one may hold", "Walnut-Key: secret\r\nContent-Length: 800\r\n", "107"},
-		{"forged arrival", "Walnut-Arrival: 1\r\nContent-Length: 1000\r\n", "202"},
+		{"above the limit of a workspace", "Walnut-Key: secret\r\nContent-Length: 800\r\n", "107"},
+		{"forged Walnut-Arrival", "Walnut-Arrival: 1\r\nContent-Length: 1000\r\n", "202"},
 	} {
 		if c.code == "107" {
-			if _, ok := f.arrivals.announce("bakery", 400, time.Now()); !ok {
+			if _, ok := f.reservations.reserve("bakery", 400, time.Now()); !ok {
 				t.Fatal("no room")
 			}
 		}
@@ -101,10 +101,11 @@
 	}
 }
 
-// TestBodiesAreHeldUntilTheEnd holds one body by a pipeline that waits.
+// TestBodiesAreHeldUntilTheEnd checks that a body counts as held until its exchange ends,
+// using a pipeline that waits.
 func TestBodiesAreHeldUntilTheEnd(t *testing.T) {
 	arrived, release := make(chan string, 1), make(chan struct{})
-	options := Options{MaxBodyBytes: 1000, MaxHeldBytes: 1500, Authenticate: knowsBakery}
+	options := Options{MaxBodyBytes: 1000, MaxHeldBytes: 1500, Authenticate: authenticateBakery}
 	f := start(t, options, func(_ context.Context, ex *pipeline.Exchange) error {
 		arrived <- string(ex.Body) + ex.Header[headerArrival]
 		<-release
@@ -118,7 +119,7 @@
 	body := strings.Repeat("x", 700)
 	for _, framing := range []struct{ head, body string }{
 		{"Content-Length: 700", body},
-		// The largest body is set aside until the length is known.
+		// The maximum body size is reserved until the length is known.
 		{"Transfer-Encoding: chunked", "2bc\r\n" + body + "\r\n0\r\n\r\n"},
 	} {
 		held := request(framing.head, framing.body)
@@ -135,26 +136,27 @@
 		if err := f.end(); err != nil {
 			t.Errorf("%s: ended with %v", framing.head, err)
 		}
-		for f.HeldBytes() > 0 { // is freed right after the end
+		for f.HeldBytes() > 0 { // the bytes are freed right after the exchange ends
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// TestUnfinishedBodyIsGivenUp closes the connection in the middle of a body.
-func TestUnfinishedBodyIsGivenUp(t *testing.T) {
+// TestReservationOfUnfinishedBodyExpires closes the connection in the middle of a body and
+// checks that its bytes are freed.
+func TestReservationOfUnfinishedBodyExpires(t *testing.T) {
 	f := start(t, Options{MaxBodyBytes: 1000, ReadTimeout: 20 * time.Millisecond}, nil)
-	f.arrivals.timeout = 40 * time.Millisecond
+	f.reservations.timeout = 40 * time.Millisecond
 	conn, _ := f.send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 900\r\n\r\nhalf")
 	for f.HeldBytes() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	conn.Close()
-	for end := time.Now().Add(generous); f.HeldBytes() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); f.HeldBytes() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d bytes held", f.HeldBytes())
 		}
-		// An announcement frees what has expired.
+		// Each new request with a body frees expired reservations.
 		_, r := f.send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 1001\r\n\r\n")
 		_, _ = io.Copy(io.Discard, f.answer(r).Body)
 	}
--- a/front/atonce_test.go
+++ b/front/atonce_test.go
@@ -13,34 +13,34 @@
 	"github.com/walnutcove/walnutcove/dialect"
 )
 
-// refuser is an atOnce whose server refuses the next requests that wait, and the listener
-// whose connections it accepts.
-type refuser struct {
-	*atOnce
-	listener net.Listener
-	left     int
+// refuserFixture is a fastRefuser with the listener whose connections it accepts. Its server
+// sheds the next shedsLeft requests.
+type refuserFixture struct {
+	*fastRefuser
+	listener  net.Listener
+	shedsLeft int
 }
 
-func newRefuser(t testing.TB, options Options) *refuser {
+func newRefuser(t testing.TB, options Options) *refuserFixture {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	r := &refuser{listener: listener}
+	r := &refuserFixture{listener: listener}
 	options.Shed = func(bool) bool {
-		r.left--
-		return r.left >= 0
+		r.shedsLeft--
+		return r.shedsLeft >= 0
 	}
 	s := New(options, answerEmpty)
 	t.Cleanup(func() { s.Close() })
-	r.atOnce = newAtOnce(listener, s)
+	r.fastRefuser = newFastRefuser(listener, s)
 	return r
 }
 
-// call connects and sends a request, or a part of one.
-func (r *refuser) call(t testing.TB, request string) net.Conn {
+// call connects and sends a request or a part of one.
+func (r *refuserFixture) call(t testing.TB, request string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp4", r.listener.Addr().String())
 	if err != nil {
@@ -53,7 +53,7 @@
 	return conn
 }
 
-// answerOn reads an answer and checks that the connection ends with it.
+// answerOn reads an answer and checks that the connection is closed after it.
 func answerOn(t *testing.T, conn net.Conn) *http.Response {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -68,16 +68,16 @@
 	}
 	answer.Body = io.NopCloser(strings.NewReader(string(body)))
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("the connection goes on: %v", err)
+		t.Errorf("the connection is not closed: %v", err)
 	}
 	return answer
 }
 
 const shortCall = "POST /a HTTP/1.1\r\nHost: a\r\nWalnut-Request-Id: r-1\r\nContent-Length: 4\r\n\r\nbody"
 
-// TestRefusedAtOnce: a request that has arrived whole with its connection is refused with
-// its id, its code and when to come back, and its workspace is told.
-func TestRefusedAtOnce(t *testing.T) {
+// TestFastRefusal checks that a request that has arrived whole with its connection is refused
+// with its id, result code and retry delay, and that OnShed is called for it.
+func TestFastRefusal(t *testing.T) {
 	callerSetsID := *dialect.Own
 	callerSetsID.CallerSetsID = true
 	callerSetsID.RequestID = "Walnut-Request-Id"
@@ -90,13 +90,13 @@
 	})
 	first := r.call(t, shortCall)
 	second := r.call(t, "GET /b?c=d HTTP/1.1\r\nHost: a\r\n\r\n")
-	r.left = 2
-	before := refusedAtOnce.Get()
+	r.shedsLeft = 2
+	before := fastRefusals.Get()
 	if conn, next := r.refuseWaiting(); conn != nil || next != admitted {
-		t.Fatalf("handed over: %v; the next one: %v", conn, next)
+		t.Fatalf("handed over: %v; admission of the next connection: %v", conn, next)
 	}
-	if got := refusedAtOnce.Get() - before; got != 2 {
-		t.Errorf("%d refused at once", got)
+	if got := fastRefusals.Get() - before; got != 2 {
+		t.Errorf("%d fast refusals", got)
 	}
 	answer := answerOn(t, first)
 	if answer.StatusCode != http.StatusServiceUnavailable || answer.Header.Get(headerRequestID) != "r-1" ||
@@ -105,13 +105,13 @@
 	}
 	answerOn(t, second)
 	if want := []string{"a/a r-1", "a/b "}; strings.Join(told, ",") != strings.Join(want, ",") {
-		t.Errorf("told %q", told)
+		t.Errorf("OnShed got %q", told)
 	}
 }
 
-// TestNotRefusedAtOnce: what has not arrived whole, or needs care, goes to the HTTP library
-// with what was read of it, and is answered as ever.
-func TestNotRefusedAtOnce(t *testing.T) {
+// TestFastRefusalHandsOverOtherRequests checks that a request that has not arrived whole or is
+// not a simple one goes to the HTTP library, with the bytes read so far, and is answered there.
+func TestFastRefusalHandsOverOtherRequests(t *testing.T) {
 	for _, c := range []struct {
 		name, sent, rest string
 		status           int
@@ -126,10 +126,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRefuser(t, Options{})
 			caller := r.call(t, c.sent)
-			r.left = 1
+			r.shedsLeft = 1
 			conn, _ := r.refuseWaiting()
 			if conn == nil {
-				t.Fatal("refused at once")
+				t.Fatal("refused by the fast path")
 			}
 			if _, err := io.WriteString(caller, c.rest); err != nil {
 				t.Fatal(err)
@@ -140,56 +140,58 @@
 				t.Errorf("status %d", answer.StatusCode)
 			}
 			caller.Close()
-			<-served // its error says that the caller is gone
+			<-served // its error reports that the caller is gone
 		})
 	}
 }
 
-// TestWhoIsServedAfterRefusals: a connection that is accepted once the server sheds no more
-// is served, without another draw; where none waited, its request decides.
-func TestWhoIsServedAfterRefusals(t *testing.T) {
+// TestAdmissionAfterFastRefusals checks that a connection accepted after the server has stopped
+// shedding is served without asking Shed again, and that if none was pending, the decision is
+// made when the request has been read.
+func TestAdmissionAfterFastRefusals(t *testing.T) {
 	r := newRefuser(t, Options{})
-	r.left = 0
+	r.shedsLeft = 0
 	if conn, next := r.refuseWaiting(); conn != nil || next != admitted {
 		t.Errorf("%v, %v", conn, next)
 	}
-	r.left = 1
+	r.shedsLeft = 1
 	if conn, next := r.refuseWaiting(); conn != nil || next != undecided {
 		t.Errorf("%v, %v", conn, next)
 	}
-	r.left = 1
-	if r.server.sheds(&callerConn{admission: admitted}) || !r.server.sheds(&callerConn{admission: turnedAway}) {
-		t.Error("what was decided is not kept to")
+	r.shedsLeft = 1
+	if r.server.shouldShed(&callerConn{admission: admitted}) || !r.server.shouldShed(&callerConn{admission: rejected}) {
+		t.Error("the admission of the connection is ignored")
 	}
-	if !r.server.sheds(&callerConn{kept: true, admission: admitted}) {
-		t.Error("a later request of a connection is not drawn for")
+	if !r.server.shouldShed(&callerConn{reused: true, admission: admitted}) {
+		t.Error("Shed is not asked about a later request of a connection")
 	}
 }
 
-// TestCallerThatLeftIsNotRefused: nothing is counted for who is gone, and the next is refused.
-func TestCallerThatLeftIsNotRefused(t *testing.T) {
+// TestFastRefusalSkipsClosedConnections checks that a connection that its caller has closed is
+// not counted as refused, and that the next request is refused.
+func TestFastRefusalSkipsClosedConnections(t *testing.T) {
 	r := newRefuser(t, Options{})
 	r.call(t, "").Close()
 	next := r.call(t, shortCall)
-	r.left = 2
-	before := refusedAtOnce.Get()
+	r.shedsLeft = 2
+	before := fastRefusals.Get()
 	if conn, _ := r.refuseWaiting(); conn != nil {
 		t.Fatal("handed over")
 	}
-	if got := refusedAtOnce.Get() - before; got != 1 {
-		t.Errorf("%d refused at once", got)
+	if got := fastRefusals.Get() - before; got != 1 {
+		t.Errorf("%d fast refusals", got)
 	}
 	answerOn(t, next)
 }
 
-// BenchmarkRefuse measures a refusal on a new connection, the caller included: at once, and
-// by the HTTP library.
+// BenchmarkRefuse measures a refusal on a new connection, including the caller's work: by the
+// fast path, and by the HTTP library.
 func BenchmarkRefuse(b *testing.B) {
 	b.Run("at once", func(b *testing.B) {
 		r := newRefuser(b, Options{})
 		for b.Loop() {
 			conn := r.call(b, shortCall)
-			r.left = 1
+			r.shedsLeft = 1
 			r.refuseWaiting()
 			_, _ = io.Copy(io.Discard, conn)
 			conn.Close()
@@ -199,7 +201,7 @@
 		r := newRefuser(b, Options{})
 		go r.server.http.Serve(callerListener{Listener: r.listener, server: r.server})
 		for b.Loop() {
-			r.left = 1
+			r.shedsLeft = 1
 			conn := r.call(b, shortCall)
 			_, _ = io.Copy(io.Discard, conn)
 			conn.Close()
--- a/front/bench_test.go
+++ b/front/bench_test.go
@@ -18,9 +18,9 @@
 	"github.com/walnutcove/walnutcove/pipeline"
 )
 
-type inForce struct{ snapshot *config.Snapshot }
+type fixedSnapshot struct{ snapshot *config.Snapshot }
 
-func (s inForce) InForce() *config.Snapshot { return s.snapshot }
+func (s fixedSnapshot) InForce() *config.Snapshot { return s.snapshot }
 
 func benchSnapshot() *config.Snapshot {
 	hash := config.HashKey([]byte("secret"))
@@ -42,10 +42,10 @@
 	return fmt.Sprintf(`{"model":"small","messages":[{"role":"user","content":%q}]}`, strings.Repeat("x", promptBytes))
 }
 
-// BenchmarkRequest measures one request over loopback, the caller included:
-// through the server alone, and through authenticate and classify as well.
+// BenchmarkRequest measures one request over loopback, including the caller's work:
+// through the server alone, and through the authenticate and classify filters as well.
 func BenchmarkRequest(b *testing.B) {
-	source := inForce{benchSnapshot()}
+	source := fixedSnapshot{benchSnapshot()}
 	filters := pipeline.Chain(authenticate.New(source), classify.New(classify.Options{}))
 	for _, size := range []int{100, 10_000} {
 		b.Run(fmt.Sprintf("front/%dB", size), func(b *testing.B) { benchRequest(b, size, answerOK) })
@@ -60,7 +60,7 @@
 	}
 }
 
-// BenchmarkWatch measures one look at 1000 callers who wait.
+// BenchmarkWatch measures one check of 1000 waiting callers.
 func BenchmarkWatch(b *testing.B) {
 	const callers = 1000
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -80,7 +80,7 @@
 	var batch []*request
 	b.ReportAllocs()
 	for b.Loop() {
-		batch = w.look(batch[:0])
+		batch = w.checkAll(batch[:0])
 	}
 }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-// skipAnswer reads an answer without allocating.
+// skipAnswer reads an answer without allocating memory.
 func skipAnswer(r *bufio.Reader) error {
 	for {
 		line, err := r.ReadSlice('\n')
@@ -130,12 +130,12 @@
 	return err
 }
 
-// BenchmarkEndBy is what the end by a deadline adds to a request that is answered in time.
-func BenchmarkEndBy(b *testing.B) {
+// BenchmarkRefuseAt measures what a refusal timer adds to a request that is answered in time.
+func BenchmarkRefuseAt(b *testing.B) {
 	r := &request{server: &Server{}}
 	for b.Loop() {
-		r.answer.Store(nobody)
-		if !r.endBy(time.Now().Add(time.Minute), func() error { return nil })() {
+		r.answerOwner.Store(answerUnclaimed)
+		if !r.refuseAt(time.Now().Add(time.Minute), func() error { return nil })() {
 			b.Fatal("refused")
 		}
 	}
--- a/front/caller_test.go
+++ b/front/caller_test.go
@@ -15,9 +15,9 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-var watchOften = Options{WatchEvery: 5 * time.Millisecond}
+var frequentWatchOptions = Options{WatchEvery: 5 * time.Millisecond}
 
-// waitForCaller is a pipeline that runs until the caller goes away.
+// waitForCaller returns a pipeline that runs until the caller disconnects.
 func waitForCaller(arrived chan<- struct{}) pipeline.Handler {
 	return func(ctx context.Context, ex *pipeline.Exchange) error {
 		arrived <- struct{}{}
@@ -29,7 +29,7 @@
 
 func TestCallerGoesAwayWhileWaiting(t *testing.T) {
 	arrived := make(chan struct{}, 1)
-	f := start(t, watchOften, waitForCaller(arrived))
+	f := start(t, frequentWatchOptions, waitForCaller(arrived))
 	for name, next := range map[string]string{"plain": "", "behind the next request": get} {
 		conn, _ := f.send(get)
 		await(t, arrived)
@@ -42,9 +42,9 @@
 	}
 }
 
-func TestNextRequestIsNoDisconnect(t *testing.T) {
+func TestPipelinedRequestIsNoDisconnect(t *testing.T) {
 	release := make(chan struct{})
-	f := start(t, watchOften, func(_ context.Context, ex *pipeline.Exchange) error {
+	f := start(t, frequentWatchOptions, func(_ context.Context, ex *pipeline.Exchange) error {
 		ex.Status = http.StatusOK
 		select {
 		case <-ex.CallerGone:
@@ -57,8 +57,8 @@
 	for f.Active() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(20 * f.options.WatchEvery) // gives a wrong watcher the chance to err
-	// The first answer must come although the second request is held.
+	time.Sleep(20 * f.options.WatchEvery) // enough checks for a faulty watcher to report a disconnect
+	// The first answer must be sent although the second request is still waiting.
 	release <- struct{}{}
 	if response := f.answer(r); response.StatusCode != http.StatusOK {
 		t.Errorf("first: %v", response)
@@ -71,9 +71,9 @@
 
 func TestCallerGoesAwayWhileStreaming(t *testing.T) {
 	cancelled := make(chan error, 1)
-	f := start(t, watchOften, func(ctx context.Context, ex *pipeline.Exchange) error {
+	f := start(t, frequentWatchOptions, func(ctx context.Context, ex *pipeline.Exchange) error {
 		reader, writer := io.Pipe()
-		// The target is silent, so no write tells that the caller is gone.
+		// The target sends nothing, so no failed write shows that the caller is gone.
 		context.AfterFunc(ctx, func() {
 			cancelled <- context.Cause(ctx)
 			writer.CloseWithError(context.Cause(ctx))
@@ -104,14 +104,14 @@
 
 func (endless) Read(p []byte) (int, error) { return len(p), nil }
 
-// shutdown runs Shutdown and reports its error.
+// shutdown runs Shutdown in the background and returns a channel with its error.
 func (f *fixture) shutdown(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	go func() { done <- f.Shutdown(ctx) }()
 	return done
 }
 
-func TestShutdownCutsNothing(t *testing.T) {
+func TestShutdownLetsRequestsFinish(t *testing.T) {
 	reader, writer := io.Pipe()
 	release := make(chan struct{})
 	f := start(t, Options{IdleGrace: 50 * time.Millisecond}, func(ctx context.Context, ex *pipeline.Exchange) error {
@@ -161,11 +161,11 @@
 	}
 }
 
-func TestCloseBreaksWhatShutdownLeft(t *testing.T) {
+func TestCloseBreaksStreamsAfterShutdown(t *testing.T) {
 	reader, writer := io.Pipe()
 	f := start(t, Options{ForceGrace: 50 * time.Millisecond}, func(ctx context.Context, ex *pipeline.Exchange) error {
 		if ex.Path == "/stream" {
-			return answerWith(reader)(ctx, ex) // knows nothing of ctx
+			return answerWith(reader)(ctx, ex) // does not react to ctx
 		}
 		<-ctx.Done()
 		return result.New(result.Draining, "Leaving.")
@@ -188,19 +188,19 @@
 		t.Errorf("waiting request got %v", response)
 	}
 	if _, err := io.ReadAll(stream); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the stream was not cut: %v", err)
+		t.Errorf("the stream was not broken off: %v", err)
 	}
 	writer.Close()
 }
 
-// TestLateCallersAreAnswered: callers that connect while the server leaves are answered as
-// long as they come, and the listener closes once none does.
+// TestLateCallersAreAnswered checks that callers that connect during a shutdown are answered
+// as long as they keep coming, and that the listener closes once none arrives.
 func TestLateCallersAreAnswered(t *testing.T) {
 	f := start(t, Options{}, func(_ context.Context, ex *pipeline.Exchange) error {
 		ex.Status = http.StatusOK
 		return nil
 	})
-	first, r := f.send(get) // It serves now.
+	first, r := f.send(get) // wait until the server is serving
 	f.answer(r)
 	first.Close()
 	done := f.shutdown(context.Background())
@@ -212,7 +212,7 @@
 		if response := f.answer(r); !response.Close {
 			t.Errorf("a late caller got %v", response)
 		}
-		time.Sleep(acceptQuiet / 2)
+		time.Sleep(acceptQuietPeriod / 2)
 	}
 	if err := await(t, done); err != nil {
 		t.Error(err)
--- a/front/conn.go
+++ b/front/conn.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// Bounds of reading on after a refusal; see callerConn.Close.
+// Limits for discarding the rest of a refused request; see callerConn.Close.
 const (
-	lingerTime  = time.Second
-	lingerBytes = 16 << 20
+	maxLingerTime  = time.Second
+	maxLingerBytes = 16 << 20
 )
 
 // callerListener wraps every accepted connection.
 type callerListener struct {
 	net.Listener
 	server *Server
-	// atOnce is nil if nothing is refused at once.
-	atOnce *atOnce
+	// fastRefuser is nil if the fast path for refusals is off.
+	fastRefuser *fastRefuser
 }
 
-// acceptPause follows an accept that failed for want of descriptors: the next
-// one has a chance once some connection has ended.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryDelay is the delay after an accept that failed because descriptors ran
+// out: the next one can succeed once some connection has been closed.
+const acceptRetryDelay = 5 * time.Millisecond
 
-// Accept implements net.Listener. A want of descriptors passes: it must not end
-// the listener, and with it the service.
+// Accept implements net.Listener. Running out of descriptors is temporary: it must
+// not end the listener, and with it the service.
 func (l callerListener) Accept() (net.Conn, error) {
 	for {
-		handedOver, next := l.refuseWaiting()
+		handedOver, firstAdmission := l.refuseWaiting()
 		if handedOver != nil {
 			return handedOver, nil
 		}
@@ -40,57 +40,57 @@
 		if err == nil {
 			l.server.acceptedAt.Store(l.server.sinceStart())
 			c := newCallerConn(conn, l.server)
-			c.admission = next
+			c.admission = firstAdmission
 			return c, nil
 		}
 		if !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) && !errors.Is(err, syscall.ECONNABORTED) {
 			return nil, err
 		}
 		acceptFailures.Inc()
-		l.server.log.Warn("front: Connection could not be accepted.", "connections", l.server.ConnCount(), "error", err)
-		time.Sleep(acceptPause)
+		l.server.log.Warn("front: Could not accept a connection.", "connections", l.server.ConnCount(), "error", err)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// refuseWaiting refuses what waits while the server sheds; see atOnce.
+// refuseWaiting refuses pending connections while the server sheds load; see fastRefuser.
 func (l callerListener) refuseWaiting() (*callerConn, admission) {
-	if l.atOnce == nil {
+	if l.fastRefuser == nil {
 		return nil, undecided
 	}
-	return l.atOnce.refuseWaiting()
+	return l.fastRefuser.refuseWaiting()
 }
 
-// admission says whether the first request of a connection is served.
+// admission is the decision whether the first request of a connection is served.
 type admission int
 
 const (
-	// undecided: that is decided when the request has been read.
+	// undecided: to be decided when the request has been read.
 	undecided admission = iota
-	// admitted: it is served.
+	// admitted: the request is served.
 	admitted
-	// turnedAway: it is refused unread.
-	turnedAway
+	// rejected: the request is refused unread.
+	rejected
 )
 
 // callerConn is a caller's connection. Only its serving goroutine reads and
-// writes; raw, endIdle and Conn.Close may be used by others too.
+// writes; raw, limitIdleWait and Conn.Close may be used by others too.
 type callerConn struct {
 	net.Conn
 	server *Server
 	raw    syscall.RawConn // nil if the connection has no descriptor
-	// fd is the descriptor, for polls of many connections together; -1 if none.
+	// fd is the descriptor, for polling many connections in one call; -1 if none.
 	fd int32
-	// request is the one being served; nil between requests.
+	// request is the request being served; nil between requests.
 	request *request
 	// writeErr is the first failed write of the current answer.
 	writeErr error
-	// ended is set once the caller has its last answer: nothing more is written.
-	ended atomic.Bool
-	// kept says that a request was answered on it.
-	kept bool
-	// admission holds until then.
+	// writeEnded is set once the caller has its last answer: nothing more is written.
+	writeEnded atomic.Bool
+	// reused is true once a request has been answered on the connection.
+	reused bool
+	// admission applies to the first request only, until reused is set.
 	admission admission
-	// unread is what was read of the connection and not yet given to the HTTP library.
+	// unread holds bytes read from the connection but not yet passed to the HTTP library.
 	unread []byte
 	// linger is set when a request was refused before it was read whole.
 	linger bool
@@ -107,18 +107,18 @@
 		raw, err := withRaw.SyscallConn()
 		if err == nil {
 			c.raw = raw
-			// On an error the connection is closed already: nothing is to be polled.
+			// An error means that the connection is closed already: there is nothing to poll.
 			_ = raw.Control(func(fd uintptr) { c.fd = int32(fd) })
 		}
 	}
 	return c
 }
 
-// Read implements net.Conn. While the server drains, the wait for another
+// Read implements net.Conn. While the server drains, the wait for the next
 // request is short.
 func (c *callerConn) Read(b []byte) (int, error) {
 	if c.server.draining.Load() {
-		c.endIdle()
+		c.limitIdleWait()
 	}
 	if len(c.unread) > 0 {
 		n := copy(b, c.unread)
@@ -128,20 +128,20 @@
 	return c.Conn.Read(b)
 }
 
-// endIdle bounds the wait for another request by Options.IdleGrace. A request
-// that has begun to arrive is not hurried: the HTTP library sets its own read
-// deadline once its first byte is there.
-func (c *callerConn) endIdle() {
+// limitIdleWait limits the wait for the next request to Options.IdleGrace. It does not
+// affect a request that has begun to arrive: the HTTP library sets its own read
+// deadline after the first byte.
+func (c *callerConn) limitIdleWait() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.busy {
-		// A connection that is closed already needs no deadline.
+		// An error means that the connection is closed already and needs no deadline.
 		_ = c.Conn.SetReadDeadline(time.Now().Add(c.server.options.IdleGrace))
 	}
 }
 
-// isClosedByCaller looks whether the caller has closed the connection.
-func (c *callerConn) isClosedByCaller() bool { return newProbe().peerClosed(c.raw) }
+// isClosedByCaller reports whether the caller has closed the connection.
+func (c *callerConn) isClosedByCaller() bool { return newCloseProbe().peerClosed(c.raw) }
 
 func (c *callerConn) setBusy(busy bool) {
 	c.mu.Lock()
@@ -149,11 +149,11 @@
 	c.mu.Unlock()
 }
 
-// Write implements net.Conn. Each write has its own deadline, so that a long
-// stream is bounded by its pauses and not by its length.
+// Write implements net.Conn. Each write has its own deadline, so that a stream is
+// limited by how long one write blocks and not by its total length.
 func (c *callerConn) Write(b []byte) (int, error) {
-	if c.ended.Load() {
-		return 0, errEnded
+	if c.writeEnded.Load() {
+		return 0, errRefusedAtDeadline
 	}
 	err := c.Conn.SetWriteDeadline(time.Now().Add(c.server.options.WriteTimeout))
 	n := 0
@@ -167,16 +167,16 @@
 }
 
 // Close implements net.Conn. It ends the exchange first, so that the watcher
-// does not take the connection for one that the caller closed. A connection that closes with unread bytes is
-// reset, and a reset can overtake the answer. So after a refusal the rest of
-// the request is read and dropped, within bounds.
+// does not mistake the connection for one that the caller closed. Closing a
+// connection with unread bytes resets it, and the reset can overtake the answer.
+// So after a refusal the rest of the request is read and discarded, within limits.
 func (c *callerConn) Close() error {
-	c.server.finish(c)
+	c.server.endExchange(c)
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && c.linger {
 		_ = half.CloseWrite()
-		_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
-		// An error means that the caller is gone or too slow to wait for.
-		_, _ = io.CopyN(io.Discard, c.Conn, lingerBytes)
+		_ = c.Conn.SetReadDeadline(time.Now().Add(maxLingerTime))
+		// An error means that the caller is gone or too slow.
+		_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes)
 	}
 	return c.Conn.Close()
 }
--- a/front/endby.go
+++ b/front/endby.go
@@ -10,69 +10,73 @@
 	"github.com/valyala/fasthttp"
 )
 
-// errEnded says that the caller got its end before the exchange did.
-var errEnded = errors.New("front: the caller was refused by its deadline")
+// errRefusedAtDeadline ends an exchange whose caller was refused at its deadline
+// while the exchange was still running.
+var errRefusedAtDeadline = errors.New("front: the caller was already refused at its deadline")
 
-// Who gives a request its answer.
+// Values of request.answerOwner: who answers the caller.
 const (
-	nobody int32 = iota
-	theExchange
-	theTimer
+	answerUnclaimed int32 = iota
+	answeredByExchange
+	answeredByTimer
 )
 
-// endBy is pipeline.Exchange.EndBy.
-func (r *request) endBy(at time.Time, refuse func() error) (stop func() bool) {
-	timer := time.AfterFunc(time.Until(at), func() {
-		r.refusing.Lock()
-		defer r.refusing.Unlock()
-		if r.answer.CompareAndSwap(nobody, theTimer) {
-			r.server.refuseEarly(r, refuse())
+// refuseAt implements pipeline.Exchange.EndBy: unless stop is called before the
+// deadline, the caller gets the error that newRefusal returns.
+func (r *request) refuseAt(deadline time.Time, newRefusal func() error) (stop func() bool) {
+	timer := time.AfterFunc(time.Until(deadline), func() {
+		r.refusalMu.Lock()
+		defer r.refusalMu.Unlock()
+		if r.answerOwner.CompareAndSwap(answerUnclaimed, answeredByTimer) {
+			r.server.writeEarlyRefusal(r, newRefusal())
 		}
 	})
 	return func() bool {
 		timer.Stop()
-		return r.takeAnswer()
+		return r.claimAnswer()
 	}
 }
 
-// takeAnswer is called before the exchange's own answer is written. It reports false if the
-// caller has been refused.
-func (r *request) takeAnswer() bool {
-	if r.answer.CompareAndSwap(nobody, theExchange) {
+// claimAnswer is called before the exchange's own answer is written. It reports false if the
+// caller has been refused already.
+func (r *request) claimAnswer() bool {
+	if r.answerOwner.CompareAndSwap(answerUnclaimed, answeredByExchange) {
 		return true
 	}
-	r.refusing.Lock() // until the refusal is written
-	defer r.refusing.Unlock()
-	return r.answer.Load() == theExchange
+	r.refusalMu.Lock() // waits until the refusal is written
+	defer r.refusalMu.Unlock()
+	return r.answerOwner.Load() == answeredByExchange
 }
 
-// refuseEarly writes a refusal while the exchange goes on, and ends the sending half of the
-// connection. The goroutine that serves the connection closes it when the exchange ends.
-func (s *Server) refuseEarly(r *request, err error) {
-	s.watch.remove(r) // its caller may leave now
+// writeEarlyRefusal writes a refusal while the exchange is still running, and closes the
+// connection for writing. The goroutine that serves the connection closes it when the exchange
+// ends.
+func (s *Server) writeEarlyRefusal(r *request, err error) {
+	s.watch.remove(r) // the caller may disconnect from now on
 	var ctx fasthttp.RequestCtx
 	s.writeError(&ctx, r.ex.ID, err)
 	ctx.SetConnectionClose()
 	ctx.Response.SkipBody = r.ex.Method == fasthttp.MethodHead
 	var out bytes.Buffer
 	writer := bufio.NewWriter(&out)
-	// Writes to a buffer do not fail, and a caller that does not take its refusal is gone.
+	// Writes to a buffer do not fail, and a failed write to the connection means that the
+	// caller is gone.
 	_ = ctx.Response.Write(writer)
 	_ = writer.Flush()
 	_ = r.conn.Conn.SetWriteDeadline(time.Now().Add(s.options.WriteTimeout))
 	_, _ = r.conn.Conn.Write(out.Bytes())
-	r.conn.ended.Store(true)
+	r.conn.writeEnded.Store(true)
 	if half, ok := r.conn.Conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
 }
 
-// dropAnswer ends an exchange whose caller has been refused. An answer that is still on its way
-// is read, so that its run is not cut off.
-func (r *request) dropAnswer() {
-	r.err = errEnded
+// discardAnswer ends an exchange whose caller has been refused. An answer that is still being
+// streamed is read to its end, so that the target's run is not cut off.
+func (r *request) discardAnswer() {
+	r.err = errRefusedAtDeadline
 	if stream := r.ex.AnswerStream; stream != nil {
-		_, _ = io.Copy(io.Discard, stream) // its end is the run's, which the relay tells
+		_, _ = io.Copy(io.Discard, stream) // the relay reports how the run ended
 		_ = stream.Close()
 	}
 }
--- a/front/endby_test.go
+++ b/front/endby_test.go
@@ -14,11 +14,12 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// endsBy returns a handler that answers after a while, and whose callers are refused at a time.
-func endsBy(at, answer time.Duration, dropped chan<- bool) pipeline.Handler {
+// refusedAtHandler returns a handler that answers after answerAfter and whose callers are
+// refused after refuseAfter. It sends to dropped whether the refusal came first.
+func refusedAtHandler(refuseAfter, answerAfter time.Duration, dropped chan<- bool) pipeline.Handler {
 	return func(_ context.Context, ex *pipeline.Exchange) error {
-		stop := ex.EndBy(ex.Arrived.Add(at), func() error { return result.New(result.FirstByteTimeout, "Too late.") })
-		time.Sleep(answer)
+		stop := ex.EndBy(ex.Arrived.Add(refuseAfter), func() error { return result.New(result.FirstByteTimeout, "Too late.") })
+		time.Sleep(answerAfter)
 		dropped <- !stop()
 		ex.Status = http.StatusOK
 		ex.AnswerBody = []byte("answer")
@@ -26,12 +27,12 @@
 	}
 }
 
-// TestCallerIsRefusedWhileTheExchangeGoesOn guards against a refusal that waits for the exchange,
-// and against one that is not whole, or is followed by an answer.
-func TestCallerIsRefusedWhileTheExchangeGoesOn(t *testing.T) {
+// TestRefusalAtDeadlineWhileExchangeRuns guards against a refusal that waits for the exchange to
+// end, is incomplete, or is followed by an answer.
+func TestRefusalAtDeadlineWhileExchangeRuns(t *testing.T) {
 	const at, answer = 50 * time.Millisecond, 600 * time.Millisecond
 	dropped := make(chan bool, 1)
-	f := start(t, Options{}, endsBy(at, answer, dropped))
+	f := start(t, Options{}, refusedAtHandler(at, answer, dropped))
 	sent := time.Now()
 	conn, r := f.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
 	response := f.answer(r)
@@ -42,22 +43,22 @@
 		t.Errorf("%q follows the refusal, %v", rest, err)
 	}
 	if f.Active() != 1 {
-		t.Errorf("%d exchanges go on", f.Active())
+		t.Errorf("%d exchanges are running", f.Active())
 	}
 	if !<-dropped {
-		t.Error("the exchange was not told that its caller has been refused")
+		t.Error("the exchange was not told that its caller had been refused")
 	}
-	if err := <-f.ends; !errors.Is(err, errEnded) {
+	if err := <-f.ends; !errors.Is(err, errRefusedAtDeadline) {
 		t.Errorf("ended with %v", err)
 	}
 }
 
-// TestRefusalAndAnswerDoNotMix guards against two answers to one request, or none, where both
-// come at the same time.
-func TestRefusalAndAnswerDoNotMix(t *testing.T) {
+// TestDeadlineRefusalRacesAnswer guards against two answers or none to a request whose answer and
+// refusal are ready at the same time.
+func TestDeadlineRefusalRacesAnswer(t *testing.T) {
 	const callers, each, at = 16, 20, 10 * time.Millisecond
 	dropped := make(chan bool, callers*each)
-	f := start(t, Options{}, endsBy(at, at, dropped))
+	f := start(t, Options{}, refusedAtHandler(at, at, dropped))
 	var refused, answered sync.Map
 	var all sync.WaitGroup
 	for range callers {
--- a/front/flood_test.go
+++ b/front/flood_test.go
@@ -13,8 +13,7 @@
 	"github.com/walnutcove/walnutcove/pipeline"
 )
 
-// serveOn serves with the options on loopback until the test ends and returns the
-// address.
+// serveOn serves handler on loopback until the test ends and returns the address.
 func serveOn(t *testing.T, options Options, handler pipeline.Handler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -36,28 +35,28 @@
 	return listener.Addr().String()
 }
 
-// TestFloodOfRefusalsIsLoggedInBounds: of thousands of refused requests some have a
-// line each, and the number of the others is told.
-func TestFloodOfRefusalsIsLoggedInBounds(t *testing.T) {
+// TestRefusalLogsAreRateLimited checks that, of many refused requests, a limited number
+// are logged and the others are counted.
+func TestRefusalLogsAreRateLimited(t *testing.T) {
 	var lines strings.Builder
 	address := serveOn(t, Options{
 		Shed: func(bool) bool { return true },
 		Log:  slog.New(slog.NewTextHandler(&lines, nil)),
 	}, answerEmpty)
 	client := &http.Client{Timeout: 10 * time.Second}
-	const requests = 3 * refusedLogged
-	before := refusalsUnsaid.Get()
+	const requests = 3 * maxRefusalLogsPerSecond
+	before := refusalsUnlogged.Get()
 	for range requests {
 		answer, err := client.Get("http://" + address + "/x")
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.Copy(io.Discard, answer.Body) // what counts is that it is read
+		_, _ = io.Copy(io.Discard, answer.Body) // read so that the connection can be reused
 		answer.Body.Close()
 	}
 	client.CloseIdleConnections()
 	logged := strings.Count(lines.String(), "Request refused")
-	if unsaid := int(refusalsUnsaid.Get() - before); logged < refusedLogged || logged+unsaid != requests {
-		t.Errorf("%d refused: %d have a line, %d are counted", requests, logged, unsaid)
+	if unsaid := int(refusalsUnlogged.Get() - before); logged < maxRefusalLogsPerSecond || logged+unsaid != requests {
+		t.Errorf("%d refused: %d logged, %d only counted", requests, logged, unsaid)
 	}
 }
--- a/front/header.go
+++ b/front/header.go
@@ -10,40 +10,41 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// headerArrival carries an arrival's number from headerReceived to serve. What
-// a caller sends under this name is dropped.
+// headerArrival carries a reservation's number from headerReceived to serve. A
+// header of this name sent by a caller is dropped.
 const headerArrival = "Walnut-Arrival"
 
-// The advice given when bodies fill the memory lies between these, at random.
+// Range of the random retry delay when the memory for bodies is full.
 const (
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 1500 * time.Millisecond
 )
 
 // headerReceived is called by the HTTP library before it reads a body. A
-// request that is refused by its headers is made to look as if it had no body,
-// so that the library allocates and reads none and calls serve at once.
+// request that is refused because of its headers is changed to look as if it had
+// no body, so that the library allocates and reads none and calls serve at once.
 func (s *Server) headerReceived(header *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	header.Del(headerArrival)
 	if length := header.ContentLength(); length > 0 || length == lengthChunked {
-		number := s.announce(header, length)
+		number := s.reserveBody(header, length)
 		header.Set(headerArrival, strconv.FormatUint(number, 10))
 	}
 	return fasthttp.RequestConfig{}
 }
 
-// lengthChunked is the length of a body in chunks, as the HTTP library has it.
+// lengthChunked is the content length that the HTTP library reports for a chunked body.
 const lengthChunked = -1
 
-// announce decides about a request with a body and returns the arrival's number.
-func (s *Server) announce(header *fasthttp.RequestHeader, length int) uint64 {
+// reserveBody reserves memory for a request's body or refuses the request, and returns
+// the number of the reservation.
+func (s *Server) reserveBody(header *fasthttp.RequestHeader, length int) uint64 {
 	now := time.Now()
 	workspace, refusal := s.checkHeader(header, length)
 	if refusal == nil {
 		if length == lengthChunked {
 			length = s.options.MaxBodyBytes
 		}
-		number, ok := s.arrivals.announce(workspace, int64(length), now)
+		number, ok := s.reservations.reserve(workspace, int64(length), now)
 		if ok {
 			return number
 		}
@@ -53,11 +54,11 @@
 	}
 	header.SetContentLength(0)
 	header.Del(fasthttp.HeaderExpect)
-	return s.arrivals.refuse(refusal, now)
+	return s.reservations.refuse(refusal, now)
 }
 
-// checkHeader finds the workspace, or the reason for which the headers alone
-// forbid to read the body.
+// checkHeader returns the workspace, or the reason why the request is refused by its
+// headers alone, without reading the body.
 func (s *Server) checkHeader(header *fasthttp.RequestHeader, length int) (string, *result.Error) {
 	workspace := ""
 	if s.options.Authenticate != nil {
@@ -74,17 +75,17 @@
 	return workspace, nil
 }
 
-// takeArrival returns what was decided about a request, or nil if it has no
-// body. A body that came later than it was expected is refused.
-func (s *Server) takeArrival(header *fasthttp.RequestHeader) *arrival {
+// claimReservation returns the reservation made for a request, or nil if the request
+// has no body. A body that arrived after its reservation expired is refused.
+func (s *Server) claimReservation(header *fasthttp.RequestHeader) *bodyReservation {
 	text := string(header.Peek(headerArrival))
 	if text == "" {
 		return nil
 	}
 	header.Del(headerArrival)
 	number, _ := strconv.ParseUint(text, 10, 64) // this process wrote it
-	if one := s.arrivals.take(number); one != nil {
-		return one
+	if reservation := s.reservations.claim(number); reservation != nil {
+		return reservation
 	}
-	return &arrival{refusal: result.New(result.SlowSender, "The request did not arrive in time.")}
+	return &bodyReservation{refusal: result.New(result.SlowSender, "The request did not arrive in time.")}
 }
--- a/front/ids.go
+++ b/front/ids.go
@@ -11,13 +11,14 @@
 
 // requestID identifies a request.
 type requestID struct {
-	// sequence counts the requests of this process, from 1.
+	// sequence numbers the requests of this process from 1.
 	sequence uint64
-	// text is unique across the fleet: 16 random hex digits of the process and
-	// the sequence. It says nothing about the caller.
+	// text is unique across the fleet: 16 hex digits, random for each process, and
+	// the sequence number. It contains nothing about the caller.
 	text string
 }
 
+// idSource generates request ids. It is safe for concurrent use.
 type idSource struct {
 	prefix string
 	last   atomic.Uint64
@@ -29,18 +30,18 @@
 	return &idSource{prefix: hex.EncodeToString(b[:]) + "-"}
 }
 
-// maxCallerID bounds a request id that a caller sets.
-const maxCallerID = 128
+// maxCallerIDLength limits a request id that a caller sets, in bytes.
+const maxCallerIDLength = 128
 
-// idOf returns the id of a request: the caller's, where callers set one, or a
-// new one.
-func (s *Server) idOf(header *fasthttp.RequestHeader) requestID {
+// requestIDOf returns the id of a request: the caller's where the dialect lets callers
+// set one, or else a new one.
+func (s *Server) requestIDOf(header *fasthttp.RequestHeader) requestID {
 	id := s.ids.next()
 	if !s.options.Dialect.CallerSetsID {
 		return id
 	}
 	given := header.Peek(s.options.Dialect.RequestID)
-	if len(given) > 0 && len(given) <= maxCallerID {
+	if len(given) > 0 && len(given) <= maxCallerIDLength {
 		id.text = string(given)
 	}
 	return id
--- a/front/metrics.go
+++ b/front/metrics.go
@@ -9,22 +9,21 @@
 	"github.com/walnutcove/walnutcove/result/codecounter"
 )
 
-// Counters of this package.
 var (
-	requests       = metrics.NewCounter("walnut_accept_requests_total")
-	streamsBroken  = metrics.NewCounter("walnut_accept_streams_broken_total")
-	acceptFailures = metrics.NewCounter("walnut_accept_failures_total")
-	refusedAtOnce  = metrics.NewCounter("walnut_accept_refused_at_once_total")
-	refusalsUnsaid = metrics.NewCounter("walnut_accept_refusals_unlogged_total")
-	watchFailures  = metrics.NewCounter("walnut_accept_watch_failures_total")
-	callersGone    = metrics.NewCounter("walnut_accept_callers_gone_total")
+	requests         = metrics.NewCounter("walnut_accept_requests_total")
+	streamsBroken    = metrics.NewCounter("walnut_accept_streams_broken_total")
+	acceptFailures   = metrics.NewCounter("walnut_accept_failures_total")
+	fastRefusals     = metrics.NewCounter("walnut_accept_refused_at_once_total")
+	refusalsUnlogged = metrics.NewCounter("walnut_accept_refusals_unlogged_total")
+	watchFailures    = metrics.NewCounter("walnut_accept_watch_failures_total")
+	callersGone      = metrics.NewCounter("walnut_accept_callers_gone_total")
 
 	refusals = codecounter.New("walnut_accept_refusals_total",
 		result.BadRequest, result.BodyTooLarge, result.HeadersTooLarge, result.SlowSender,
 		result.HeldBytesFull, result.Internal, result.Overloaded)
 )
 
-// results counts every numbered code that callers are given, by any filter.
+// results counts the error responses by result code, whichever filter refused the request.
 var results = func() map[result.Code]*metrics.Counter {
 	counters := make(map[result.Code]*metrics.Counter)
 	for _, row := range result.Table() {
--- a/front/refuse.go
+++ b/front/refuse.go
@@ -12,19 +12,20 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// refuseUnread answers a request that could not be read whole. The HTTP
+// writeReadRefusal answers a request that could not be read completely. The HTTP
 // library closes the connection afterwards.
-func (s *Server) refuseUnread(ctx *fasthttp.RequestCtx, err error) {
+func (s *Server) writeReadRefusal(ctx *fasthttp.RequestCtx, err error) {
 	ctx.Conn().(*callerConn).linger = true
-	s.takeArrival(&ctx.Request.Header).keep(0)
-	refusal := unreadError(err)
+	s.claimReservation(&ctx.Request.Header).shrinkTo(0)
+	refusal := readRefusal(err)
 	refusals.Inc(refusal.Code)
 	id := s.ids.next().text
-	s.log.Info("front: Request could not be read.", "request", id, "code", int(refusal.Code), "error", refusal)
+	s.log.Info("front: Could not read a request.", "request", id, "code", int(refusal.Code), "error", refusal)
 	s.writeError(ctx, id, refusal)
 }
 
-func unreadError(err error) *result.Error {
+// readRefusal returns the refusal for an error in reading a request.
+func readRefusal(err error) *result.Error {
 	var small *fasthttp.ErrSmallBuffer
 	var netErr net.Error
 	switch {
@@ -39,13 +40,14 @@
 	}
 }
 
-// checkRequest refuses what no filter should have to think about.
+// checkRequest refuses requests with too many headers or an ambiguous path, so that
+// no filter has to handle them.
 func checkRequest(ctx *fasthttp.RequestCtx, ex *pipeline.Exchange) error {
 	var refusal *result.Error
 	switch {
-	case ctx.Request.Header.Len() > maxHeaders:
-		refusal = result.New(result.HeadersTooLarge, "More than %d headers.", maxHeaders)
-	case !plainPath(ex.Path):
+	case ctx.Request.Header.Len() > maxHeaderCount:
+		refusal = result.New(result.HeadersTooLarge, "More than %d headers.", maxHeaderCount)
+	case !isUnambiguousPath(ex.Path):
 		refusal = result.New(result.BadRequest, "The path must begin with / and have no dot segments, empty segments or escaped slashes.")
 	default:
 		return nil
@@ -54,10 +56,10 @@
 	return refusal
 }
 
-// plainPath says whether a path means the same to this router and to every
-// target: a target that resolves "..", "//" or "%2f" in its own way might
-// serve something else than the pool that the workspace was allowed.
-func plainPath(path string) bool {
+// isUnambiguousPath reports whether a path means the same to this router and to every
+// target: a target that resolves "..", "//" or "%2f" in its own way might serve
+// something outside the pool that the workspace may use.
+func isUnambiguousPath(path string) bool {
 	path, _, _ = strings.Cut(path, "?")
 	if !strings.HasPrefix(path, "/") {
 		return false
--- a/front/request.go
+++ b/front/request.go
@@ -16,26 +16,27 @@
 
 // request is one request being served on a connection.
 type request struct {
-	// arrival holds the bytes of the body; nil if there is none.
-	arrival *arrival
-	ex      *pipeline.Exchange
-	conn    *callerConn
-	gone    chan struct{}
-	isGone  bool // used by the watcher's goroutine only
-	// ctx lasts until the exchange ends or the caller went away.
+	// reservation accounts for the bytes of the body; nil if there is no body.
+	reservation *bodyReservation
+	ex          *pipeline.Exchange
+	conn        *callerConn
+	gone        chan struct{}
+	isGone      bool // used by the watcher's goroutine only
+	// ctx is cancelled when the exchange ends or the caller disconnects.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// endServing ends the exchange's Serving, and with it ctx.
+	// endServing cancels the exchange's Serving context, and with it ctx.
 	endServing context.CancelFunc
 	server     *Server
-	// answer says who gives the caller its answer. refusing is held while the timer does.
-	answer   atomic.Int32
-	refusing sync.Mutex
-	// err is why the answer is not whole; nil if nothing is known against it.
+	// answerOwner tells who answers the caller. refusalMu is held while the timer does.
+	answerOwner atomic.Int32
+	refusalMu   sync.Mutex
+	// err is why the answer is incomplete; nil if no failure is known.
 	err error
 }
 
-// callerWentAway tells the pipeline. Only the watcher calls it.
+// callerWentAway tells the pipeline that the caller has disconnected. Only the watcher
+// calls it.
 func (r *request) callerWentAway() {
 	if r.isGone {
 		return
@@ -47,8 +48,8 @@
 	r.ex.CallerWentAway()
 }
 
-// newExchange copies a request out of fasthttp's buffers, which are reused, and
-// takes the body's buffer over.
+// newExchange copies a request out of fasthttp's buffers, which are reused; it takes
+// over the buffer of a large body.
 func newExchange(id requestID, gone <-chan struct{}, ctx *fasthttp.RequestCtx) *pipeline.Exchange {
 	header := &ctx.Request.Header
 	return &pipeline.Exchange{
@@ -65,15 +66,15 @@
 	}
 }
 
-// copiedBodyBytes is the size up to which a body is copied, so that its buffer
-// can be used again at once.
-const copiedBodyBytes = 64 << 10
+// maxCopiedBodyBytes is the size up to which a body is copied, so that its buffer
+// can be reused at once.
+const maxCopiedBodyBytes = 64 << 10
 
-// takeBody returns the body and leaves none in the request: a copy of a small
-// one, the buffer itself of a large one.
+// takeBody removes the body from the request and returns it: a copy of a small
+// body, the buffer itself of a large one.
 func takeBody(request *fasthttp.Request) []byte {
 	size := len(request.Body())
-	if size > copiedBodyBytes {
+	if size > maxCopiedBodyBytes {
 		return request.SwapBody(nil)
 	}
 	body := append([]byte(nil), request.Body()...)
@@ -81,7 +82,7 @@
 	return body
 }
 
-// originForm strips the scheme and host of an absolute request target.
+// originForm strips the scheme and host from an absolute request target.
 func originForm(target string) string {
 	if strings.HasPrefix(target, "/") {
 		return target
@@ -97,14 +98,14 @@
 	return rest[slash:]
 }
 
-// copyHeader copies all headers but those that belong to one connection.
+// copyHeader copies all headers except those that apply to one connection only.
 // Repeated headers are joined with a comma.
 func copyHeader(header *fasthttp.RequestHeader) map[string]string {
 	copied := make(map[string]string, header.Len())
-	named := connectionNamed(header)
+	connectionOnly := headersNamedByConnection(header)
 	for key, value := range header.All() {
 		name := string(key)
-		if hopByHop(name) || named[name] {
+		if isHopByHop(name) || connectionOnly[name] {
 			continue
 		}
 		if earlier, ok := copied[name]; ok {
@@ -116,9 +117,9 @@
 	return copied
 }
 
-// connectionNamed returns the headers that the Connection header names as being
-// about this connection only, by their canonical names. It is nil if there are none.
-func connectionNamed(header *fasthttp.RequestHeader) map[string]bool {
+// headersNamedByConnection returns the canonical names of the headers that the
+// Connection header lists as applying to this connection only; nil if there are none.
+func headersNamedByConnection(header *fasthttp.RequestHeader) map[string]bool {
 	var named map[string]bool
 	for token := range strings.SplitSeq(string(header.Peek(fasthttp.HeaderConnection)), ",") {
 		token = strings.TrimSpace(token)
@@ -133,9 +134,9 @@
 	return named
 }
 
-// hopByHop says whether a header is about one connection or one message, so
-// that it is not passed on.
-func hopByHop(name string) bool {
+// isHopByHop reports whether a header applies to one connection or one message only
+// and must not be passed on.
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 		"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
--- a/front/serve.go
+++ b/front/serve.go
@@ -14,27 +14,27 @@
 )
 
 // errConnectionClosed ends an exchange whose connection closed before the
-// answer was whole.
-var errConnectionClosed = errors.New("front: connection closed before the answer was whole")
+// answer was complete.
+var errConnectionClosed = errors.New("front: connection closed before the answer was complete")
 
-// serve handles one request that has arrived whole. When it returns, the HTTP
-// library writes the response; connState learns how that went.
+// serve handles one request that has arrived completely. When it returns, the HTTP
+// library writes the response and calls connState with the outcome.
 func (s *Server) serve(ctx *fasthttp.RequestCtx) {
 	conn := ctx.Conn().(*callerConn) // every connection comes from callerListener
-	if s.sheds(conn) {
-		s.turnAway(ctx, conn)
+	if s.shouldShed(conn) {
+		s.rejectOverloaded(ctx, conn)
 		return
 	}
-	r := s.begin(ctx, conn)
-	err := accept(ctx, r)
+	r := s.beginExchange(ctx, conn)
+	err := checkBeforeFilters(ctx, r)
 	if err != nil {
-		s.logRefused(r.ex.ID, err)
+		s.logRefusal(r.ex.ID, err)
 	} else {
 		err = s.run(r)
 	}
-	if !r.takeAnswer() {
-		r.dropAnswer()
-		return // nothing can be written any more
+	if !r.claimAnswer() {
+		r.discardAnswer()
+		return // the connection is closed for writing
 	}
 	if err == nil {
 		err = s.writeAnswer(ctx, r)
@@ -43,39 +43,40 @@
 		r.err = err
 		s.writeError(ctx, r.ex.ID, err)
 	}
-	if conn.linger || s.releases() {
+	if conn.linger || s.shouldCloseConn() {
 		ctx.SetConnectionClose()
 	}
 }
 
-// sheds says whether the next request of a connection is refused unread.
-func (s *Server) sheds(conn *callerConn) bool {
+// shouldShed reports whether the next request of a connection is refused unread.
+func (s *Server) shouldShed(conn *callerConn) bool {
 	switch {
 	case s.options.Shed == nil:
 		return false
-	case conn.kept || conn.admission == undecided:
-		return s.options.Shed(conn.kept)
+	case conn.reused || conn.admission == undecided:
+		return s.options.Shed(conn.reused)
 	default:
-		return conn.admission == turnedAway
+		return conn.admission == rejected
 	}
 }
 
-// turnAway refuses a request whose headers have arrived, with as little work as can be: what
-// it takes is missing for those who are served.
-func (s *Server) turnAway(ctx *fasthttp.RequestCtx, conn *callerConn) {
-	arrival := s.takeArrival(&ctx.Request.Header)
-	arrival.keep(0)
-	conn.linger = arrival != nil && arrival.refusal != nil // its body was not read
-	s.refuseBusy(ctx)
+// rejectOverloaded refuses a request whose headers have arrived, with as little work as
+// possible, to leave the processor time to the requests that are served.
+func (s *Server) rejectOverloaded(ctx *fasthttp.RequestCtx, conn *callerConn) {
+	reservation := s.claimReservation(&ctx.Request.Header)
+	reservation.shrinkTo(0)
+	conn.linger = reservation != nil && reservation.refusal != nil // the body was not read
+	s.writeOverloaded(ctx)
 }
 
-// refuseBusy sets the refusal of a router that runs late as the response.
-func (s *Server) refuseBusy(ctx *fasthttp.RequestCtx) {
+// writeOverloaded sets the response of an overloaded router: a refusal that closes the
+// connection.
+func (s *Server) writeOverloaded(ctx *fasthttp.RequestCtx) {
 	requests.Inc()
 	header := &ctx.Request.Header
-	id := s.idOf(header).text
-	err := tooBusy()
-	s.logRefused(id, err)
+	id := s.requestIDOf(header).text
+	err := overloadedError()
+	s.logRefusal(id, err)
 	if s.options.OnShed != nil {
 		s.options.OnShed(header.Host(), ctx.Path(), header.Peek)
 	}
@@ -83,62 +84,64 @@
 	ctx.SetConnectionClose()
 }
 
-// refusedLogged bounds the lines a second about requests that are refused unread. A
-// line costs about as much as the refusal, and they come in floods.
-const refusedLogged = 100
+// maxRefusalLogsPerSecond limits the log lines about requests that are refused unread.
+// Writing a line costs about as much as the refusal, and refusals come in bursts.
+const maxRefusalLogsPerSecond = 100
 
-// logRefused names a request that was refused unread in the log, or only counts it
-// where there are too many.
-func (s *Server) logRefused(id string, err error) {
-	if !s.refusedLog.Allow() {
-		refusalsUnsaid.Inc()
+// logRefusal logs a request that was refused before the pipeline, or only counts it
+// once the rate limit for these lines is reached.
+func (s *Server) logRefusal(id string, err error) {
+	if !s.refusalLogLimiter.Allow() {
+		refusalsUnlogged.Inc()
 		s.unlogged.Add(1)
 		return
 	}
 	s.log.Info("front: Request refused.", "request", id, "error", err, "unlogged_before", s.unlogged.Swap(0))
 }
 
-// accept refuses what no filter should have to think about.
-func accept(ctx *fasthttp.RequestCtx, r *request) error {
-	if r.arrival != nil && r.arrival.refusal != nil {
-		// The body was not read, so no other request can follow it.
+// checkBeforeFilters refuses requests whose bodies were not read and requests that fail
+// checkRequest.
+func checkBeforeFilters(ctx *fasthttp.RequestCtx, r *request) error {
+	if r.reservation != nil && r.reservation.refusal != nil {
+		// The body was not read, so no other request can follow on this connection.
 		r.conn.linger = true
-		return r.arrival.refusal
+		return r.reservation.refusal
 	}
 	requests.Inc()
 	return checkRequest(ctx, r.ex)
 }
 
-// elsewhereAfter is the longest pause that a caller is told to make who had better ask
-// another router. Its connection is closed, and the next one leads elsewhere; the pause
-// only spreads those who are refused together.
-const elsewhereAfter = 50 * time.Millisecond
+// maxOverloadedRetryAfter is the longest retry delay given to callers of an overloaded
+// router. Their connections are closed and the next ones reach other routers; the delay
+// only spreads the retries of callers that are refused together.
+const maxOverloadedRetryAfter = 50 * time.Millisecond
 
-// tooBusy is the refusal of a router that runs late, which says nothing of others.
-func tooBusy() error {
+// overloadedError returns the refusal of an overloaded router. Other routers may be idle,
+// so the retry delay is short.
+func overloadedError() error {
 	refusals.Inc(result.Overloaded)
-	after := time.Millisecond + rand.N(elsewhereAfter-time.Millisecond)
+	after := time.Millisecond + rand.N(maxOverloadedRetryAfter-time.Millisecond)
 	return result.New(result.Overloaded, "This router is too busy.").After(after)
 }
 
-// begin counts a new exchange and ties it to its connection.
-func (s *Server) begin(ctx *fasthttp.RequestCtx, conn *callerConn) *request {
+// beginExchange creates and counts a new exchange and attaches it to its connection.
+func (s *Server) beginExchange(ctx *fasthttp.RequestCtx, conn *callerConn) *request {
 	gone := make(chan struct{})
 	r := &request{
-		arrival: s.takeArrival(&ctx.Request.Header),
-		ex:      newExchange(s.idOf(&ctx.Request.Header), gone, ctx),
-		conn:    conn,
-		gone:    gone,
-		server:  s,
+		reservation: s.claimReservation(&ctx.Request.Header),
+		ex:          newExchange(s.requestIDOf(&ctx.Request.Header), gone, ctx),
+		conn:        conn,
+		gone:        gone,
+		server:      s,
 	}
-	r.arrival.keep(int64(len(r.ex.Body)))
+	r.reservation.shrinkTo(int64(len(r.ex.Body)))
 	r.ex.LookForCaller = conn.isClosedByCaller
 	r.ex.Serving, r.endServing = context.WithCancel(s.ctx)
 	r.ctx, r.cancel = context.WithCancelCause(r.ex.Serving)
-	r.ex.EndBy = r.endBy
+	r.ex.EndBy = r.refuseAt
 	conn.request = r
 	conn.writeErr = nil
-	s.began()
+	s.exchangeBegan()
 	s.watch.add(r)
 	return r
 }
@@ -155,33 +158,33 @@
 	return s.handler(r.ctx, r.ex)
 }
 
-// connState learns from the HTTP library when an answer has been sent: a
-// connection turns idle after the last byte was written, or closes.
+// connState is called by the HTTP library when a connection changes state. It becomes
+// idle after the last byte of an answer was written, or it closes.
 func (s *Server) connState(c net.Conn, state fasthttp.ConnState) {
 	conn := c.(*callerConn)
 	switch state {
 	case fasthttp.StateNew:
-		s.opened(conn)
+		s.connOpened(conn)
 	case fasthttp.StateActive:
 		conn.setBusy(true)
 	case fasthttp.StateIdle:
-		s.finish(conn)
+		s.endExchange(conn)
 		conn.setBusy(false)
 	case fasthttp.StateClosed:
-		s.finish(conn)
-		s.closed(conn)
+		s.endExchange(conn)
+		s.connClosed(conn)
 	}
 }
 
-// finish ends the exchange of a connection, if there is one. Only the
+// endExchange ends the exchange of a connection, if there is one. Only the
 // connection's serving goroutine calls it.
-func (s *Server) finish(conn *callerConn) {
+func (s *Server) endExchange(conn *callerConn) {
 	r := conn.request
 	if r == nil {
 		return
 	}
 	conn.request = nil
-	conn.kept = true
+	conn.reused = true
 	s.watch.remove(r)
 	if r.err == nil {
 		r.err = conn.writeErr
@@ -189,6 +192,6 @@
 	r.ex.End(r.err)
 	r.cancel(context.Canceled)
 	r.endServing()
-	r.arrival.keep(0)
-	s.ended()
+	r.reservation.shrinkTo(0)
+	s.exchangeEnded()
 }
--- a/front/serve_test.go
+++ b/front/serve_test.go
@@ -19,8 +19,8 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// generous bounds waits for events that must come.
-const generous = 20 * time.Second
+// eventTimeout limits the wait for events that must happen.
+const eventTimeout = 20 * time.Second
 
 // fixture is a server on loopback that records how its exchanges end.
 type fixture struct {
@@ -30,7 +30,8 @@
 	ends    chan error
 }
 
-// start serves handler. When the test ends, each exchange must have ended once.
+// start serves handler. When the test ends, it checks that each exchange has ended
+// exactly once.
 func start(t *testing.T, options Options, handler pipeline.Handler) *fixture {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -51,7 +52,7 @@
 		if err := <-served; err != nil {
 			t.Errorf("Serve: %v", err)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), generous)
+		ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 		defer cancel()
 		if err := f.waitUntil(ctx, f.allClosed); err != nil || begun.Load() != ended.Load() || f.Active() != 0 {
 			t.Errorf("%d exchanges begun, %d ended, %d active, %v", begun.Load(), ended.Load(), f.Active(), err)
@@ -68,7 +69,7 @@
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(func() { conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(generous)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(eventTimeout)); err != nil {
 		f.t.Fatal(err)
 	}
 	return conn
@@ -77,12 +78,12 @@
 // send writes raw text on a new connection.
 func (f *fixture) send(text string) (net.Conn, *bufio.Reader) {
 	conn := f.dial()
-	// The server may close early, which the answer will tell.
+	// The server may close early; reading the answer shows that.
 	_, _ = io.WriteString(conn, text)
 	return conn, bufio.NewReader(conn)
 }
 
-// answer reads an answer's head.
+// answer reads the status line and headers of an answer.
 func (f *fixture) answer(r *bufio.Reader) *http.Response {
 	f.t.Helper()
 	response, err := http.ReadResponse(r, nil)
@@ -92,7 +93,7 @@
 	return response
 }
 
-// end waits for an exchange to end.
+// end waits for an exchange to end and returns its error.
 func (f *fixture) end() error {
 	f.t.Helper()
 	return await(f.t, f.ends)
@@ -102,13 +103,13 @@
 	t.Helper()
 	select {
 	case value = <-c:
-	case <-time.After(generous):
-		t.Fatal("waited in vain")
+	case <-time.After(eventTimeout):
+		t.Fatal("timed out")
 	}
 	return value
 }
 
-// answerWith is a pipeline that gives every request the same stream.
+// answerWith returns a pipeline that answers every request with the same stream.
 func answerWith(stream io.ReadCloser) pipeline.Handler {
 	return func(_ context.Context, ex *pipeline.Exchange) error {
 		ex.Status = http.StatusOK
@@ -117,7 +118,7 @@
 	}
 }
 
-// brokenStream gives some text and then an error.
+// brokenStream returns some text and then an error.
 func brokenStream() io.ReadCloser {
 	return io.NopCloser(io.MultiReader(strings.NewReader("half"), failingReader{}))
 }
@@ -132,7 +133,7 @@
 	reader, writer := io.Pipe()
 	f := start(t, Options{}, answerWith(reader))
 	_, r := f.send(get)
-	body := bufio.NewReader(f.answer(r).Body) // the head comes before any token
+	body := bufio.NewReader(f.answer(r).Body) // the headers come before any token
 	for i := range 5 {
 		token := fmt.Sprintf("data: %d\n", i)
 		go io.WriteString(writer, token)
@@ -178,7 +179,7 @@
 		}
 		return err
 	})
-	// Pipelined, so that a stray body would be taken for the next answer.
+	// Pipelined, so that an unexpected body would be read as the next answer.
 	_, r := f.send("HEAD /x HTTP/1.1\r\nHost: a\r\n\r\n" + get)
 	head, err := http.ReadResponse(r, &http.Request{Method: http.MethodHead})
 	if err != nil || head.StatusCode != http.StatusOK {
@@ -232,7 +233,7 @@
 	}
 }
 
-func TestRequestsThatDoNotArrive(t *testing.T) {
+func TestUnreadableRequestsAreRefused(t *testing.T) {
 	options := Options{MaxBodyBytes: 1000, MaxHeaderBytes: 2000, ReadTimeout: 50 * time.Millisecond}
 	f := start(t, options, func(context.Context, *pipeline.Exchange) error {
 		t.Error("the pipeline was run")
@@ -243,7 +244,7 @@
 		{"long body", head + "Content-Length: 1001\r\n\r\n", "102"},
 		{"long chunked body", head + "Transfer-Encoding: chunked\r\n\r\n3e9\r\n" + strings.Repeat("x", 1001), "102"},
 		{"long headers", head + "A: " + strings.Repeat("x", 3000) + "\r\n\r\n", "103"},
-		{"many headers", head + strings.Repeat("A: b\r\n", maxHeaders) + "\r\n", "103"},
+		{"many headers", head + strings.Repeat("A: b\r\n", maxHeaderCount) + "\r\n", "103"},
 		{"slow headers", head, "105"},
 		{"slow body", head + "Content-Length: 10\r\n\r\nx", "105"},
 		{"no HTTP", "hello\r\n\r\n", "101"},
@@ -270,18 +271,19 @@
 	}
 }
 
-// bodyFor repeats a name: once, or until the body is too large to be copied.
+// bodyFor returns the name once or, for every tenth request, repeated until the body is
+// too large to be copied.
 func bodyFor(name string, i int) string {
 	if i%10 != 0 {
 		return name
 	}
-	return strings.Repeat(name, copiedBodyBytes/len(name)+1)
+	return strings.Repeat(name, maxCopiedBodyBytes/len(name)+1)
 }
 
-func TestCopiesDoNotCrossUnderLoad(t *testing.T) {
+func TestExchangesDoNotShareBuffersUnderLoad(t *testing.T) {
 	const callers, each = 16, 100
-	// Each answer is made while another request is served, and every exchange
-	// is looked at again after its buffers have been reused.
+	// Each answer is written while another request is served, and every exchange
+	// is checked again after its buffers have been reused.
 	late := make(chan func(), callers*each)
 	served := make(chan *pipeline.Exchange, callers*each)
 	f := start(t, Options{}, func(ctx context.Context, ex *pipeline.Exchange) error {
--- a/front/server.go
+++ b/front/server.go
@@ -1,7 +1,7 @@
 // Package front is the caller-side HTTP server: the accept filter of the
 // pipeline. It reads each request into an exchange of its own, runs the
-// pipeline, and writes the answer. It finds callers that went away, and stops
-// without cutting a request.
+// pipeline, and writes the answer. It detects callers that disconnect, and shuts
+// down without interrupting requests.
 package front
 
 import (
@@ -35,61 +35,62 @@
 	DefaultForceGrace     = time.Second
 )
 
-// keptPart is the part of the process's descriptors that connections of callers
-// may take before they are closed with their answers. As many again may be in use
-// for requests in progress and towards targets.
-const keptPart = 0.4
+// callerConnShare is the share of the process's descriptors that callers' connections
+// may use before they are closed after their answers. As many again may be in use
+// for requests in progress and for connections to targets.
+const callerConnShare = 0.4
 
-// maxHeaders bounds the number of header lines of a request.
-const maxHeaders = 100
+// maxHeaderCount limits the number of header lines of a request.
+const maxHeaderCount = 100
 
-// Options configure a Server. Zero values take the stated defaults.
+// Options configure a Server. Zero values mean the stated defaults.
 type Options struct {
-	// MaxBodyBytes bounds a request body. Default 8 MiB.
+	// MaxBodyBytes limits a request body. Default 8 MiB.
 	MaxBodyBytes int
-	// MaxHeaderBytes bounds the request line and headers. Default 16 KiB.
+	// MaxHeaderBytes limits the request line and headers. Default 16 KiB.
 	MaxHeaderBytes int
-	// MaxHeldBytes bounds the bodies that are held at once, from their
-	// announcement to the end of their exchanges. Default 256 MiB.
+	// MaxHeldBytes limits the total size of the bodies held at the same time. A body
+	// counts from the time its headers are read until its exchange ends. Default 256 MiB.
 	MaxHeldBytes int
-	// Authenticate finds the workspace by the headers, before a body is read.
-	// Its refusal is the answer. Default: every body is read.
+	// Authenticate finds the workspace from the headers, before a body is read.
+	// If it returns a refusal, that is the answer. Default: every body is read.
 	Authenticate func(header func(name string) string) (workspace string, refusal *result.Error)
-	// ReadTimeout bounds the arrival of a request. Default 10 s.
+	// ReadTimeout limits the time in which a request must arrive. Default 10 s.
 	ReadTimeout time.Duration
-	// IdleTimeout ends idle connections. Default 60 s.
+	// IdleTimeout is how long a connection may be idle before it is closed. Default 60 s.
 	IdleTimeout time.Duration
-	// WriteTimeout bounds each write to a caller that does not read. Default 30 s.
+	// WriteTimeout limits each write to a caller that does not read. Default 30 s.
 	WriteTimeout time.Duration
-	// WatchEvery is the period of looking for callers that went away.
+	// WatchEvery is the interval between checks for callers that have disconnected.
 	// Default 150 ms.
 	WatchEvery time.Duration
 	// IdleGrace is how long an idle connection stays open during a Shutdown, so
-	// that a request that is on its way is answered and not dropped. Default 1 s.
+	// that a request in transit is answered and not dropped. Default 1 s.
 	IdleGrace time.Duration
 	// ForceGrace is how long Close waits for its refusals to be written before
 	// it closes the connections. Default 1 s.
 	ForceGrace time.Duration
-	// KeptConns is how many connections may be open before each is closed with
+	// MaxKeptConns is how many connections may be open before each is closed after
 	// its answer, so that descriptors are left for new callers and for targets.
-	// Default 0: no bound.
+	// Default 0: no limit.
 	KeptConns int
-	// Shed, if set, says that the next request is refused before anything is done
-	// for it. Its connection is closed, so that its caller's next one may lead to
-	// another router. kept says that the connection had an answer before.
+	// Shed, if set, reports whether the next request is refused before any work is done
+	// for it. Its connection is closed, so that the caller's next connection may reach
+	// another router. kept tells that the connection has been answered on before.
 	Shed func(kept bool) bool
-	// OnShed, if set, learns of each such refusal, by what the headers tell. The function
-	// gives headers by name; it and host and path are valid until OnShed returns.
+	// OnShed, if set, is called for each such refusal with the host, the path and a
+	// function that returns headers by name. They are valid until OnShed returns.
 	OnShed func(host, path []byte, header func(name string) []byte)
-	// Release, if set, says that the connection of the next answer is closed with it.
+	// CloseAfterAnswer, if set, reports whether the connection of the next answer is
+	// closed after it.
 	Release func() bool
-	// Dialect is how the callers speak. Default dialect.Own.
+	// Dialect is the dialect that callers use. Default dialect.Own.
 	Dialect *dialect.Dialect
 	// Log defaults to slog.Default().
 	Log *slog.Logger
 }
 
-// FromLimits returns the options that a settings file asks for.
+// FromLimits returns the options for the limits of a settings file.
 func FromLimits(limits settings.Limits) Options {
 	return Options{
 		MaxBodyBytes:   limits.MaxBodyBytes,
@@ -98,7 +99,7 @@
 		ReadTimeout:    time.Duration(limits.ReadTimeout),
 		IdleTimeout:    time.Duration(limits.IdleTimeout),
 		WriteTimeout:   time.Duration(limits.StallTimeout),
-		KeptConns:      int(keptPart * float64(limits.MaxDescriptors)),
+		KeptConns:      int(callerConnShare * float64(limits.MaxDescriptors)),
 	}
 }
 
@@ -121,13 +122,13 @@
 	return o
 }
 
-func setDefault[T int | time.Duration](value *T, standard T) {
+func setDefault[T int | time.Duration](value *T, fallback T) {
 	if *value <= 0 {
-		*value = standard
+		*value = fallback
 	}
 }
 
-// Server answers callers. Create it with New.
+// Server serves callers over HTTP. Create it with New.
 type Server struct {
 	options Options
 	handler pipeline.Handler
@@ -136,21 +137,21 @@
 	ids     *idSource
 	watch   *watcher
 
-	arrivals *arrivals
+	reservations *bodyReservations
 
-	// refusedLog bounds the lines about refused requests, and unlogged counts those
-	// that were passed over since the last line.
-	refusedLog *rate.Limiter
-	unlogged   atomic.Int64
+	// refusalLogLimiter limits the log lines about refused requests, and unlogged counts
+	// the refusals that were not logged since the last line.
+	refusalLogLimiter *rate.Limiter
+	unlogged          atomic.Int64
 
-	// ctx is the parent of every exchange's context; cancel ends them all.
+	// ctx is the parent of every exchange's context; cancel cancels them all.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
 	// draining is true from Shutdown or Close on.
 	draining atomic.Bool
-	// started is when the server was made, and acceptedAt the nanoseconds from then to the
-	// last connection that it accepted.
+	// started is when the server was created, and acceptedAt is when it last accepted a
+	// connection, in nanoseconds since started.
 	started    time.Time
 	acceptedAt atomic.Int64
 
@@ -172,11 +173,11 @@
 		ids:     newIDSource(),
 		watch:   newWatcher(options.WatchEvery),
 
-		refusedLog: rate.NewLimiter(refusedLogged, refusedLogged),
+		refusalLogLimiter: rate.NewLimiter(maxRefusalLogsPerSecond, maxRefusalLogsPerSecond),
 
 		started: time.Now(),
 
-		arrivals: newArrivals(int64(options.MaxHeldBytes), options.ReadTimeout+arrivalMargin),
+		reservations: newBodyReservations(int64(options.MaxHeldBytes), options.ReadTimeout+reservationMargin),
 
 		conns:   make(map[*callerConn]struct{}),
 		changed: make(chan struct{}),
@@ -186,14 +187,14 @@
 	return s
 }
 
-// sinceStart is the nanoseconds since the server was made.
+// sinceStart returns the nanoseconds since the server was created.
 func (s *Server) sinceStart() int64 { return int64(time.Since(s.started)) }
 
 func (s *Server) newHTTPServer() *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler:                      s.serve,
 		HeaderReceived:               s.headerReceived,
-		ErrorHandler:                 s.refuseUnread,
+		ErrorHandler:                 s.writeReadRefusal,
 		ConnState:                    s.connState,
 		Name:                         "walnutcove",
 		NoDefaultContentType:         true,
@@ -202,14 +203,14 @@
 		ReadBufferSize:               s.options.MaxHeaderBytes,
 		ReadTimeout:                  s.options.ReadTimeout,
 		IdleTimeout:                  s.options.IdleTimeout,
-		// Gives the buffers back while a request waits, and sends each answer
-		// at once even if the next request has already arrived.
+		// Releases the buffers while a connection waits for a request, and sends each
+		// answer at once even if the next request has already arrived.
 		ReduceMemoryUsage: true,
 		Logger:            httpLogger{s.log},
 	}
 }
 
-// httpLogger passes what the HTTP library says on to slog.
+// httpLogger passes the log messages of the HTTP library on to slog.
 type httpLogger struct{ log *slog.Logger }
 
 // Printf implements fasthttp.Logger.
@@ -223,18 +224,18 @@
 	s.setServing(true, listener)
 	defer s.setServing(false, nil)
 	if s.draining.Load() {
-		_ = listener.Close() // Shutdown or Close may have been quicker
+		_ = listener.Close() // Shutdown or Close was called first
 		return nil
 	}
 	go s.watchCallers()
-	return s.http.Serve(callerListener{Listener: listener, server: s, atOnce: newAtOnce(listener, s)})
+	return s.http.Serve(callerListener{Listener: listener, server: s, fastRefuser: newFastRefuser(listener, s)})
 }
 
-// watchCallers looks for callers that went away until the last connection is
-// closed.
+// watchCallers checks for callers that have disconnected until the last connection
+// is closed.
 func (s *Server) watchCallers() {
 	go s.watch.run()
-	// Without a deadline the wait ends only when all is closed.
+	// Without a deadline the wait ends only when all connections are closed.
 	_ = s.waitUntil(context.Background(), s.allClosed)
 	s.watch.close()
 }
--- a/front/shutdown.go
+++ b/front/shutdown.go
@@ -8,39 +8,40 @@
 	"github.com/walnutcove/walnutcove/wait"
 )
 
-// errForced is the cause given to exchanges that a forced stop ends.
-var errForced = errors.New("front: stopped by force")
-
-// acceptQuiet is how long nobody may connect before a Shutdown closes the listener. The
-// kernel resets connections that it has taken and the server has not accepted by then,
-// with the request that may be on them already: 1 of 60 shutdowns under load did. Callers
-// that are sent here hear within some milliseconds that the server leaves.
-const acceptQuiet = 100 * time.Millisecond
-
-// Shutdown answers what comes in with "Connection: close", stops accepting once
-// nobody connects any more, and waits until every exchange has ended and every
-// connection is closed. It cuts no request: a connection is closed only after
+// errForced is the cancellation cause of exchanges that Close ends.
+var errForced = errors.New("front: server closed without waiting for its requests")
+
+// acceptQuietPeriod is how long no connection must arrive before Shutdown closes the
+// listener. Closing it makes the kernel reset connections that it has established but the
+// server has not accepted, with any request already sent on them: this happened in 1 of
+// 60 shutdowns under load. Callers that are directed here learn within some milliseconds
+// that the server is leaving.
+const acceptQuietPeriod = 100 * time.Millisecond
+
+// Shutdown answers further requests with "Connection: close", stops accepting once
+// no new connections arrive, and waits until every exchange has ended and every
+// connection is closed. It interrupts no request: a connection is closed only after
 // it was idle for Options.IdleGrace. If ctx ends first, Shutdown returns the
-// context's error and the exchanges go on; Close then ends them.
+// context's error and the exchanges continue; Close then ends them.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.drain()
-	s.awaitQuiet(ctx)
+	s.awaitNoNewConns(ctx)
 	if err := s.stopAccepting(); err != nil {
 		return err
 	}
 	return s.waitUntil(ctx, s.allClosed)
 }
 
-// Close stops by force: it ends the context of every exchange and, after
-// Options.ForceGrace, closes the connections that are still open. Callers see
-// a numbered refusal or a broken answer, never a clean end of half an answer.
+// Close stops the server at once: it cancels the context of every exchange and, after
+// Options.ForceGrace, closes the connections that are still open. Callers get an error
+// with a result code or a broken answer, never a partial answer that looks complete.
 func (s *Server) Close() error {
 	s.drain()
 	err := s.stopAccepting()
 	s.cancel(errForced)
 	ctx, cancel := context.WithTimeout(context.Background(), s.options.ForceGrace)
 	defer cancel()
-	// What has not ended by then is cut, which is what Close is for.
+	// On a timeout the remaining exchanges are interrupted, as Close promises.
 	_ = s.waitUntil(ctx, s.allEnded)
 	for _, conn := range s.connections() {
 		conn.Conn.Close()
@@ -48,20 +49,21 @@
 	return err
 }
 
-// drain refuses new requests and bounds the wait of idle connections. Later calls do
-// nothing.
+// drain makes every connection close after its next answer and limits the wait of idle
+// connections. Later calls do nothing.
 func (s *Server) drain() {
 	if s.draining.Swap(true) {
 		return
 	}
 	s.acceptedAt.Store(s.sinceStart())
 	for _, conn := range s.connections() {
-		conn.endIdle()
+		conn.limitIdleWait()
 	}
 }
 
-// awaitQuiet waits until nobody has connected for acceptQuiet, at most for IdleGrace.
-func (s *Server) awaitQuiet(ctx context.Context) {
+// awaitNoNewConns waits until no connection has arrived for acceptQuietPeriod, at most
+// for IdleGrace.
+func (s *Server) awaitNoNewConns(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.IdleGrace)
 	defer cancel()
 	for {
@@ -69,7 +71,7 @@
 		serving := s.serving
 		s.mu.Unlock()
 		quiet := time.Duration(s.sinceStart() - s.acceptedAt.Load())
-		if !serving || quiet >= acceptQuiet || !wait.For(ctx, acceptQuiet-quiet) {
+		if !serving || quiet >= acceptQuietPeriod || !wait.For(ctx, acceptQuietPeriod-quiet) {
 			return
 		}
 	}
@@ -87,8 +89,8 @@
 	return listener.Close()
 }
 
-// waitUntil waits until done says so. It is asked again after every change
-// and needs s.mu.
+// waitUntil waits until done returns true or ctx ends. It calls done again after every
+// change, with s.mu held.
 func (s *Server) waitUntil(ctx context.Context, done func() bool) error {
 	for {
 		s.mu.Lock()
@@ -106,14 +108,15 @@
 	}
 }
 
-// allClosed needs s.mu.
+// allClosed reports whether Serve has returned and all connections are closed. The caller
+// holds s.mu.
 func (s *Server) allClosed() bool { return !s.serving && len(s.conns) == 0 }
 
-// allEnded needs s.mu.
+// allEnded reports whether all exchanges have ended. The caller holds s.mu.
 func (s *Server) allEnded() bool { return s.active == 0 }
 
-// signal wakes what waits in waitUntil, which has nothing to wait for while
-// callers are accepted. It needs s.mu.
+// signal wakes the goroutines in waitUntil. Their conditions cannot become true while
+// the server accepts connections, so it does nothing then. The caller holds s.mu.
 func (s *Server) signal() {
 	if s.draining.Load() || !s.serving {
 		close(s.changed)
@@ -128,9 +131,9 @@
 	return s.active
 }
 
-// HeldBytes returns the bytes of bodies that are held, and of those that were
-// announced and are on their way.
-func (s *Server) HeldBytes() int64 { return s.arrivals.held() }
+// HeldBytes returns the total size of the request bodies that are held or still
+// arriving.
+func (s *Server) HeldBytes() int64 { return s.reservations.heldBytes() }
 
 func (s *Server) connections() []*callerConn {
 	s.mu.Lock()
@@ -149,38 +152,38 @@
 	return len(s.conns)
 }
 
-// IsCrowded says whether so many connections are open that each is closed with
-// its answer rather than kept for another request.
+// HasTooManyConns reports whether so many connections are open that each is closed
+// after its answer rather than kept for another request.
 func (s *Server) IsCrowded() bool {
 	return s.options.KeptConns > 0 && s.ConnCount() > s.options.KeptConns
 }
 
-// releases says whether a connection is closed with its answer, as this router has too
-// many or is to get less to do.
-func (s *Server) releases() bool {
+// shouldCloseConn reports whether a connection is closed after its answer, because the
+// server drains, has too many connections, or is to get less load.
+func (s *Server) shouldCloseConn() bool {
 	return s.draining.Load() || s.IsCrowded() || s.options.Release != nil && s.options.Release()
 }
 
-func (s *Server) opened(conn *callerConn) {
+func (s *Server) connOpened(conn *callerConn) {
 	s.mu.Lock()
 	s.conns[conn] = struct{}{}
 	s.mu.Unlock()
 }
 
-func (s *Server) closed(conn *callerConn) {
+func (s *Server) connClosed(conn *callerConn) {
 	s.mu.Lock()
 	delete(s.conns, conn)
 	s.signal()
 	s.mu.Unlock()
 }
 
-func (s *Server) began() {
+func (s *Server) exchangeBegan() {
 	s.mu.Lock()
 	s.active++
 	s.mu.Unlock()
 }
 
-func (s *Server) ended() {
+func (s *Server) exchangeEnded() {
 	s.mu.Lock()
 	s.active--
 	s.signal()
--- a/front/smuggle_test.go
+++ b/front/smuggle_test.go
@@ -13,23 +13,23 @@
 	"github.com/walnutcove/walnutcove/pipeline"
 )
 
-// passed is a request as the pipeline got it.
-type passed struct {
+// receivedRequest is a request as the pipeline received it.
+type receivedRequest struct {
 	method, path string
 	body         []byte
 	header       map[string]string
 }
 
-// sendRaw writes raw text on one connection and returns the requests that the
-// pipeline got and the statuses of the answers, once the connection is closed.
-func sendRaw(t *testing.T, raw string) (got []passed, statuses []int) {
+// sendRaw writes raw text on one connection. Once the connection is closed, it returns
+// the requests that the pipeline received and the statuses of the answers.
+func sendRaw(t *testing.T, raw string) (got []receivedRequest, statuses []int) {
 	t.Helper()
-	const quiet = 300 * time.Millisecond // a request that stays away ends the connection
+	const quiet = 300 * time.Millisecond // the server closes the connection if no further request arrives
 	var mu sync.Mutex
 	f := start(t, Options{ReadTimeout: quiet, IdleTimeout: quiet}, func(_ context.Context, ex *pipeline.Exchange) error {
 		mu.Lock()
 		defer mu.Unlock()
-		got = append(got, passed{
+		got = append(got, receivedRequest{
 			method: strings.Clone(ex.Method), path: strings.Clone(ex.Path), body: slices.Clone(ex.Body), header: maps.Clone(ex.Header),
 		})
 		ex.Status = http.StatusOK
@@ -49,37 +49,37 @@
 	return got, statuses
 }
 
-// hidden is a request that a sender hides in the body of another.
-const hidden = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
+// smuggledRequest is a request that a sender hides in the body of another one.
+const smuggledRequest = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
 
-// ambiguous are requests whose end another reader may see elsewhere.
+// ambiguous holds requests whose end different HTTP parsers may locate differently.
 var ambiguous = map[string]string{
-	"two lengths":              "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 30\r\n\r\nabc" + hidden,
-	"length, then chunks":      "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-	"chunks, then length":      "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 60\r\n\r\n0\r\n\r\n" + hidden,
-	"chunks behind a tab":      "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding:\tchunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n" + hidden,
-	"space before the colon":   "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding : chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
-	"two encodings":            "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: x\r\n\r\n0\r\n\r\n" + hidden,
-	"unknown encoding":         "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
-	"length with a sign":       "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc" + hidden,
-	"negative length":          "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n" + hidden,
-	"list of lengths":          "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\nabc" + hidden,
-	"length in hex":            "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 0x3\r\n\r\nabc" + hidden,
-	"length that overflows":    "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 18446744073709551619\r\n\r\nabc" + hidden,
-	"length behind a bare CR":  "GET /a HTTP/1.1\r\nHost: a\r\nX: a\rContent-Length: 3\r\n\r\nabc" + hidden,
-	"chunk with a sign":        "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\nabc\r\n0\r\n\r\n" + hidden,
-	"chunk without its end":    "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n" + hidden,
-	"chunk that overflows":     "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff1\r\nabc\r\n0\r\n\r\n" + hidden,
-	"chunks in HTTP/1.0":       "POST /a HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-	"two hosts":                "GET /a HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n" + hidden,
-	"no host":                  "GET /a HTTP/1.1\r\n\r\n" + hidden,
-	"space in the path":        "GET /a b HTTP/1.1\r\nHost: a\r\n\r\n" + hidden,
-	"zero byte in a header":    "GET /a HTTP/1.1\r\nHost: a\r\nX: a\x00b\r\n\r\n" + hidden,
-	"another protocol's hello": "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + hidden,
+	"two lengths":              "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 30\r\n\r\nabc" + smuggledRequest,
+	"length, then chunks":      "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggledRequest,
+	"chunks, then length":      "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 60\r\n\r\n0\r\n\r\n" + smuggledRequest,
+	"chunks behind a tab":      "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding:\tchunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n" + smuggledRequest,
+	"space before the colon":   "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding : chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + smuggledRequest,
+	"two encodings":            "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: x\r\n\r\n0\r\n\r\n" + smuggledRequest,
+	"unknown encoding":         "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + smuggledRequest,
+	"length with a sign":       "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc" + smuggledRequest,
+	"negative length":          "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n" + smuggledRequest,
+	"list of lengths":          "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\nabc" + smuggledRequest,
+	"length in hex":            "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 0x3\r\n\r\nabc" + smuggledRequest,
+	"length that overflows":    "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 18446744073709551619\r\n\r\nabc" + smuggledRequest,
+	"length behind a bare CR":  "GET /a HTTP/1.1\r\nHost: a\r\nX: a\rContent-Length: 3\r\n\r\nabc" + smuggledRequest,
+	"chunk with a sign":        "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\nabc\r\n0\r\n\r\n" + smuggledRequest,
+	"chunk without its end":    "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n0\r\n\r\n" + smuggledRequest,
+	"chunk that overflows":     "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff1\r\nabc\r\n0\r\n\r\n" + smuggledRequest,
+	"chunks in HTTP/1.0":       "POST /a HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggledRequest,
+	"two hosts":                "GET /a HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n" + smuggledRequest,
+	"no host":                  "GET /a HTTP/1.1\r\n\r\n" + smuggledRequest,
+	"space in the path":        "GET /a b HTTP/1.1\r\nHost: a\r\n\r\n" + smuggledRequest,
+	"zero byte in a header":    "GET /a HTTP/1.1\r\nHost: a\r\nX: a\x00b\r\n\r\n" + smuggledRequest,
+	"another protocol's hello": "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + smuggledRequest,
 }
 
-// TestAmbiguousRequestsEndTheirConnection: behind a request whose end is in doubt,
-// nothing is read as another one.
+// TestAmbiguousRequestsEndTheirConnection checks that nothing after a request with an
+// ambiguous end is read as another request.
 func TestAmbiguousRequestsEndTheirConnection(t *testing.T) {
 	for name, raw := range ambiguous {
 		t.Run(name, func(t *testing.T) {
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestBodiesEndWhereTheySay: what is not in doubt is read whole, and so is the request
-// behind it.
-func TestBodiesEndWhereTheySay(t *testing.T) {
+// TestUnambiguousBodiesAreReadWhole checks that a body with an unambiguous end is read
+// completely, and so is the request after it.
+func TestUnambiguousBodiesAreReadWhole(t *testing.T) {
 	for name, raw := range map[string]string{
 		"length":           "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc",
 		"chunks":           "POST /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n2\r\nbc\r\n0\r\n\r\n",
@@ -109,7 +109,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			got, _ := sendRaw(t, raw+hidden)
+			got, _ := sendRaw(t, raw+smuggledRequest)
 			if len(got) != 2 || string(got[0].body) != "abc" || got[1].path != "/hidden" {
 				t.Errorf("%d requests: %+v", len(got), got)
 			}
@@ -117,11 +117,11 @@
 	}
 }
 
-// connectionHeaders concern one connection and are never passed on.
+// connectionHeaders apply to one connection and are never passed on.
 var connectionHeaders = []string{"Connection", "Content-Length", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// FuzzCallers: whatever a caller sends, what reaches the pipeline can be passed on to a
-// target as one request.
+// FuzzCallers checks that, whatever a caller sends, each request that reaches the pipeline
+// can be passed on to a target as exactly one request.
 func FuzzCallers(f *testing.F) {
 	for _, raw := range ambiguous {
 		f.Add(raw)
--- a/front/status_test.go
+++ b/front/status_test.go
@@ -9,10 +9,10 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// TestStatusPromisesWhatIsTrue: where callers go by the status alone, 408, 421, 429
-// and 503 are given only to what did not run, and every refusal of what did not run
-// for no fault of the caller gets one of them.
-func TestStatusPromisesWhatIsTrue(t *testing.T) {
+// TestStatusTellsWhetherRequestRan checks that, where callers rely on the status alone,
+// 408, 421, 429 and 503 are used only for requests that did not run, and that every
+// request that did not run through no fault of the caller gets one of them.
+func TestStatusTellsWhetherRequestRan(t *testing.T) {
 	s := New(Options{Dialect: &dialect.Dialect{StatusPromises: true}}, nil)
 	promises := map[int]bool{
 		http.StatusRequestTimeout:     true,
@@ -24,20 +24,20 @@
 		for _, ran := range []result.Ran{result.RanNo, result.RanUnknown, result.RanYes} {
 			refusal := result.New(row.Code, "x")
 			refusal.Ran = ran
-			status := s.statusOf(refusal)
+			status := s.httpStatus(refusal)
 			if promises[status] && ran != result.RanNo {
 				t.Errorf("%s, ran %s: status %d", row.Name, ran, status)
 			}
-			if ran == result.RanNo && !promises[status] && !isCallersFault(row.Code) {
+			if ran == result.RanNo && !promises[status] && !isCallerFault(row.Code) {
 				t.Errorf("%s, not run: status %d", row.Name, status)
 			}
 		}
 	}
 }
 
-// TestBusyRouterSendsCallersElsewhere: the refusal of a router that runs late lets its
-// caller come back at once, on another connection, as another router may be idle.
-func TestBusyRouterSendsCallersElsewhere(t *testing.T) {
+// TestOverloadedRefusalAllowsQuickRetry checks that the refusal of an overloaded router
+// allows its caller to retry at once on another connection, as another router may be idle.
+func TestOverloadedRefusalAllowsQuickRetry(t *testing.T) {
 	always := func(bool) bool { return true }
 	f := start(t, Options{Shed: always}, answerEmpty)
 	for range 20 {
@@ -45,13 +45,14 @@
 		response := f.answer(r)
 		after, err := strconv.Atoi(response.Header.Get("Retry-After-Ms"))
 		if response.StatusCode != 503 || !response.Close || err != nil || after < 1 || after > 50 {
-			t.Fatalf("status %d, close %v, back after %q ms", response.StatusCode, response.Close, response.Header.Get("Retry-After-Ms"))
+			t.Fatalf("status %d, close %v, retry after %q ms", response.StatusCode, response.Close, response.Header.Get("Retry-After-Ms"))
 		}
 	}
 }
 
-// TestShedRequestsAreTold: who counts what is refused unread learns host, path and headers.
-func TestShedRequestsAreTold(t *testing.T) {
+// TestOnShedGetsHostPathAndHeaders checks that OnShed gets the host, path and headers of a
+// request that is refused unread.
+func TestOnShedGetsHostPathAndHeaders(t *testing.T) {
 	told := make(chan string, 1)
 	f := start(t, Options{
 		Shed: func(bool) bool { return true },
@@ -64,6 +65,6 @@
 		t.Errorf("status %d, close %v", response.StatusCode, response.Close)
 	}
 	if got := <-told; got != "a /x/y k" {
-		t.Errorf("told %q", got)
+		t.Errorf("OnShed got %q", got)
 	}
 }
--- a/front/stream.go
+++ b/front/stream.go
@@ -5,12 +5,12 @@
 	"io"
 )
 
-// answerStream is the body that fasthttp reads. Every part that a Read returns
-// is sent at once. An error other than io.EOF breaks the connection without
+// answerStream is the response body that fasthttp reads. The bytes of each Read are
+// sent at once. On an error other than io.EOF, fasthttp closes the connection without
 // the chunk that ends a body, so that the caller sees a truncated answer.
 type answerStream struct {
 	request *request
-	from    io.ReadCloser
+	source  io.ReadCloser
 	ended   bool
 }
 
@@ -20,12 +20,13 @@
 		if cause := recover(); cause != nil {
 			n, err = 0, fmt.Errorf("front: answer stream panicked: %v", cause)
 		}
-		a.note(err)
+		a.recordEnd(err)
 	}()
-	return a.from.Read(p)
+	return a.source.Read(p)
 }
 
-func (a *answerStream) note(err error) {
+// recordEnd records how the stream ended; err is nil while it has not.
+func (a *answerStream) recordEnd(err error) {
 	if err == nil {
 		return
 	}
@@ -36,8 +37,8 @@
 	}
 }
 
-// Close implements io.Closer. Before the end it means that the caller could
-// not be written to.
+// Close implements io.Closer. fasthttp calls it before the end of the stream if it
+// could not write to the caller.
 func (a *answerStream) Close() error {
 	if !a.ended {
 		a.ended = true
@@ -46,5 +47,5 @@
 			a.request.err = writeErr
 		}
 	}
-	return a.from.Close()
+	return a.source.Close()
 }
--- a/front/watcher.go
+++ b/front/watcher.go
@@ -8,21 +8,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// watcher finds callers that went away while their requests are served. One
-// goroutine looks at all connections on a slow period.
+// watcher detects callers that disconnect while their requests are served. One
+// goroutine periodically checks all connections.
 type watcher struct {
-	every time.Duration
-	stop  chan struct{}
+	interval time.Duration
+	stop     chan struct{}
 
 	mu       sync.Mutex
 	requests map[*request]struct{}
 
-	polled []unix.PollFd // used by run only
+	pollFds []unix.PollFd // used by run only
 }
 
-func newWatcher(every time.Duration) *watcher {
+func newWatcher(interval time.Duration) *watcher {
 	return &watcher{
-		every:    every,
+		interval: interval,
 		stop:     make(chan struct{}),
 		requests: make(map[*request]struct{}),
 	}
@@ -40,9 +40,9 @@
 	w.mu.Unlock()
 }
 
-// run looks until close is called.
+// run checks all requests at each interval until close is called.
 func (w *watcher) run() {
-	ticker := time.NewTicker(w.every)
+	ticker := time.NewTicker(w.interval)
 	defer ticker.Stop()
 	var batch []*request
 	for {
@@ -50,35 +50,35 @@
 		case <-w.stop:
 			return
 		case <-ticker.C:
-			batch = w.look(batch[:0])
+			batch = w.checkAll(batch[:0])
 		}
 	}
 }
 
-// close ends run. It may be called once.
+// close ends run. It must be called at most once.
 func (w *watcher) close() { close(w.stop) }
 
-// look checks every request once, all with one system call. A descriptor may be
-// closed meanwhile, and be another connection's: its request has ended then, and to
-// tell it does nothing.
-func (w *watcher) look(batch []*request) []*request {
+// checkAll checks every request once, all with a single system call. A descriptor may be
+// closed meanwhile and reused by another connection: the request has then ended, and
+// notifying it has no effect.
+func (w *watcher) checkAll(batch []*request) []*request {
 	w.mu.Lock()
 	for r := range w.requests {
 		batch = append(batch, r)
 	}
 	w.mu.Unlock()
-	w.polled = w.polled[:0]
+	w.pollFds = w.pollFds[:0]
 	for _, r := range batch {
-		// A negative descriptor is passed over.
-		w.polled = append(w.polled, unix.PollFd{Fd: r.conn.fd, Events: unix.POLLRDHUP})
+		// poll ignores negative descriptors.
+		w.pollFds = append(w.pollFds, unix.PollFd{Fd: r.conn.fd, Events: unix.POLLRDHUP})
 	}
-	if _, err := unix.Poll(w.polled, 0); err != nil {
-		watchFailures.Inc() // interrupted; the next look is soon
+	if _, err := unix.Poll(w.pollFds, 0); err != nil {
+		watchFailures.Inc() // interrupted; the next check follows soon
 		clear(batch)
 		return batch
 	}
 	for i, r := range batch {
-		if w.polled[i].Revents != 0 {
+		if w.pollFds[i].Revents != 0 {
 			r.callerWentAway()
 		}
 	}
@@ -86,35 +86,35 @@
 	return batch
 }
 
-// probe looks at one connection after the other. Its function is made once, so
-// that a look costs no allocation.
-type probe struct {
+// closeProbe checks single connections. The control function is created once, so that
+// a check allocates nothing.
+type closeProbe struct {
 	fds     [1]unix.PollFd
-	gone    bool
+	closed  bool
 	control func(fd uintptr)
 }
 
-func newProbe() *probe {
-	p := new(probe)
+func newCloseProbe() *closeProbe {
+	p := new(closeProbe)
 	p.control = p.poll
 	return p
 }
 
-// peerClosed says whether the other end closed or reset the connection. Bytes
-// that wait to be read, such as the next pipelined request, are left alone and
-// do not hide the end behind them. A connection that a forced stop closed on
-// this side counts too.
-func (p *probe) peerClosed(raw syscall.RawConn) bool {
+// peerClosed reports whether the other end has closed or reset the connection. Bytes
+// waiting to be read, such as the next pipelined request, are not consumed and don't
+// hide a close that follows them. A connection that Server.Close closed on this side
+// counts too.
+func (p *closeProbe) peerClosed(raw syscall.RawConn) bool {
 	if raw == nil {
 		return false
 	}
-	p.gone = false
+	p.closed = false
 	err := raw.Control(p.control)
-	return p.gone || err != nil
+	return p.closed || err != nil
 }
 
-func (p *probe) poll(fd uintptr) {
+func (p *closeProbe) poll(fd uintptr) {
 	p.fds[0] = unix.PollFd{Fd: int32(fd), Events: unix.POLLRDHUP}
 	n, err := unix.Poll(p.fds[:], 0)
-	p.gone = err == nil && n > 0 && p.fds[0].Revents != 0
+	p.closed = err == nil && n > 0 && p.fds[0].Revents != 0
 }
