--- a/router/acquire.go
+++ b/router/acquire.go
@@ -27,32 +27,32 @@
 		result.TargetsEvacuated, result.NoHomeTarget, result.TargetsUnavailable)
 )
 
-// grants gives slots to the grant filter. It implements grant.Source.
-type grants struct {
+// grantSource obtains slots for the grant filter. It implements grant.Source.
+type grantSource struct {
 	loop *loop
 	// inForce returns the configuration in force.
 	inForce func() *config.Snapshot
-	// notices are what targets said of themselves.
-	notices *notices
+	// notices holds what targets announced about themselves.
+	notices *targetNotices
 }
 
 // Acquire waits for a slot. It implements grant.Source.
-func (g *grants) Acquire(ctx context.Context, ex *pipeline.Exchange) error {
+func (g *grantSource) Acquire(ctx context.Context, ex *pipeline.Exchange) error {
 	start := time.Now()
 	w := &waiter{attempt: uint32(ex.Attempt), answer: make(chan grantAnswer, 1)}
-	event := g.arrival(ex)
+	event := g.arrivalEvent(ex)
 	if !g.loop.postWith(event, w) {
 		return countRefusal(result.New(result.Draining, "The router has stopped."))
 	}
 	select {
 	case answer := <-w.answer:
 		grantWait.UpdateDuration(start)
-		return g.accept(ex, answer)
+		return g.applyAnswer(ex, answer)
 	case <-ex.CallerGone:
-		g.withdraw(event.Request)
+		g.cancelWait(event.Request)
 		return countRefusal(result.New(result.CallerGone, "The caller went away."))
 	case <-ctx.Done():
-		g.withdraw(event.Request)
+		g.cancelWait(event.Request)
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			return countRefusal(result.New(result.DeadlineBeforeGrant, "The deadline passed before a target was free."))
 		}
@@ -62,13 +62,14 @@
 	}
 }
 
-// withdraw cancels the wait. A grant that crossed the cancellation is ended by
-// the machine, which frees the slot on RequestCancelled.
-func (g *grants) withdraw(request control.RequestID) {
+// cancelWait cancels the wait for a grant. If a grant was made at the same time, the
+// machine ends it and frees the slot on RequestCancelled.
+func (g *grantSource) cancelWait(request control.RequestID) {
 	g.loop.post(control.RequestCancelled{Request: request})
 }
 
-func (g *grants) arrival(ex *pipeline.Exchange) control.RequestArrived {
+// arrivalEvent returns the event that asks the control goroutine for a slot.
+func (g *grantSource) arrivalEvent(ex *pipeline.Exchange) control.RequestArrived {
 	return control.RequestArrived{
 		Request:     control.RequestID(ex.Sequence),
 		Attempt:     uint32(ex.Attempt),
@@ -86,50 +87,50 @@
 	}
 }
 
-// objective is when the answer should have begun; zero if there is no objective.
-func (g *grants) objective(ex *pipeline.Exchange) control.Instant {
+// objective returns when the answer should have begun; zero if there is no objective.
+func (g *grantSource) objective(ex *pipeline.Exchange) control.Instant {
 	if ex.Route == nil || ex.Route.Objective() <= 0 {
 		return 0
 	}
 	begin := ex.Arrived
 	if ex.Attempt > 1 {
-		begin = time.Now() // late is better than not at all for what was begun
+		begin = time.Now() // a late answer to a started request is better than none
 	}
 	return g.loop.instant(begin.Add(ex.Route.Objective()))
 }
 
-// accept turns the machine's answer into the exchange's run or a refusal.
-func (g *grants) accept(ex *pipeline.Exchange, answer grantAnswer) error {
+// applyAnswer turns the machine's answer into the exchange's run or a refusal.
+func (g *grantSource) applyAnswer(ex *pipeline.Exchange, answer grantAnswer) error {
 	if answer.refuse != nil {
 		refusal := result.New(answer.refuse.Code, "%s", answer.refuse.Code.Info().Meaning)
 		if answer.refuse.Scheduler != "" {
-			refusal.Cause = &refusedBy{*answer.refuse}
+			refusal.Cause = &schedulerRefusal{*answer.refuse}
 		}
 		return countRefusal(refusal.After(answer.refuse.RetryAfter))
 	}
-	run := &run{loop: g.loop, granted: *answer.dispatch, started: time.Now()}
-	// Whatever becomes of the exchange, its slot is not held beyond its end.
+	run := &grantedRun{loop: g.loop, dispatch: *answer.dispatch, started: time.Now()}
+	// Whatever happens to the exchange, its slot is freed when it ends.
 	ex.OnEnd(func(error) { run.End(control.OutcomeCancelled) })
 	ex.Target = answer.dispatch.Target
 	ex.Run = run
-	// The target may have moved since the request came in, and another one may
-	// be at its old address.
-	declared, known := g.inForce().Declarations.Targets[ex.Target]
+	// The target may have moved since the request arrived, and another target may
+	// now use its old address.
+	target, known := g.inForce().Declarations.Targets[ex.Target]
 	if !known {
 		run.End(control.OutcomeNotRun)
 		return countRefusal(result.New(result.ConnectFailed, "The target is not declared any more."))
 	}
-	ex.Address = declared.Address
-	ex.TargetServes = func() bool { return g.serves(ex, answer.dispatch.Target, declared.Address) }
+	ex.Address = target.Address
+	ex.TargetServes = func() bool { return g.isTargetServing(ex, answer.dispatch.Target, target.Address) }
 	ex.FetchAddress = g.inForce().Declarations.Targets[answer.dispatch.FetchFrom].Address
 	ex.Placed = pipeline.Placement{Start: answer.dispatch.Start, Reads: answer.dispatch.Reads, FetchFrom: answer.dispatch.FetchFrom}
 	return nil
 }
 
-// serves reports whether a target is still declared at an address, takes work, by its
-// declaration and by its answers, and is in a region that the route and the workspace of the
-// request allow.
-func (g *grants) serves(ex *pipeline.Exchange, name, address string) bool {
+// isTargetServing reports whether a target is still declared at an address, takes work
+// according to its declaration and its answers, and is in a region that the request's route and
+// workspace allow.
+func (g *grantSource) isTargetServing(ex *pipeline.Exchange, name, address string) bool {
 	declarations := &g.inForce().Declarations
 	declared, known := declarations.Targets[name]
 	return known && declared.TakesWork() && declared.Address == address &&
@@ -145,45 +146,46 @@
 	return ex.Route.Name
 }
 
-// refusedBy says which scheduler refused a request and what it went by.
-type refusedBy struct{ refuse control.Refuse }
+// schedulerRefusal is the cause of a refusal by a scheduler: which scheduler refused the
+// request, and the figures that it decided on.
+type schedulerRefusal struct{ refuse control.Refuse }
 
 // Error implements error.
-func (r *refusedBy) Error() string {
+func (r *schedulerRefusal) Error() string {
 	return fmt.Sprintf("scheduler %s: beyond the workspace's share %v, %d waiting", r.refuse.Scheduler, r.refuse.Excess, r.refuse.Ahead)
 }
 
-// run is one granted slot. It implements pipeline.Run.
-type run struct {
-	loop    *loop
-	granted control.Dispatch
-	started time.Time
-	begun   sync.Once
-	once    sync.Once
+// grantedRun is one granted slot. It implements pipeline.Run.
+type grantedRun struct {
+	loop      *loop
+	dispatch  control.Dispatch
+	started   time.Time
+	beginOnce sync.Once
+	endOnce   sync.Once
 }
 
 // Begin implements pipeline.Run.
-func (r *run) Begin() {
-	r.begun.Do(func() {
-		r.loop.post(control.RunBegan{Grant: r.granted.Grant, After: time.Since(r.started)})
+func (r *grantedRun) Begin() {
+	r.beginOnce.Do(func() {
+		r.loop.post(control.RunBegan{Grant: r.dispatch.Grant, After: time.Since(r.started)})
 	})
 }
 
 // End implements pipeline.Run.
-func (r *run) End(outcome control.Outcome) {
-	r.once.Do(func() {
+func (r *grantedRun) End(outcome control.Outcome) {
+	r.endOnce.Do(func() {
 		service := time.Since(r.started)
 		serviceTime.Update(service.Seconds())
 		r.loop.post(control.RunEnded{
-			Request: r.granted.Request,
-			Grant:   r.granted.Grant,
+			Request: r.dispatch.Request,
+			Grant:   r.dispatch.Grant,
 			Outcome: outcome,
 			Service: service,
 		})
 	})
 }
 
-// countRefusal counts a refusal by its reason and returns it.
+// countRefusal counts a refusal by its result code and returns it.
 func countRefusal(refusal *result.Error) error {
 	switch refusal.Code {
 	case result.QueueFull, result.QueueBytesFull, result.Draining, result.NotReady:
--- a/router/acquire_test.go
+++ b/router/acquire_test.go
@@ -13,7 +13,7 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// snapshotOf declares one engine at an address; none if it is empty.
+// snapshotOf declares one engine at an address, or none if the address is empty.
 func snapshotOf(version config.Version, address string) *config.Snapshot {
 	declarations := config.Declarations{
 		Workspaces: map[string]config.Workspace{"bakery": {Share: 1, Pools: []string{"drafting"}}},
@@ -27,15 +27,15 @@
 	return &config.Snapshot{Version: version, Declarations: declarations}
 }
 
-// startGrants runs a control goroutine that has one engine.
-func startGrants(t *testing.T, inForce *config.Snapshot) *grants {
+// startGrants runs a control goroutine with one engine.
+func startGrants(t *testing.T, inForce *config.Snapshot) *grantSource {
 	t.Helper()
-	l := newLoop(control.New(control.Options{Node: "vm-1", Incarnation: 1, DataCentre: "ikeja"}), silentShell{}, slog.New(slog.DiscardHandler))
+	l := newLoop(control.New(control.Options{Node: "vm-1", Incarnation: 1, DataCentre: "ikeja"}), noopShell{}, slog.New(slog.DiscardHandler))
 	l.post(control.ConfigChanged{Snapshot: snapshotOf(1, "127.0.0.1:1")})
 	stop := make(chan struct{})
 	go l.run(stop)
 	t.Cleanup(func() { close(stop); <-l.done })
-	return &grants{loop: l, inForce: func() *config.Snapshot { return inForce }}
+	return &grantSource{loop: l, inForce: func() *config.Snapshot { return inForce }}
 }
 
 func newExchange(sequence uint64, gone <-chan struct{}) *pipeline.Exchange {
@@ -50,8 +50,8 @@
 	}
 }
 
-// waitRunning waits until the machine has so many runs and none waiting.
-func (g *grants) waitRunning(t *testing.T, want int) {
+// waitRunning waits until want requests are running and none is waiting.
+func (g *grantSource) waitRunning(t *testing.T, want int) {
 	t.Helper()
 	var status control.Status
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -63,11 +63,11 @@
 	t.Errorf("%d running, %d waiting; want %d running", status.Running, status.Waiting, want)
 }
 
-func TestGrantNamesTheAddressInForce(t *testing.T) {
+func TestGrantUsesTheAddressInForce(t *testing.T) {
 	for _, c := range []struct{ address, want string }{
 		{"127.0.0.1:1", "127.0.0.1:1"},
-		{"127.0.0.1:2", "127.0.0.1:2"}, // moved since the request came in
-		{"", ""},                       // taken out of the declarations
+		{"127.0.0.1:2", "127.0.0.1:2"}, // moved since the request arrived
+		{"", ""},                       // removed from the declarations
 	} {
 		g := startGrants(t, snapshotOf(2, c.address))
 		ex := newExchange(1, nil)
@@ -90,7 +90,8 @@
 	}
 }
 
-// TestSlotEndsWithTheExchange: also if a filter failed to end the run.
+// TestSlotEndsWithTheExchange checks that a slot is freed when its exchange ends, even if a
+// filter has not ended the run.
 func TestSlotEndsWithTheExchange(t *testing.T) {
 	g := startGrants(t, snapshotOf(1, "127.0.0.1:1"))
 	ex := newExchange(1, nil)
@@ -98,13 +99,13 @@
 		t.Fatal(err)
 	}
 	ex.End(errors.New("a filter panicked"))
-	ex.Run.End(control.OutcomeAnswered) // counts no more
+	ex.Run.End(control.OutcomeAnswered) // has no further effect
 	g.waitRunning(t, 0)
 }
 
-// TestCallersGoneLeaveNothing lets callers go away around the moment of their
-// grant. Nothing may be left waiting, and every grant must be freed.
-func TestCallersGoneLeaveNothing(t *testing.T) {
+// TestDisconnectedCallersLeaveNothing lets callers disconnect around the moment of
+// their grant. No request may be left waiting, and every grant must be freed.
+func TestDisconnectedCallersLeaveNothing(t *testing.T) {
 	const requests = 500
 	g := startGrants(t, snapshotOf(1, "127.0.0.1:1"))
 	ended := make(chan error, requests)
@@ -131,22 +132,23 @@
 		}
 	}
 	if refused == 0 {
-		t.Error("no caller went away before its grant")
+		t.Error("no caller disconnected before its grant")
 	}
 	g.waitRunning(t, 0)
-	// The one slot is free for another.
+	// The only slot is free for another request.
 	if err := g.Acquire(context.Background(), newExchange(requests+1, nil)); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestStoppedLoopRefuses: a request that asks after the end is not left waiting.
+// TestStoppedLoopRefuses checks that a request that asks for a slot after the loop has ended
+// is refused and not left waiting.
 func TestStoppedLoopRefuses(t *testing.T) {
-	l := newLoop(control.New(control.Options{Node: "vm-1", Incarnation: 1}), silentShell{}, slog.New(slog.DiscardHandler))
+	l := newLoop(control.New(control.Options{Node: "vm-1", Incarnation: 1}), noopShell{}, slog.New(slog.DiscardHandler))
 	stop := make(chan struct{})
 	close(stop)
 	l.run(stop)
-	err := (&grants{loop: l}).Acquire(context.Background(), newExchange(1, nil))
+	err := (&grantSource{loop: l}).Acquire(context.Background(), newExchange(1, nil))
 	var refusal *result.Error
 	if !errors.As(err, &refusal) || refusal.Code != result.Draining || refusal.Ran != result.RanNo {
 		t.Errorf("got %v", err)
--- a/router/backend.go
+++ b/router/backend.go
@@ -14,7 +14,7 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// backend answers operators. It implements operator.Backend.
+// backend serves the operator API. It implements operator.Backend.
 type backend struct{ router *Router }
 
 // Ready implements operator.Backend.
@@ -28,7 +28,7 @@
 		readiness.Reason = "The other routers are not known yet."
 	case r.Draining():
 		readiness.Reason = "The router is draining."
-	case r.managed != nil && r.overload.on.Load():
+	case r.managed != nil && r.overload.paused.Load():
 		readiness.Reason = "The router is too busy for new connections."
 	default:
 		readiness.Ready = true
@@ -39,19 +39,19 @@
 // Config implements operator.Backend.
 func (b backend) Config(ctx context.Context, version config.Version) (*config.Snapshot, error) {
 	known := b.router.InForce()
-	if b.router.patched == nil {
+	if b.router.ownPlatform == nil {
 		return b.managedConfig(known, version)
 	}
 	if version != 0 {
 		if known != nil && known.Version == version {
 			return known, nil
 		}
-		return b.router.store.SnapshotAt(ctx, version)
+		return b.router.configStore.SnapshotAt(ctx, version)
 	}
 	if known == nil {
-		return b.router.store.Load(ctx)
+		return b.router.configStore.Load(ctx)
 	}
-	newest, err := b.router.store.CatchUp(ctx, known)
+	newest, err := b.router.configStore.CatchUp(ctx, known)
 	if err != nil {
 		return known, nil
 	}
@@ -60,16 +60,16 @@
 
 // Apply implements operator.Backend.
 func (b backend) Apply(ctx context.Context, patch config.Patch) (config.Version, error) {
-	if b.router.patched == nil {
-		return 0, errNotPatched
+	if b.router.ownPlatform == nil {
+		return 0, errConfigNotPatchable
 	}
-	accepted, err := b.router.store.Submit(ctx, b.router.InForce(), patch)
-	return b.accepted(ctx, accepted, err)
+	accepted, err := b.router.configStore.Submit(ctx, b.router.InForce(), patch)
+	return b.publishAccepted(ctx, accepted, err)
 }
 
-// accepted hands an accepted version to the follower, so that it spreads from
-// here at once.
-func (b backend) accepted(ctx context.Context, accepted configstore.Accepted, err error) (config.Version, error) {
+// publishAccepted passes an accepted version to the follower, so that it spreads to
+// the other routers at once.
+func (b backend) publishAccepted(ctx context.Context, accepted configstore.Accepted, err error) (config.Version, error) {
 	if err != nil {
 		return 0, err
 	}
@@ -79,8 +79,8 @@
 
 // History implements operator.Backend.
 func (b backend) History(ctx context.Context, before config.Version, limit int) ([]config.Entry, error) {
-	if b.router.patched == nil {
-		return nil, errNotPatched
+	if b.router.ownPlatform == nil {
+		return nil, errConfigNotPatchable
 	}
 	if before == 0 {
 		newest, err := b.Config(ctx, 0)
@@ -96,7 +96,7 @@
 	if from >= before {
 		return nil, nil
 	}
-	entries, err := b.router.store.History(ctx, from, int(before-from))
+	entries, err := b.router.configStore.History(ctx, from, int(before-from))
 	slices.Reverse(entries)
 	return entries, err
 }
@@ -127,16 +127,17 @@
 // Drain implements operator.Backend.
 func (b backend) Drain(ctx context.Context, node string) error {
 	if node == "" || node == b.router.settings.Node.Name {
-		b.router.askOnce.Do(func() { close(b.router.drainAsked) })
+		b.router.drainRequestOnce.Do(func() { close(b.router.drainRequested) })
 		return nil
 	}
 	_, err := b.call(ctx, node, methodDrain, nil)
 	return err
 }
 
-// call calls another router and gives its absence a numbered code.
+// call calls another router. It returns an error with a result code if the router is
+// unknown or does not answer.
 func (b backend) call(ctx context.Context, node, method string, payload []byte) ([]byte, error) {
-	if !b.listed(node) {
+	if !b.isListed(node) {
 		return nil, result.New(result.UnknownRouter, "No router named %q is in the list of VMs.", node)
 	}
 	answer, err := b.router.mesh.Call(ctx, control.NodeID(node), method, payload)
@@ -146,7 +147,7 @@
 	return answer, nil
 }
 
-func (b backend) listed(node string) bool {
+func (b backend) isListed(node string) bool {
 	vms := b.router.vms.Load()
 	if vms == nil {
 		return false
--- a/router/commits.go
+++ b/router/commits.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// firstWritesPerSecond is this router's write budget until it has read the
+	// initialWritesPerSecond is this router's write budget until it has read the
 	// list of VMs.
-	firstWritesPerSecond = 5
-	// patchWritesPerSecond is what operators' patches may add to it.
+	initialWritesPerSecond = 5
+	// patchWritesPerSecond is the extra write budget for operators' patches.
 	patchWritesPerSecond = 2
-	// writeBurst is how many writes the platform's client may make at once.
+	// writeBurst is how many writes the platform client may make in a burst.
 	writeBurst = 10
 )
 
-// errNotStarted answers a commit of a router that is quicker than this one's start.
+// errNotStarted answers a commit that another router sends before this one has started.
 var errNotStarted = errors.New("router: not started yet")
 
-// methodCommit makes a commit for another router.
+// methodCommit is the peer call that makes a commit for another router.
 const methodCommit = forward.Method
 
-// buildCommits makes the table that run records are committed to.
-func (r *Router) buildCommits() {
-	r.batched = batch.New(r.platform, batch.Options{
-		PerSecond: firstWritesPerSecond,
+// buildCommitTable creates the table that run records are committed to.
+func (r *Router) buildCommitTable() {
+	r.batchTable = batch.New(r.platform, batch.Options{
+		PerSecond: initialWritesPerSecond,
 		Timeout:   time.Duration(r.settings.Platform.Timeout),
 	})
 	r.commits.Store(forward.New(forward.Options{
 		Self:   control.NodeID(r.settings.Node.Name),
-		Table:  r.batched,
+		Table:  r.batchTable,
 		Caller: r.mesh,
 	}))
 }
@@ -51,36 +51,37 @@
 
 // membersChanged implements shell.
 func (r *Router) membersChanged(alive []control.NodeID) {
-	r.noteMembers(alive)
-	if r.patched == nil {
+	r.recordLiveRouters(alive)
+	if r.ownPlatform == nil {
 		return
 	}
-	r.sharing.Lock()
-	defer r.sharing.Unlock()
-	r.alive = alive
-	r.shareWrites()
+	r.writeShareMu.Lock()
+	defer r.writeShareMu.Unlock()
+	r.aliveRouters = alive
+	r.updateWriteShare()
 }
 
-// listedChanged takes in how many VMs the platform lists.
-func (r *Router) listedChanged(vms []store.VM) {
-	r.sharing.Lock()
-	defer r.sharing.Unlock()
-	r.listed = len(vms)
-	r.shareWrites()
+// listedVMsChanged updates how many VMs the platform lists.
+func (r *Router) listedVMsChanged(vms []store.VM) {
+	r.writeShareMu.Lock()
+	defer r.writeShareMu.Unlock()
+	r.listedVMs = len(vms)
+	r.updateWriteShare()
 }
 
-// shareWrites takes this router's part of the fleet's write budget. r.sharing is held.
-func (r *Router) shareWrites() {
-	isWriter := r.commits.Load().SetMembers(r.alive)
-	if r.listed == 0 {
+// updateWriteShare sets this router's share of the fleet's write budget. The caller holds
+// r.writeShareMu.
+func (r *Router) updateWriteShare() {
+	isWriter := r.commits.Load().SetMembers(r.aliveRouters)
+	if r.listedVMs == 0 {
 		return
 	}
 	fleet := forward.Fleet{
 		WritesPerSecond: float64(r.settings.Platform.FleetWritesPerSecond),
-		Listed:          r.listed,
-		Alive:           len(r.alive),
+		Listed:          r.listedVMs,
+		Alive:           len(r.aliveRouters),
 	}
 	share := fleet.Share(isWriter)
-	r.batched.SetRate(share)
+	r.batchTable.SetRate(share)
 	r.platform.SetWriteRate(share + patchWritesPerSecond)
 }
--- a/router/fetches.go
+++ b/router/fetches.go
@@ -7,40 +7,41 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// fetchOverdue is how long a peer may take to give its directory before another one is
-// asked beside it. Peers answer in some milliseconds; one that stands still would keep a
-// router's news from it for peerFetchTimeout.
-const fetchOverdue = 200 * time.Millisecond
+// fetchOverdueAfter is how long a peer may take to send its directory before another peer
+// is asked as well. Peers answer within some milliseconds; a peer that is stopped would
+// otherwise delay the update of this router's directory by peerFetchTimeout.
+const fetchOverdueAfter = 200 * time.Millisecond
 
-// fetches keeps which peers are asked for their directory. The zero value is ready. It is
-// safe for concurrent use.
-type fetches struct {
-	mu    sync.Mutex
-	begun map[control.NodeID]time.Time
+// directoryFetches tracks which peers are being asked for their directory. The zero value is
+// ready to use. It is safe for concurrent use.
+type directoryFetches struct {
+	mu        sync.Mutex
+	startedAt map[control.NodeID]time.Time
 }
 
-// begin reports whether a peer may be asked now: one at a time, unless all that are asked
-// already are overdue.
-func (f *fetches) begin(node control.NodeID) bool {
+// tryBegin reports whether a peer may be asked now, and records the fetch if so: one peer at
+// a time, unless all fetches in progress are overdue.
+func (f *directoryFetches) tryBegin(node control.NodeID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, asked := f.begun[node]; asked {
+	if _, asked := f.startedAt[node]; asked {
 		return false
 	}
-	for _, begun := range f.begun {
-		if time.Since(begun) < fetchOverdue {
+	for _, started := range f.startedAt {
+		if time.Since(started) < fetchOverdueAfter {
 			return false
 		}
 	}
-	if f.begun == nil {
-		f.begun = make(map[control.NodeID]time.Time)
+	if f.startedAt == nil {
+		f.startedAt = make(map[control.NodeID]time.Time)
 	}
-	f.begun[node] = time.Now()
+	f.startedAt[node] = time.Now()
 	return true
 }
 
-func (f *fetches) end(node control.NodeID) {
+// end records that a fetch has ended.
+func (f *directoryFetches) end(node control.NodeID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.begun, node)
+	delete(f.startedAt, node)
 }
--- a/router/grantedtarget_test.go
+++ b/router/grantedtarget_test.go
@@ -11,19 +11,19 @@
 	"github.com/walnutcove/walnutcove/pipeline"
 )
 
-// TestGrantFollowsItsTarget: an exchange can tell until it is sent whether its target
-// still takes work, as the listing of targets in force then says, and what the target said.
-func TestGrantFollowsItsTarget(t *testing.T) {
+// TestTargetServesFollowsListingAndNotices checks that, until a request is sent, its exchange can
+// tell whether the target still takes work, by the targets then in force and the target's notices.
+func TestTargetServesFollowsListingAndNotices(t *testing.T) {
 	const address = "127.0.0.1:1"
 	var inForce *config.Snapshot
 	list := func(targets map[string]config.Target) {
 		inForce = &config.Snapshot{Declarations: config.Declarations{Targets: targets}}
 	}
 	loop := newLoop(nil, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	g := &grants{loop: loop, inForce: func() *config.Snapshot { return inForce }, notices: &notices{}}
+	g := &grantSource{loop: loop, inForce: func() *config.Snapshot { return inForce }, notices: &targetNotices{}}
 	ex := &pipeline.Exchange{}
 	list(map[string]config.Target{"a": {Address: address}})
-	if err := g.accept(ex, grantAnswer{dispatch: &control.Dispatch{Target: "a"}}); err != nil {
+	if err := g.applyAnswer(ex, grantAnswer{dispatch: &control.Dispatch{Target: "a"}}); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -44,10 +44,10 @@
 	list(map[string]config.Target{"a": {Address: address, Start: 2}})
 	g.notices.add(0, "a", 1, notice.Notice{Leaving: true})
 	if !ex.TargetServes() {
-		t.Error("does not serve, as the start before said that it leaves")
+		t.Error("does not serve, because the previous start announced that it leaves")
 	}
 	g.notices.add(0, "a", 2, notice.Notice{Leaving: true})
 	if ex.TargetServes() {
-		t.Error("serves, though its answer said that it leaves")
+		t.Error("serves, although its answer announced that it leaves")
 	}
 }
--- a/router/lagprobe.go
+++ b/router/lagprobe.go
@@ -7,66 +7,66 @@
 	"time"
 )
 
-// lagProbe measures how late this process takes in what arrives. A late timer alone
-// does not tell: the runtime runs timers before the goroutines that wait for the
-// processor, and a request waits in their queue at each of its reads. So a byte is
-// sent through a pipe, and the time until it is read counts.
+// lagProbe measures how long input waits until this process reads it. Timer lateness
+// alone does not show that: the runtime runs timers before the goroutines that wait for
+// the processor, and a request waits in their queue at each of its reads. So the probe
+// sends a byte through a pipe and measures the time until it is read.
 type lagProbe struct {
-	in, out *os.File
-	// sentAt is when the byte that is under way was sent, in nanoseconds since start;
-	// zero: none is.
+	writer, reader *os.File
+	// sentAt is when the byte in transit was sent, in nanoseconds since start; zero if
+	// there is none.
 	sentAt atomic.Int64
-	// took is how long the last one took, in nanoseconds.
-	took  atomic.Int64
-	start time.Time
+	// lastDelay is how long the last byte took, in nanoseconds.
+	lastDelay atomic.Int64
+	start     time.Time
 }
 
-// startLagProbe starts a probe. Without a descriptor left for it, it measures nothing.
+// startLagProbe starts a probe. If no descriptors are left for its pipe, it measures nothing.
 func startLagProbe(log *slog.Logger) *lagProbe {
 	p := &lagProbe{start: time.Now()}
 	var err error
-	if p.out, p.in, err = os.Pipe(); err != nil {
-		log.Error("router: No pipe to measure lag with, timers alone tell.", "error", err)
+	if p.reader, p.writer, err = os.Pipe(); err != nil {
+		log.Error("router: Could not create a pipe to measure lag, using timers only.", "error", err)
 		return p
 	}
 	go p.run()
 	return p
 }
 
-// run reads until close.
+// run reads the bytes until close is called.
 func (p *lagProbe) run() {
 	buffer := make([]byte, 1)
 	for {
-		if _, err := p.out.Read(buffer); err != nil {
+		if _, err := p.reader.Read(buffer); err != nil {
 			return // closed
 		}
-		p.took.Store(int64(time.Since(p.start)) - p.sentAt.Load())
+		p.lastDelay.Store(int64(time.Since(p.start)) - p.sentAt.Load())
 		p.sentAt.Store(0)
 	}
 }
 
-// late returns how late the last byte was, or the present one if that is later
-// already, and sends the next one if none is under way.
-func (p *lagProbe) late() time.Duration {
-	if p.in == nil {
+// currentDelay returns the delay of the byte in transit so far. If there is none, it returns the
+// delay of the last byte and sends the next one.
+func (p *lagProbe) currentDelay() time.Duration {
+	if p.writer == nil {
 		return 0
 	}
 	now := int64(time.Since(p.start))
 	if sent := p.sentAt.Load(); sent != 0 {
 		return time.Duration(now - sent)
 	}
-	took := p.took.Load()
+	took := p.lastDelay.Load()
 	p.sentAt.Store(now)
-	if _, err := p.in.Write([]byte{0}); err != nil {
-		p.sentAt.Store(0) // closed: the router ends
+	if _, err := p.writer.Write([]byte{0}); err != nil {
+		p.sentAt.Store(0) // closed: the router is stopping
 	}
 	return time.Duration(took)
 }
 
 func (p *lagProbe) close() {
-	if p.in == nil {
+	if p.writer == nil {
 		return
 	}
-	_ = p.in.Close()
-	_ = p.out.Close()
+	_ = p.writer.Close()
+	_ = p.reader.Close()
 }
--- a/router/lagprobe_test.go
+++ b/router/lagprobe_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestQueuedWorkIsLag: where many goroutines that wait for the processor take turns,
-// timers are on time and what arrives is read late. The probe tells.
-func TestQueuedWorkIsLag(t *testing.T) {
+// TestLagProbeMeasuresQueuedWork checks that the probe measures lag when many goroutines share
+// the processor: timers are then on time, but input is read late.
+func TestLagProbeMeasuresQueuedWork(t *testing.T) {
 	const (
 		workers = 300
 		turn    = time.Millisecond
@@ -20,11 +20,11 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	probe := startLagProbe(slog.New(slog.DiscardHandler))
 	defer probe.close()
-	time.Sleep(lagEvery)
-	probe.late()
-	time.Sleep(lagEvery)
-	if late := probe.late(); late > least {
-		t.Errorf("%s late with nothing to do", late)
+	time.Sleep(lagInterval)
+	probe.currentDelay()
+	time.Sleep(lagInterval)
+	if late := probe.currentDelay(); late > least {
+		t.Errorf("%s late on an idle process", late)
 	}
 	var stop atomic.Bool
 	defer stop.Store(true)
@@ -33,16 +33,16 @@
 	}
 	var most time.Duration
 	for range 20 {
-		time.Sleep(lagEvery)
-		most = max(most, probe.late())
+		time.Sleep(lagInterval)
+		most = max(most, probe.currentDelay())
 	}
-	t.Log("late at most:", most)
+	t.Log("maximum lag:", most)
 	if most < least {
 		t.Errorf("%s late at most behind %d goroutines with turns of %s", most, workers, turn)
 	}
 }
 
-// work uses the processor in turns, each for what arrived on a connection.
+// work uses the processor for one turn for each byte that arrives on a connection.
 func work(stop *atomic.Bool, turn time.Duration) {
 	near, far := net.Pipe()
 	defer near.Close()
--- a/router/loop.go
+++ b/router/loop.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// leastTick is the least time between two ticks. The machine says when it
-	// wants the next one; waking up for nothing costs more than the ticks do.
-	leastTick = 20 * time.Millisecond
-	// inboxSize bounds the events waiting for the control goroutine. Senders
-	// wait when it is full, which slows traffic rather than losing an event.
+	// minTickInterval is the minimum time between two ticks. The machine tells when it
+	// needs the next one; needless wake-ups cost more than the ticks themselves.
+	minTickInterval = 20 * time.Millisecond
+	// inboxSize limits the events waiting for the control goroutine. Senders
+	// block when it is full, which slows traffic rather than losing an event.
 	inboxSize = 4096
 )
 
@@ -23,38 +23,38 @@
 var controlBusy = metrics.GetOrCreateFloatCounter(`walnut_control_busy_seconds_total`)
 
 // loop is the control goroutine: it owns the control state machine, feeds it
-// events and carries out its commands. Nothing else touches the machine.
+// events and executes its commands. No other goroutine accesses the machine.
 type loop struct {
 	machine *control.Machine
 	started time.Time
-	inbox   chan posted
+	inbox   chan postedEvent
 	queries chan func(*control.Machine)
 	done    chan struct{}
 	shell   shell
 	log     *slog.Logger
 	waiters map[control.RequestID]*waiter
-	// wake fires at wakeAt for the next tick; the last one was at tickedAt.
+	// wake fires at wakeAt for the next tick; the last tick was at tickedAt.
 	wake             *time.Timer
 	wakeAt, tickedAt control.Instant
-	// counters is a copy of the machine's, renewed at each tick.
+	// counters is a copy of the machine's counters, updated at each tick.
 	counters atomic.Pointer[control.Counters]
-	// members is the version of the live members that the shell was told last.
-	members uint64
+	// membersVersion is the version of the live members last passed to the shell.
+	membersVersion uint64
 }
 
-// shell carries commands out. Its methods must not block.
+// shell performs the side effects of the machine's commands. Its methods must not block.
 type shell interface {
 	send(to control.NodeID, message control.Message)
 	watchTargets(targets []string)
 	quarantineChanged(fingerprint uint64, quarantined bool)
 	versionSeen(from control.NodeID, version uint64)
-	feedTurn(turn control.FeedTurn)
-	feedsDoubted()
+	setFeedTurn(turn control.FeedTurn)
+	recheckFeeds()
 	membersChanged(alive []control.NodeID)
 	drained()
 }
 
-// waiter is a traffic goroutine that waits for a grant.
+// waiter is a request's goroutine that waits for a grant.
 type waiter struct {
 	attempt uint32
 	answer  chan grantAnswer
@@ -66,10 +66,10 @@
 	refuse   *control.Refuse
 }
 
-// posted is an event on its way to the control goroutine. An arrival brings its
-// waiter along, so that the answer cannot come before the waiter is known. All
-// events share one channel: a cancellation must not overtake its arrival.
-type posted struct {
+// postedEvent is an event sent to the control goroutine. An arrival carries its
+// waiter, so that the answer cannot come before the waiter is known. All events
+// share one channel, as a cancellation must not overtake its arrival.
+type postedEvent struct {
 	event  control.Event
 	waiter *waiter
 }
@@ -78,7 +78,7 @@
 	return &loop{
 		machine: machine,
 		started: time.Now(),
-		inbox:   make(chan posted, inboxSize),
+		inbox:   make(chan postedEvent, inboxSize),
 		queries: make(chan func(*control.Machine)),
 		done:    make(chan struct{}),
 		shell:   shell,
@@ -87,24 +87,24 @@
 	}
 }
 
-// now is the machine's time.
+// now returns the machine's time.
 func (l *loop) now() control.Instant { return time.Since(l.started) }
 
-// instant converts a deadline to the machine's time.
+// instant converts a wall-clock time to the machine's time.
 func (l *loop) instant(t time.Time) control.Instant { return t.Sub(l.started) }
 
 // run is the control goroutine. It returns when stop closes.
 func (l *loop) run(stop <-chan struct{}) {
 	defer close(l.done)
-	l.wake = time.NewTimer(leastTick)
+	l.wake = time.NewTimer(minTickInterval)
 	defer l.wake.Stop()
 	for {
 		select {
 		case <-stop:
 			return
 		case p := <-l.inbox:
-			l.take(p)
-			l.wakeEarlier()
+			l.handle(p)
+			l.advanceWake()
 		case query := <-l.queries:
 			query(l.machine)
 		case <-l.wake.C:
@@ -113,20 +113,20 @@
 	}
 }
 
-// tick lets time pass and sets the next tick.
+// tick passes a Tick to the machine and schedules the next one.
 func (l *loop) tick() {
 	l.step(control.Tick{})
 	counters := l.machine.Counters()
 	l.counters.Store(&counters)
-	l.tellMembers()
+	l.notifyMembers()
 	l.tickedAt = l.now()
-	l.wakeAt = max(l.machine.NextWake(), l.tickedAt+leastTick)
+	l.wakeAt = max(l.machine.NextWake(), l.tickedAt+minTickInterval)
 	l.wake.Reset(l.wakeAt - l.tickedAt)
 }
 
-// wakeEarlier moves the next tick forward if an event made that necessary.
-func (l *loop) wakeEarlier() {
-	at := max(l.machine.NextWake(), l.tickedAt+leastTick)
+// advanceWake schedules the next tick earlier if an event made that necessary.
+func (l *loop) advanceWake() {
+	at := max(l.machine.NextWake(), l.tickedAt+minTickInterval)
 	if at >= l.wakeAt {
 		return
 	}
@@ -134,13 +134,13 @@
 	l.wake.Reset(l.wakeAt - l.now())
 }
 
-// tellMembers tells the shell which members live, if that has changed.
-func (l *loop) tellMembers() {
+// notifyMembers tells the shell which members are alive, if that has changed.
+func (l *loop) notifyMembers() {
 	version := l.machine.AliveVersion()
-	if version == l.members {
+	if version == l.membersVersion {
 		return
 	}
-	l.members = version
+	l.membersVersion = version
 	l.shell.membersChanged(l.machine.AliveNodes())
 }
 
@@ -150,25 +150,26 @@
 	return l.postWith(event, nil)
 }
 
-// postWith is post for an arrival and its waiter.
+// postWith is post with a waiter; an arrival has one.
 func (l *loop) postWith(event control.Event, w *waiter) bool {
 	select {
-	case l.inbox <- posted{event: event, waiter: w}:
+	case l.inbox <- postedEvent{event: event, waiter: w}:
 		return true
 	case <-l.done:
 		return false
 	}
 }
 
-// take feeds a posted event to the machine.
-func (l *loop) take(p posted) {
+// handle registers the waiter of an arrival and feeds a posted event to the machine.
+func (l *loop) handle(p postedEvent) {
 	if arrival, ok := p.event.(control.RequestArrived); ok {
 		l.waiters[arrival.Request] = p.waiter
 	}
 	l.step(p.event)
 }
 
-// query runs f on the control goroutine and waits for it.
+// query runs f on the control goroutine and waits for it. It reports false if the
+// goroutine has ended.
 func (l *loop) query(f func(*control.Machine)) bool {
 	finished := make(chan struct{})
 	wrapped := func(m *control.Machine) {
@@ -191,18 +192,18 @@
 		delete(l.waiters, cancelled.Request)
 	}
 	for _, command := range l.machine.Step(l.now(), event) {
-		l.carryOut(command)
+		l.execute(command)
 	}
 }
 
-func (l *loop) carryOut(command control.Command) {
+func (l *loop) execute(command control.Command) {
 	switch c := command.(type) {
 	case control.Send:
 		l.shell.send(c.To, c.Message)
 	case control.Dispatch:
-		l.dispatch(c)
+		l.deliverGrant(c)
 	case control.Refuse:
-		l.refuse(c)
+		l.deliverRefusal(c)
 	case control.WatchTargets:
 		l.shell.watchTargets(c.Targets)
 	case control.QuarantineChanged:
@@ -210,67 +211,68 @@
 	case control.VersionSeen:
 		l.shell.versionSeen(c.From, c.Version)
 	case control.FeedTurn:
-		l.shell.feedTurn(c)
+		l.shell.setFeedTurn(c)
 	case control.FeedsDoubted:
-		l.shell.feedsDoubted()
+		l.shell.recheckFeeds()
 	case control.Drained:
 		l.shell.drained()
 	case control.TargetJudged:
-		l.logJudgement(c)
+		l.logTargetVerdict(c)
 	case control.TargetLeaves:
-		l.log.Info("control: Target says that it leaves.", "target", c.Target, "told", c.From)
+		l.log.Info("control: Target announced that it is leaving.", "target", c.Target, "told", c.From)
 	case control.TargetCold:
-		l.log.Info("control: Target is cold, few requests at a time.", "target", c.Target, "for", c.For)
+		l.log.Info("control: Target is cold and gets few requests at a time.", "target", c.Target, "for", c.For)
 	case control.ShareGap:
-		l.logGap(c)
+		l.logShareGap(c)
 	case control.SchedulerAvoided:
-		l.log.Warn("control: Scheduler does not answer, granting here.", "scheduler", c.Node, "pool", c.Pool, "silent", c.Silent)
+		l.log.Warn("control: Scheduler does not answer, granting locally.", "scheduler", c.Node, "pool", c.Pool, "silent", c.Silent)
 	}
 }
 
-// logGap tells that a workspace was granted much less than another one. Amounts are a second,
-// in seconds of service.
-func (l *loop) logGap(c control.ShareGap) {
+// logShareGap logs that a workspace was granted much less than another one. Amounts are
+// seconds of service per second.
+func (l *loop) logShareGap(c control.ShareGap) {
 	l.log.Warn("control: Workspace was granted less than half of another.",
 		"pool", c.Shard.Pool, "workspace", c.Gap.Workspace,
 		"asked", c.Gap.Asked, "refused_unread", c.Gap.Unread, "granted", c.Gap.Granted, "refused_here", c.Gap.RefusedHere,
 		"best", c.Gap.Best, "best_granted", c.Gap.BestGranted)
 }
 
-// logJudgement tells what this router thinks of a target from now on.
-func (l *loop) logJudgement(c control.TargetJudged) {
+// logTargetVerdict logs whether this router considers a target failing from now on.
+func (l *loop) logTargetVerdict(c control.TargetJudged) {
 	if c.Failing {
-		l.log.Warn("control: Target is passed over.", "target", c.Target, "cause", c.Cause, "failures", c.Failures, "pause", c.Pause)
+		l.log.Warn("control: Target is failing and gets no requests for now.", "target", c.Target, "cause", c.Cause, "failures", c.Failures, "pause", c.Pause)
 		return
 	}
-	l.log.Info("control: Target serves again.", "target", c.Target, "cause", c.Cause, "failures", c.Failures)
+	l.log.Info("control: Target gets requests again.", "target", c.Target, "cause", c.Cause, "failures", c.Failures)
 }
 
-// dispatch hands a grant to its waiter. A grant whose waiter has gone is
+// deliverGrant passes a grant to its waiter. If the waiter is gone, the grant is
 // returned to the machine as not run.
-func (l *loop) dispatch(c control.Dispatch) {
-	w := l.waiterOf(c.Request, c.Attempt)
+func (l *loop) deliverGrant(c control.Dispatch) {
+	w := l.takeWaiter(c.Request, c.Attempt)
 	if w == nil {
 		returned := control.RunEnded{Request: c.Request, Grant: c.Grant, Outcome: control.OutcomeNotRun}
 		for _, command := range l.machine.Step(l.now(), returned) {
-			l.carryOut(command)
+			l.execute(command)
 		}
 		return
 	}
 	w.answer <- grantAnswer{dispatch: &c}
 }
 
-func (l *loop) refuse(c control.Refuse) {
-	w := l.waiterOf(c.Request, c.Attempt)
+// deliverRefusal passes a refusal to its waiter, if it still waits.
+func (l *loop) deliverRefusal(c control.Refuse) {
+	w := l.takeWaiter(c.Request, c.Attempt)
 	if w == nil {
 		return
 	}
 	w.answer <- grantAnswer{refuse: &c}
 }
 
-// waiterOf removes and returns the waiter of one attempt, or nil. Its answer
-// channel has room for one answer, so sending to it never blocks.
-func (l *loop) waiterOf(request control.RequestID, attempt uint32) *waiter {
+// takeWaiter removes and returns the waiter of one attempt, or nil if there is none.
+// Its answer channel has room for one answer, so sending to it never blocks.
+func (l *loop) takeWaiter(request control.RequestID, attempt uint32) *waiter {
 	w := l.waiters[request]
 	if w == nil || w.attempt != attempt {
 		return nil
--- a/router/loop_test.go
+++ b/router/loop_test.go
@@ -9,18 +9,18 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// silentShell carries nothing out.
-type silentShell struct{ shell }
+// noopShell ignores all commands.
+type noopShell struct{ shell }
 
-func (silentShell) send(control.NodeID, control.Message) {}
-func (silentShell) watchTargets([]string)                {}
-func (silentShell) membersChanged([]control.NodeID)      {}
+func (noopShell) send(control.NodeID, control.Message) {}
+func (noopShell) watchTargets([]string)                {}
+func (noopShell) membersChanged([]control.NodeID)      {}
 
 // TestCancellationDoesNotOvertakeItsArrival posts arrivals and cancellations
-// before the control goroutine runs: nothing may be left waiting or granted.
+// before the control goroutine runs: no request may be left waiting or granted.
 func TestCancellationDoesNotOvertakeItsArrival(t *testing.T) {
 	const requests = 200
-	l := newLoop(control.New(control.Options{Node: "vm-1", Incarnation: 1, DataCentre: "ikeja"}), silentShell{}, slog.New(slog.DiscardHandler))
+	l := newLoop(control.New(control.Options{Node: "vm-1", Incarnation: 1, DataCentre: "ikeja"}), noopShell{}, slog.New(slog.DiscardHandler))
 	l.post(control.ConfigChanged{Snapshot: &config.Snapshot{Version: 1, Declarations: config.Declarations{
 		Workspaces: map[string]config.Workspace{"bakery": {Share: 1, Pools: []string{"drafting"}, MaxQueued: requests}},
 		Pools:      map[string]config.Pool{"drafting": {Kind: config.KindEngine}},
--- a/router/managed.go
+++ b/router/managed.go
@@ -17,118 +17,118 @@
 )
 
 const (
-	// heartbeatsToLapse is the least number of a target's heartbeats that the platform has
-	// to be away for before entries lapse. They do after three without one, and the last
-	// came up to one before.
-	heartbeatsToLapse = 2
-	// heartbeatsToVanish is the number of a target's heartbeats after which an entry that is
-	// still listed was renewed: it is removed after three without one.
-	heartbeatsToVanish = 4
-	// peerFetchTimeout bounds the fetch of a peer's directory.
+	// minLapseHeartbeats is the minimum length of a platform outage, in target heartbeats,
+	// after which entries can lapse. An entry lapses after three missed heartbeats, and its
+	// last one came up to one heartbeat before the outage.
+	minLapseHeartbeats = 2
+	// maxLapseHeartbeats is the time, in target heartbeats, after which an entry that is
+	// still listed must have been renewed: entries are removed after three missed ones.
+	maxLapseHeartbeats = 4
+	// peerFetchTimeout limits the fetch of a peer's directory.
 	peerFetchTimeout = time.Second
 )
 
 var (
-	peerFetches    = metrics.GetOrCreateCounter(`walnut_router_directory_fetches_total{result="ok"}`)
-	peerFetchFails = metrics.GetOrCreateCounter(`walnut_router_directory_fetches_total{result="failed"}`)
+	peerFetches       = metrics.GetOrCreateCounter(`walnut_router_directory_fetches_total{result="ok"}`)
+	peerFetchFailures = metrics.GetOrCreateCounter(`walnut_router_directory_fetches_total{result="failed"}`)
 )
 
-// errNotPatched answers operators of a fleet whose configuration is written to
-// the platform.
-var errNotPatched = result.New(result.InvalidPatch, "This fleet's configuration is written to the platform, not patched through routers.")
+// errConfigNotPatchable answers patch requests in a fleet whose configuration is
+// written to the platform.
+var errConfigNotPatchable = result.New(result.InvalidPatch, "This fleet's configuration is written to the platform, not patched through routers.")
 
-// managed holds what serves a fleet on a managed platform.
+// managed holds the parts of a router that only a fleet on a managed platform needs.
 type managed struct {
-	rows      *platform.Store
-	routers   *platform.Routers
-	directory *directory.Follower
-	// othersKnown is closed with the first list of the routers, and joined once this
-	// router may say that it is ready; see awaitJoined.
-	othersKnown chan struct{}
-	othersOnce  sync.Once
-	joined      chan struct{}
-	// strangers gets a token when a router that is not listed turned up.
-	strangers chan struct{}
-	// restored gets a token when the store came back from an older copy, which may lack this
-	// router's row.
+	platformStore *platform.Store
+	routers       *platform.Routers
+	directory     *directory.Follower
+	// routersKnown is closed when the routers have been listed first, and joined once this
+	// router may report that it is ready; see awaitJoined.
+	routersKnown     chan struct{}
+	routersKnownOnce sync.Once
+	joined           chan struct{}
+	// unlistedRouter gets a token when a router that is not listed has connected.
+	unlistedRouter chan struct{}
+	// restored gets a token when the store was restored from an older copy, which may lack
+	// this router's row.
 	restored chan struct{}
-	// caches follows what the targets that are scheduled here keep of prompts.
-	caches *cachewatch.Watcher
-	// overload says when this router asks for no new connections.
+	// cacheWatcher follows the prompt caches of the targets scheduled here.
+	cacheWatcher *cachewatch.Watcher
+	// overload decides when this router asks for no new connections and sheds load.
 	overload *overload
-	// unread counts what is refused unread, for the schedulers.
-	unread unread
-	// fetches are the peers that are asked for their directory.
-	fetches fetches
+	// unread counts the requests refused unread, for the schedulers.
+	unread unreadCounts
+	// fetches tracks which peers are being asked for their directory.
+	fetches directoryFetches
 }
 
 func (r *Router) newManaged() *managed {
 	s := platform.NewStore(r.settings.Platform.Address, r.log)
 	return &managed{
-		rows:    s,
-		routers: platform.NewRouters(s, r.log),
+		platformStore: s,
+		routers:       platform.NewRouters(s, r.log),
 		directory: directory.New(directory.Options{
 			Directives:    platform.NewDirectives(s, r.log),
 			Targets:       platform.NewReplicas(s, r.settings.Node.Regions, r.log),
 			OnChange:      r.configChanged,
 			ReturnGrace:   time.Duration(r.settings.Platform.ReturnGrace),
-			ShortestLapse: heartbeatsToLapse * time.Duration(r.settings.Platform.TargetHeartbeat),
-			LongestLapse:  heartbeatsToVanish * time.Duration(r.settings.Platform.TargetHeartbeat),
-			OnRestored:    r.storeRestored,
+			ShortestLapse: minLapseHeartbeats * time.Duration(r.settings.Platform.TargetHeartbeat),
+			LongestLapse:  maxLapseHeartbeats * time.Duration(r.settings.Platform.TargetHeartbeat),
+			OnRestored:    r.onStoreRestored,
 			ProbeEra:      s.Era,
-			Routers:       func() int { return int(r.members.Load()) },
+			Routers:       func() int { return int(r.liveRouterCount.Load()) },
 			Shared:        true,
 			OnFollowing:   func(live bool) { r.loop.post(control.FeedsFollowed{Live: live}) },
 			Log:           r.log,
 		}),
-		othersKnown: make(chan struct{}),
-		joined:      make(chan struct{}),
-		strangers:   make(chan struct{}, 1),
-		restored:    make(chan struct{}, 1),
+		routersKnown:   make(chan struct{}),
+		joined:         make(chan struct{}),
+		unlistedRouter: make(chan struct{}, 1),
+		restored:       make(chan struct{}, 1),
 		overload: &overload{
-			log:     r.log,
-			crowded: func() bool { return r.front.IsCrowded() },
-			callers: func() int { return r.front.ConnCount() },
+			log:             r.log,
+			hasTooManyConns: func() bool { return r.front.IsCrowded() },
+			callerCount:     func() int { return r.front.ConnCount() },
 		},
 	}
 }
 
-// feedTurn implements shell.
-func (r *Router) feedTurn(turn control.FeedTurn) {
+// setFeedTurn implements shell.
+func (r *Router) setFeedTurn(turn control.FeedTurn) {
 	if r.managed == nil {
 		return
 	}
-	r.log.Info("directory: Turn to follow the platform's feeds changed.", "wanted", turn.Wanted, "proves", turn.Proves, "ahead", turn.Ahead)
+	r.log.Info("directory: Role in following the platform's feeds changed.", "wanted", turn.Wanted, "proves", turn.Proves, "ahead", turn.Ahead)
 	r.directory.SetTurn(directory.Turn{Wanted: turn.Wanted, Proves: turn.Proves, Ahead: turn.Ahead})
 }
 
-// feedsDoubted implements shell.
-func (r *Router) feedsDoubted() {
+// recheckFeeds implements shell.
+func (r *Router) recheckFeeds() {
 	if r.managed != nil {
 		r.directory.Reprobe()
 	}
 }
 
-// fetchFrom gets the directory of a peer that has a newer one. It does not block.
-func (r *Router) fetchFrom(node control.NodeID) {
-	if !r.fetches.begin(node) {
-		return // the next heartbeat tells again
+// fetchDirectoryFrom fetches the directory of a peer that has a newer one. It does not block.
+func (r *Router) fetchDirectoryFrom(node control.NodeID) {
+	if !r.fetches.tryBegin(node) {
+		return // the next heartbeat triggers it again
 	}
 	go func() {
 		defer r.fetches.end(node)
 		ctx, cancel := context.WithTimeout(context.Background(), peerFetchTimeout)
 		defer cancel()
-		err := r.fetch(ctx, node)
+		err := r.fetchDirectory(ctx, node)
 		if err != nil {
-			peerFetchFails.Inc()
-			r.log.Warn("directory: Peer's directory could not be had.", "node", node, "error", err)
+			peerFetchFailures.Inc()
+			r.log.Warn("directory: Could not fetch a peer's directory.", "node", node, "error", err)
 			return
 		}
 		peerFetches.Inc()
 	}()
 }
 
-func (r *Router) fetch(ctx context.Context, node control.NodeID) error {
+func (r *Router) fetchDirectory(ctx context.Context, node control.NodeID) error {
 	known, err := json.Marshal(r.directory.Known())
 	if err != nil {
 		return err
@@ -140,7 +140,8 @@
 	return r.directory.Import(string(node), encoded)
 }
 
-// watchCaches follows the targets scheduled here that count in tokens.
+// watchCaches makes the cache watcher follow the targets scheduled here whose pools
+// account in tokens.
 func (r *Router) watchCaches() {
 	r.watched.mu.Lock()
 	defer r.watched.mu.Unlock()
@@ -155,13 +156,13 @@
 			addresses[name] = declared.Address
 		}
 	}
-	r.caches.SetTargets(addresses)
+	r.cacheWatcher.SetTargets(addresses)
 }
 
-// targetKept hands what a target keeps to the control goroutine.
-func (r *Router) targetKept(kept control.TargetKept) { r.loop.post(kept) }
+// targetCacheChanged passes what a target has cached to the control goroutine.
+func (r *Router) targetCacheChanged(kept control.TargetKept) { r.loop.post(kept) }
 
-// managedConfig is the configuration in force, for operators.
+// managedConfig returns the configuration in force, for operators.
 func (b backend) managedConfig(known *config.Snapshot, version config.Version) (*config.Snapshot, error) {
 	if known == nil {
 		return nil, result.New(result.PlatformUnavailable, "No configuration version is in force yet.")
--- a/router/members.go
+++ b/router/members.go
@@ -14,89 +14,91 @@
 )
 
 const (
-	// memberRetry is the mean pause between tries at announcing this router and
-	// reading the others; it doubles up to maxMemberRetry, so that each is done within a
-	// timeout and 0.75 s of the platform's return. 340 routers that start meanwhile make
-	// 340 calls a second, of 2,000 that the platform allows.
-	memberRetry    = 100 * time.Millisecond
-	maxMemberRetry = 500 * time.Millisecond
-	// listTimeout bounds a reading of the others; the store answers in milliseconds.
+	// memberRetryDelay is the mean delay between attempts to announce this router and
+	// to list the others. It doubles up to maxMemberRetryDelay, so that each call succeeds
+	// within its timeout plus 0.75 s of the platform's return. 340 routers that start during
+	// an outage make 340 calls per second, of 2,000 that the platform allows.
+	memberRetryDelay    = 100 * time.Millisecond
+	maxMemberRetryDelay = 500 * time.Millisecond
+	// listTimeout limits a call that lists the routers; the store answers in milliseconds.
 	listTimeout = 500 * time.Millisecond
-	// announceTimeout bounds an announcement. The store runs the transactions of a part one
-	// after another and queues them for up to a second. A shorter timeout would repeat
+	// announceTimeout limits an announcement. The store runs the transactions of a partition
+	// one after another and queues them for up to a second. A shorter timeout would repeat
 	// announcements that are still queued, and so keep the queue full when many routers
-	// start together.
+	// start at the same time.
 	announceTimeout = 1500 * time.Millisecond
-	// joinWait is how long a router that could serve waits for its first list of the
-	// others before it says that it is ready. The list takes one call of some
-	// milliseconds; a platform that lists nobody for this long may do so for minutes.
-	joinWait = 2 * time.Second
-	// strangerPause gathers routers that turn up together, so that the list is
-	// read once for all of them, and strangerPauseEach adds to it for each router that is
-	// known or listed: a large fleet that starts together takes longer to be announced.
-	strangerPause     = 200 * time.Millisecond
-	strangerPauseEach = 3 * time.Millisecond
-	// announceEach is, for each router, the time over which routers announce themselves again:
-	// a part of the store takes 200 transactions a second.
-	announceEach = 10 * time.Millisecond
-	// withdrawTimeout bounds the removal of this router's row at its end.
+	// maxJoinWait is how long a router that could serve waits for its first list of the
+	// others before it reports that it is ready. The list takes one call of some
+	// milliseconds; a platform that cannot list them for this long may fail for minutes.
+	maxJoinWait = 2 * time.Second
+	// minRelistDelay is the delay before the list is read again for a router that is not
+	// listed, so that it is read once for all routers that start together.
+	// relistDelayPerRouter is added for each router that is known or listed, as a larger
+	// fleet takes longer to announce itself.
+	minRelistDelay       = 200 * time.Millisecond
+	relistDelayPerRouter = 3 * time.Millisecond
+	// reannounceSpreadPerRouter is the time, per router, over which routers spread their new
+	// announcements: a partition of the store takes 200 transactions per second.
+	reannounceSpreadPerRouter = 10 * time.Millisecond
+	// withdrawTimeout limits the removal of this router's row at shutdown.
 	withdrawTimeout = 300 * time.Millisecond
 )
 
 var memberFailures = metrics.GetOrCreateCounter(`walnut_router_member_call_failures_total`)
 
-// followMembers announces this router, reads the others, and reads them again
-// when one turns up that is not listed, until ctx ends.
+// followMembers announces this router, lists the others, and lists them again
+// when a router connects that is not listed, until ctx ends.
 func (r *Router) followMembers(ctx context.Context) {
-	r.untilDone(ctx, "announce this router", announceTimeout, r.announce)
+	r.retryUntilDone(ctx, "announce this router", announceTimeout, r.announce)
 	for ctx.Err() == nil {
-		r.untilDone(ctx, "read the routers", listTimeout, r.readMembers)
-		r.awaitStrangers(ctx)
+		r.retryUntilDone(ctx, "read the routers", listTimeout, r.readMembers)
+		r.awaitRelist(ctx)
 	}
 }
 
-// awaitStrangers waits until the list has to be read again, and keeps this router on it.
-func (r *Router) awaitStrangers(ctx context.Context) {
+// awaitRelist waits until the list has to be read again. Meanwhile it announces this router
+// again if the store is restored.
+func (r *Router) awaitRelist(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
-		case <-r.strangers:
-			wait.For(ctx, r.strangersGather())
+		case <-r.unlistedRouter:
+			wait.For(ctx, r.relistDelay())
 			return
 		case <-r.restored:
-			r.announceAgain(ctx)
+			r.reannounce(ctx)
 		case <-ctx.Done():
 		}
 	}
 }
 
-// storeRestored takes in that the store came back from an older copy.
-func (r *Router) storeRestored() {
+// onStoreRestored is called when the store was restored from an older copy.
+func (r *Router) onStoreRestored() {
 	select {
 	case r.restored <- struct{}{}:
 	default:
 	}
 }
 
-// announceAgain writes this router's row again. Routers hear of the store's return within
+// reannounce writes this router's row again. All routers learn of a restored store within
 // milliseconds of each other, so each waits for a random part of the time that all need.
-func (r *Router) announceAgain(ctx context.Context) {
-	wait.For(ctx, rand.N(time.Duration(r.members.Load()+1)*announceEach))
-	r.untilDone(ctx, "announce this router", announceTimeout, r.announce)
+func (r *Router) reannounce(ctx context.Context) {
+	wait.For(ctx, rand.N(time.Duration(r.liveRouterCount.Load()+1)*reannounceSpreadPerRouter))
+	r.retryUntilDone(ctx, "announce this router", announceTimeout, r.announce)
 }
 
-// strangersGather is how long routers that turn up are gathered before the list is read.
-func (r *Router) strangersGather() time.Duration {
-	known := int(r.members.Load())
+// relistDelay returns how long to wait for further unlisted routers before reading the list.
+func (r *Router) relistDelay() time.Duration {
+	known := int(r.liveRouterCount.Load())
 	if listed := r.vms.Load(); listed != nil {
 		known = max(known, len(*listed))
 	}
-	return strangerPause + time.Duration(known)*strangerPauseEach
+	return minRelistDelay + time.Duration(known)*relistDelayPerRouter
 }
 
-// untilDone repeats a call until it succeeds or ctx ends.
-func (r *Router) untilDone(ctx context.Context, what string, timeout time.Duration, call func(context.Context) error) {
-	between := memberRetry
-	for try := 1; ctx.Err() == nil; try++ {
+// retryUntilDone repeats a call until it succeeds or ctx ends.
+func (r *Router) retryUntilDone(ctx context.Context, callName string, timeout time.Duration, call func(context.Context) error) {
+	delay := memberRetryDelay
+	for attempt := 1; ctx.Err() == nil; attempt++ {
 		callCtx, cancel := context.WithTimeout(ctx, timeout)
 		err := call(callCtx)
 		cancel()
@@ -104,11 +106,11 @@
 			return
 		}
 		memberFailures.Inc()
-		if try == 1 {
-			r.log.Warn("member: Platform did not answer, trying on.", "call", what, "error", err)
+		if attempt == 1 {
+			r.log.Warn("member: Platform did not answer, retrying.", "call", callName, "error", err)
 		}
-		wait.For(ctx, between/2+rand.N(between))
-		between = min(2*between, maxMemberRetry)
+		wait.For(ctx, delay/2+rand.N(delay))
+		delay = min(2*delay, maxMemberRetryDelay)
 	}
 }
 
@@ -127,18 +129,18 @@
 		return err
 	}
 	listed := len(vms)
-	vms = r.withLive(vms)
+	vms = r.addLiveRouters(vms)
 	r.log.Info("member: Routers listed.", "count", listed, "live_unlisted", len(vms)-listed)
 	r.vmsListed(vms)
-	r.othersOnce.Do(func() { close(r.othersKnown) })
+	r.routersKnownOnce.Do(func() { close(r.routersKnown) })
 	return nil
 }
 
-// withLive adds the routers that were listed before and still live: a list that lacks them
-// comes from a copy of the store from before they announced themselves. Routers that leave
-// say so to the others.
-func (r *Router) withLive(vms []store.VM) []store.VM {
-	before, alive := r.vms.Load(), r.lastAlive.Load()
+// addLiveRouters adds the routers that were listed before and are still alive: a list without
+// them comes from a copy of the store from before they announced themselves. Routers that
+// leave tell the others.
+func (r *Router) addLiveRouters(vms []store.VM) []store.VM {
+	before, alive := r.vms.Load(), r.lastLiveRouters.Load()
 	if before == nil || alive == nil {
 		return vms
 	}
@@ -154,11 +156,11 @@
 	return vms
 }
 
-// awaitJoined lets this router say that it is ready, once it has a directory and
-// the list of the others. It announces itself before it reads the list, so of two
-// ready routers one at least knows the other, and both can have the directory from
-// their peers when the platform turns them away. Without the wait, a router turned
-// away between the two calls keeps the version that it has until the platform
+// awaitJoined lets this router report that it is ready once it has a directory and
+// the list of the others. It announces itself before it reads the list, so of any two
+// ready routers at least one knows the other, and both can get the directory from
+// their peers when the platform refuses their calls. Without the wait, a router refused
+// between the two calls would keep its version of the directory until the platform
 // answers again.
 func (r *Router) awaitJoined(ctx context.Context) {
 	defer close(r.joined)
@@ -167,17 +169,17 @@
 	case <-ctx.Done():
 		return
 	}
-	timeout := time.NewTimer(joinWait)
+	timeout := time.NewTimer(maxJoinWait)
 	defer timeout.Stop()
 	select {
-	case <-r.othersKnown:
+	case <-r.routersKnown:
 	case <-timeout.C:
-		r.log.Warn("member: Ready without knowing the other routers.", "waited", joinWait)
+		r.log.Warn("member: Ready without knowing the other routers.", "waited", maxJoinWait)
 	case <-ctx.Done():
 	}
 }
 
-// isJoined says whether awaitJoined is over.
+// isJoined reports whether awaitJoined has returned.
 func (m *managed) isJoined() bool {
 	select {
 	case <-m.joined:
@@ -187,11 +189,12 @@
 	}
 }
 
-// peerConnected reads the routers again if one turned up that is not listed, and asks the
-// first one what the platform may not list.
+// peerConnected has the routers listed again if the connected one is not listed. If all that
+// this router knows comes from the platform, it fetches the peer's directory, which may
+// contain entries that the platform does not list.
 func (r *Router) peerConnected(node control.NodeID) {
 	if r.directory.NeedsPeer() {
-		r.fetchFrom(node)
+		r.fetchDirectoryFrom(node)
 	}
 	if listed := r.vms.Load(); listed != nil {
 		for _, vm := range *listed {
@@ -201,36 +204,39 @@
 		}
 	}
 	select {
-	case r.strangers <- struct{}{}:
+	case r.unlistedRouter <- struct{}{}:
 	default:
 	}
 }
 
-// noteMembers takes in which routers live. Only the control goroutine calls it.
-func (r *Router) noteMembers(alive []control.NodeID) {
-	before := r.members.Swap(int64(len(alive)))
+// recordLiveRouters records and logs which routers are alive. Only the control goroutine
+// calls it.
+func (r *Router) recordLiveRouters(alive []control.NodeID) {
+	before := r.liveRouterCount.Swap(int64(len(alive)))
 	now := slices.Clone(alive)
 	var aliveBefore []control.NodeID
-	if previous := r.lastAlive.Swap(&now); previous != nil {
+	if previous := r.lastLiveRouters.Swap(&now); previous != nil {
 		aliveBefore = *previous
 	}
-	joined, gone := changes(aliveBefore, now)
+	joined, gone := diffSorted(aliveBefore, now)
 	if len(joined)+len(gone) > 0 {
 		r.log.Info("member: Live routers changed.", "count", len(alive), "before", before,
-			"joined", len(joined), "gone", len(gone), "first_joined", first(joined), "first_gone", first(gone))
+			"joined", len(joined), "gone", len(gone), "first_joined", firstNames(joined), "first_gone", firstNames(gone))
 	}
 }
 
-// namesLogged bounds the routers that a log line names: in a large fleet hundreds join
-// together, and each of them writes the line.
-const namesLogged = 5
+// maxLoggedNames limits the routers that a log line names: in a large fleet hundreds join
+// at the same time, and each of them writes the line.
+const maxLoggedNames = 5
 
-// first returns the first few of a list for the log.
-func first(names []control.NodeID) []control.NodeID { return names[:min(len(names), namesLogged)] }
+// firstNames returns the first names of a list, for the log.
+func firstNames(names []control.NodeID) []control.NodeID {
+	return names[:min(len(names), maxLoggedNames)]
+}
 
-// changes returns what is in one sorted list alone: in now what joined, in before what is
-// gone.
-func changes(before, now []control.NodeID) (joined, gone []control.NodeID) {
+// diffSorted compares two sorted lists: joined holds the names that are only in now, gone
+// those that are only in before.
+func diffSorted(before, now []control.NodeID) (joined, gone []control.NodeID) {
 	for len(before) > 0 || len(now) > 0 {
 		switch {
 		case len(before) == 0 || len(now) > 0 && now[0] < before[0]:
@@ -244,12 +250,12 @@
 	return joined, gone
 }
 
-// withdraw takes this router off the list at its end.
-func (r *Router) withdraw() {
+// withdrawMember removes this router from the list at shutdown.
+func (r *Router) withdrawMember() {
 	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 	if err := r.routers.Withdraw(ctx, r.settings.Node.Name); err != nil {
 		memberFailures.Inc()
-		r.log.Warn("member: This router could not be taken off the list.", "error", err)
+		r.log.Warn("member: Could not remove this router from the list.", "error", err)
 	}
 }
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -23,7 +23,7 @@
 	set.NewGauge("walnut_accept_active"+node, func() float64 { return float64(r.front.Active()) })
 	set.NewGauge("walnut_accept_held_bytes"+node, func() float64 { return float64(r.front.HeldBytes()) })
 	if r.managed != nil {
-		publishAges(set, r.settings.Node.Name, r.directory)
+		publishFeedAges(set, r.settings.Node.Name, r.directory)
 		set.NewGauge("walnut_directory_era"+node, func() float64 { return float64(r.directory.Era()) })
 	}
 	r.loop.publishCounters(set, node)
@@ -31,8 +31,8 @@
 	return func() { metrics.UnregisterSet(set, true) }
 }
 
-// publishAges exports how old the word of the platform may be, feed by feed.
-func publishAges(set *metrics.Set, node string, source *directory.Follower) {
+// publishFeedAges exports, for each feed, how old the platform's data may be.
+func publishFeedAges(set *metrics.Set, node string, source *directory.Follower) {
 	for feed := range source.Ages() {
 		labels := fmt.Sprintf("{node=%q,feed=%q}", node, feed)
 		set.NewGauge("walnut_directory_answer_age_seconds"+labels, func() float64 { return source.Ages()[feed].Answer.Seconds() })
@@ -50,7 +50,7 @@
 
 // publishCounters exports each counter of the control state machine as
 // walnut_control_<name>_total. They are read from the copy that the control
-// goroutine leaves at each tick.
+// goroutine makes at each tick.
 func (l *loop) publishCounters(set *metrics.Set, labels string) {
 	fields := reflect.TypeFor[control.Counters]()
 	for i := range fields.NumField() {
@@ -59,7 +59,7 @@
 	}
 }
 
-// counter returns the counter of a field of control.Counters.
+// counter returns the value of the field of control.Counters with the given index.
 func (l *loop) counter(field int) float64 {
 	counters := l.counters.Load()
 	if counters == nil {
@@ -68,7 +68,7 @@
 	return float64(reflect.ValueOf(*counters).Field(field).Uint())
 }
 
-// snakeCase turns a field's name into a metric's.
+// snakeCase converts a field name to snake case for a metric name.
 func snakeCase(name string) string {
 	var b strings.Builder
 	for i, r := range name {
--- a/router/notices.go
+++ b/router/notices.go
@@ -10,30 +10,30 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// notices keeps what targets said of themselves in answers to this router, for the last look
-// before a request is sent: control learns of it by an event, and has granted by then. It is
-// safe for concurrent use.
-type notices struct {
+// targetNotices keeps what targets announced about themselves in answers to this router, for
+// the last check before a request is sent: control learns of a notice by an event, and may have
+// granted the slot by then. It is safe for concurrent use.
+type targetNotices struct {
 	mu  sync.RWMutex
 	set notice.Set
 }
 
-// add takes in a notice and returns whether the target was not known to leave and is now.
-func (n *notices) add(now time.Duration, target string, start int64, said notice.Notice) (leaves bool) {
+// add records a notice and reports whether the target is now known to leave and was not before.
+func (n *targetNotices) add(now time.Duration, target string, start int64, received notice.Notice) (leaves bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.set.Add(now, target, start, said)
+	return n.set.Add(now, target, start, received)
 }
 
-// isWithheld says whether a start of a target wants no request from this router.
-func (n *notices) isWithheld(now time.Duration, target string, start int64) bool {
+// isWithheld reports whether requests to a start of a target are held back, as it announced.
+func (n *targetNotices) isWithheld(now time.Duration, target string, start int64) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	return n.set.IsWithheld(now, target, start)
 }
 
-// prune forgets the notices of starts that have ended.
-func (n *notices) prune(now time.Duration, listed map[string]config.Target) {
+// prune removes the notices of starts that have ended.
+func (n *targetNotices) prune(now time.Duration, listed map[string]config.Target) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.set.Prune(now, func(target string) (start int64, declared bool) {
@@ -42,24 +42,24 @@
 	})
 }
 
-// targetNoticed takes in what an answer said of its target. It is called before the answer is
-// passed on.
-func (r *Router) targetNoticed(target string, start int64, said notice.Notice) {
-	if r.notices.add(r.loop.instant(time.Now()), target, start, said) || said.HoldOff > 0 {
-		r.loop.post(control.TargetNoticed{Target: target, Start: start, Notice: said})
+// targetNoticed records what an answer announced about its target. It is called before the
+// answer is passed on.
+func (r *Router) targetNoticed(target string, start int64, received notice.Notice) {
+	if r.notices.add(r.loop.instant(time.Now()), target, start, received) || received.HoldOff > 0 {
+		r.loop.post(control.TargetNoticed{Target: target, Start: start, Notice: received})
 	}
 }
 
-// listing is the targets of a configuration, nil if there is none, as the client of targets
-// knows them.
-type listing struct{ *config.Snapshot }
+// snapshotListing lists the targets of a configuration for the client of targets. The snapshot
+// is nil if there is no configuration.
+type snapshotListing struct{ *config.Snapshot }
 
 // targetListing returns the targets in force.
-func (r *Router) targetListing() targets.Listing { return listing{r.InForce()} }
+func (r *Router) targetListing() targets.Listing { return snapshotListing{r.InForce()} }
 
-// TargetOf implements targets.Listing. A request that names no target, as polls do, goes to the
-// one at its address. Few answers say anything of their targets, so there is no index.
-func (l listing) TargetOf(req *targets.Request) (name string, start int64, listed bool) {
+// TargetOf implements targets.Listing. A request that names no target, such as a poll, belongs
+// to the target at its address. Few answers contain notices, so there is no index.
+func (l snapshotListing) TargetOf(req *targets.Request) (name string, start int64, listed bool) {
 	if l.Snapshot == nil {
 		return "", 0, false
 	}
--- a/router/orders.go
+++ b/router/orders.go
@@ -7,20 +7,21 @@
 	"github.com/walnutcove/walnutcove/orders"
 )
 
-// newOrders makes the part that brings the targets scheduled here into their
-// declared state. What is scheduled here comes with watchTargets.
+// newOrders creates the reconciler that brings the targets scheduled here into their
+// declared state. watchTargets tells it which targets these are.
 func (r *Router) newOrders() *orders.Reconciler {
 	return orders.New(orders.Options{
 		Client:   r.targets,
-		Versions: r.store,
+		Versions: r.configStore,
 		Weights:  r.platform,
 		Log:      r.log,
 		Metrics:  metrics.GetDefaultSet(),
 	})
 }
 
-// ordersOf tells operators how far a target is from its declared state.
-func ordersOf(states map[string]orders.Reason, target string) string {
+// orderStatus tells operators why a target is not in its declared state yet, or that
+// it is.
+func orderStatus(states map[string]orders.Reason, target string) string {
 	reason, declared := states[target]
 	if declared && reason == "" {
 		return operator.OrdersDone
--- a/router/orders_test.go
+++ b/router/orders_test.go
@@ -7,10 +7,10 @@
 	"github.com/walnutcove/walnutcove/orders"
 )
 
-func TestOrdersOf(t *testing.T) {
+func TestOrderStatus(t *testing.T) {
 	states := map[string]orders.Reason{"settled": "", "loads": orders.ReasonLoading}
 	for target, want := range map[string]string{"settled": operator.OrdersDone, "loads": "loading", "undeclared": ""} {
-		if got := ordersOf(states, target); got != want {
+		if got := orderStatus(states, target); got != want {
 			t.Errorf("%s: %q, want %q", target, got, want)
 		}
 	}
--- a/router/overload.go
+++ b/router/overload.go
@@ -13,60 +13,62 @@
 )
 
 const (
-	// lagEvery is the period of measuring how late this process runs.
-	lagEvery = 50 * time.Millisecond
-	// lagWeight is the weight of a new measure in the average: about half a second
-	// of lateness counts.
+	// lagInterval is the interval at which the lag of this process is measured.
+	lagInterval = 50 * time.Millisecond
+	// lagWeight is the weight of a new measurement in the average, which so covers
+	// about the last half second.
 	lagWeight = 0.2
-	// lagTooMuch is the average lateness at which the router asks for no new
-	// connections: requests wait for the processor then, several times each.
-	lagTooMuch = 25 * time.Millisecond
-	// shedTarget is the lateness at which the part of requests on new connections that is
-	// refused unread stays as it is. A request waits for the processor about ten times,
-	// each time for about as long as the lateness.
-	shedTarget = 5 * time.Millisecond
-	// shedGain is how much that part changes with each measure, for each shedTarget that
-	// the lateness is off, and mostShedGain the most: all are taken again half a second
-	// after a flood has ended.
-	shedGain     = 0.1
-	mostShedGain = 0.3
-	// shedKeptFrom is the average lateness from which requests on connections that had an
-	// answer here are refused unread, and shedKeptSpan how much more it takes until all are.
+	// overloadLag is the average lag at which the router asks for no new connections:
+	// requests then wait for the processor, several times each.
+	overloadLag = 25 * time.Millisecond
+	// shedTargetLag is the lag that shedding aims at: there the fraction of requests on new
+	// connections that is refused unread does not change. A request waits for the processor
+	// about ten times, each time for about as long as the lag.
+	shedTargetLag = 5 * time.Millisecond
+	// shedGain is how much that fraction changes with each measurement, per shedTargetLag of
+	// deviation, and maxShedStep the maximum change: all requests are accepted again half a
+	// second after a burst has ended.
+	shedGain    = 0.1
+	maxShedStep = 0.3
+	// shedKeptMinLag is the average lag above which requests on kept connections, which have
+	// had an answer here, are refused unread; shedKeptLagRange above it, all of them are.
 	// Refusing one of these costs several times as much as refusing one on a new connection,
-	// so it starts at a higher lateness.
-	shedKeptFrom = 15 * time.Millisecond
-	shedKeptSpan = 30 * time.Millisecond
-	// historyLen is how many measures tell whether lateness lasts, and lastingLate how many of
-	// them must be late: a process that was stopped, or had no processor for a moment, is not
-	// crowded by its requests.
-	historyLen  = 10
-	lastingLate = 7
-	// repeatedLate is how many must be for requests on new connections to be refused.
-	repeatedLate = 2
-	// caughtUpAfter is after how many measures in time the lateness is over, whatever its mean.
-	caughtUpAfter = 2
-	// fewCallers is how many open connections are too few to make a router late: the smallest
-	// VM, a fifth of a core, serves that many requests at once within shedKeptFrom.
-	fewCallers = 8
-	// lagRecovered is the average at which it takes them again.
-	lagRecovered = 5 * time.Millisecond
-	// minPause is the shortest time without new connections. The balancer looks
-	// once a second and turns away at the second miss.
+	// so it starts at a higher lag.
+	shedKeptMinLag   = 15 * time.Millisecond
+	shedKeptLagRange = 30 * time.Millisecond
+	// historyLength is how many measurements decide whether lag is lasting, and lastingLateCount
+	// how many of them must be late: a process that was stopped, or had no processor for a
+	// moment, is not overloaded by its requests.
+	historyLength    = 10
+	lastingLateCount = 7
+	// repeatedLateCount is how many of them must be late before more requests on new connections
+	// are refused.
+	repeatedLateCount = 2
+	// caughtUpCount is after how many measurements in time the lag is over, whatever its average.
+	caughtUpCount = 2
+	// maxUnshedCallers is the number of open connections up to which nothing is shed, as so few
+	// cannot make a router late: the smallest VM, a fifth of a core, serves that many requests
+	// at the same time within shedKeptMinLag.
+	maxUnshedCallers = 8
+	// recoveredLag is the average lag below which the router accepts new connections again.
+	recoveredLag = 5 * time.Millisecond
+	// minPause is the minimum time without new connections. The balancer checks once a
+	// second and stops sending connections after the second failed check.
 	minPause = 2500 * time.Millisecond
-	// maxPause is the longest such time while the router runs in time. It doubles each
-	// time that the router is overloaded within pauseKept of its return: the balancer brings
-	// the same callers back each time, which a larger router may bear.
-	maxPause  = 20 * time.Second
-	pauseKept = 10 * time.Second
-	// releaseFrom is the average lateness from which connections are closed with their
-	// answers, and releaseSpan how much more it takes until all are. Callers then
-	// connect to other routers without having been refused.
-	releaseFrom = 15 * time.Millisecond
-	releaseSpan = 50 * time.Millisecond
-	// turnedAwayAfter is how long new connections may still arrive after this router has
-	// asked for none. Until then, the lateness may be due to them, so no kept connection is
+	// maxPause is the longest pause of a router that runs in time again. The pause doubles each
+	// time the router is overloaded within pauseMemory of its return: the balancer sends the
+	// same callers back each time, and a larger router may be able to serve them.
+	maxPause    = 20 * time.Second
+	pauseMemory = 10 * time.Second
+	// closeMinLag is the average lag above which connections are closed after their
+	// answers; closeLagRange above it, all of them are. Callers then connect to other
+	// routers without having been refused.
+	closeMinLag   = 15 * time.Millisecond
+	closeLagRange = 50 * time.Millisecond
+	// balancerDelay is how long new connections may still arrive after this router has
+	// asked for none. Until then they may be the cause of the lag, so no kept connection is
 	// closed.
-	turnedAwayAfter = 4 * time.Second
+	balancerDelay = 4 * time.Second
 )
 
 var (
@@ -74,77 +76,84 @@
 	overloads  = metrics.GetOrCreateCounter(`walnut_router_overloads_total`)
 )
 
-// overload tells when this router is too busy for new connections: the balancer
-// spreads callers by their addresses, so that one router may get many times what
-// another does.
+// overload detects when this router is too busy for new connections and decides which
+// requests to shed. The balancer assigns callers by their addresses, so that one router
+// may get many times the load of another.
 type overload struct {
 	log *slog.Logger
-	// crowded says that most descriptors for callers are in use.
-	crowded func() bool
-	// callers counts the open connections of callers; nil: there are many.
-	callers func() int
-	on      atomic.Bool
-	// average is the lag as others may read it, in nanoseconds.
-	average atomic.Int64
-	lag     time.Duration
-	// shedPart is the part of requests on new connections that is refused unread, as the
-	// bits of a float.
-	shedPart atomic.Uint64
-	// since is when it last began or ended, and pause how long it lasts at least.
-	since time.Time
-	pause time.Duration
-	// turnedAway is set once the balancer brings no new connections.
-	turnedAway atomic.Bool
-	// overTarget and overKept tell which of the last measures were over shedTarget and over
-	// shedKeptFrom.
-	overTarget, overKept history
-	// takesKept is set while lateness does not last, or is over: nothing is refused unread on
-	// connections that are kept.
-	takesKept atomic.Bool
-	// shed is the present period in which requests are refused unread.
+	// hasTooManyConns reports whether most descriptors for callers are in use.
+	hasTooManyConns func() bool
+	// callerCount returns the number of open caller connections; nil means many.
+	callerCount func() int
+	// paused is true while the router asks for no new connections.
+	paused atomic.Bool
+	// publishedLag is a copy of lag for other goroutines, in nanoseconds.
+	publishedLag atomic.Int64
+	// lag is the average lag.
+	lag time.Duration
+	// shedFraction is the fraction of requests on new connections that is refused unread, as
+	// the bits of a float64.
+	shedFraction atomic.Uint64
+	// changedAt is when paused last changed, and pause the minimum length of the pause.
+	changedAt time.Time
+	pause     time.Duration
+	// balancerTurnedAway is set once the balancer sends no new connections.
+	balancerTurnedAway atomic.Bool
+	// aboveTargetLag and aboveKeptLag tell which of the last measurements were above
+	// shedTargetLag and shedKeptMinLag.
+	aboveTargetLag, aboveKeptLag lateHistory
+	// acceptsKept is set unless lag is lasting: no request on a kept connection is then
+	// refused unread.
+	acceptsKept atomic.Bool
+	// shed is the current period in which requests are refused unread.
 	shed shedPeriod
 }
 
 // shedPeriod is a period in which some requests are refused unread, for the log.
 type shedPeriod struct {
-	on    bool
-	since time.Time
-	// measures counts the measures of the period over shedTarget, and worst is the largest.
-	measures int
-	worst    time.Duration
+	active    bool
+	startedAt time.Time
+	// lateMeasures counts the measurements of the period above shedTargetLag, and maxLateness
+	// is the largest.
+	lateMeasures int
+	maxLateness  time.Duration
 }
 
-// late is how late this process runs in the mean.
-func (o *overload) late() time.Duration { return time.Duration(o.average.Load()) }
+// currentLag returns the average lag of this process.
+func (o *overload) currentLag() time.Duration { return time.Duration(o.publishedLag.Load()) }
 
-// sheds says whether the next request is refused unread, on a connection that had an answer
-// here or on a new one. What is taken is then served while its caller waits. Nothing is refused
-// while there are few callers: the processor is then taken by others, and refusals free none.
-func (o *overload) sheds(kept bool) bool {
+// shouldShed reports whether the next request is refused unread; kept tells whether it is on a
+// connection that has had an answer here, or on a new one. The requests that are accepted are
+// then answered while their callers still wait. Nothing is refused while there are few callers:
+// other processes then use the processor, and refusals would free none of it.
+func (o *overload) shouldShed(kept bool) bool {
 	if o.hasFewCallers() {
 		return false
 	}
 	if !kept {
-		return rand.Float64() < math.Float64frombits(o.shedPart.Load())
+		return rand.Float64() < math.Float64frombits(o.shedFraction.Load())
 	}
-	over := o.late() - shedKeptFrom
-	return over > 0 && !o.takesKept.Load() && rand.N(shedKeptSpan) < over
+	excessLag := o.currentLag() - shedKeptMinLag
+	return excessLag > 0 && !o.acceptsKept.Load() && rand.N(shedKeptLagRange) < excessLag
 }
 
-func (o *overload) hasFewCallers() bool { return o.callers != nil && o.callers() <= fewCallers }
+// hasFewCallers reports whether there are too few callers for shedding to help.
+func (o *overload) hasFewCallers() bool {
+	return o.callerCount != nil && o.callerCount() <= maxUnshedCallers
+}
 
-// releases says whether the connection of the next answer is closed with it: the more, the
-// later this process runs, once new connections lead to others.
-func (o *overload) releases() bool {
-	over := o.late() - releaseFrom
-	return over > 0 && o.turnedAway.Load() && rand.N(releaseSpan) < over
+// shouldCloseConn reports whether the connection of the next answer is closed after it. Once
+// new connections go to other routers, the probability grows with the lag.
+func (o *overload) shouldCloseConn() bool {
+	excessLag := o.currentLag() - closeMinLag
+	return excessLag > 0 && o.balancerTurnedAway.Load() && rand.N(closeLagRange) < excessLag
 }
 
-// run measures until ctx ends.
+// run measures the lag until ctx ends.
 func (o *overload) run(ctx context.Context) {
 	probe := startLagProbe(o.log)
 	defer probe.close()
-	ticker := time.NewTicker(lagEvery)
+	ticker := time.NewTicker(lagInterval)
 	defer ticker.Stop()
 	last := time.Now()
 	for {
@@ -154,92 +163,94 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		o.measure(now, max(0, now.Sub(last)-lagEvery, probe.late()))
+		o.measure(now, max(0, now.Sub(last)-lagInterval, probe.currentDelay()))
 		last = now
 	}
 }
 
-// measure takes in how late a tick was.
-func (o *overload) measure(now time.Time, late time.Duration) {
-	lagSeconds.Update(late.Seconds())
-	o.lag += time.Duration(lagWeight * float64(late-o.lag))
-	o.average.Store(int64(o.lag))
-	o.overTarget.add(late > shedTarget)
-	o.overKept.add(late > shedKeptFrom)
-	o.adapt(late)
-	lasts := o.overKept.count() >= lastingLate && !o.overKept.isOver()
-	o.takesKept.Store(!lasts)
-	o.noteShedding(now, late)
-	crowded := o.crowded()
-	lasted := now.Sub(o.since)
+// measure updates the state with the lateness of a tick or of the probe.
+func (o *overload) measure(now time.Time, lateness time.Duration) {
+	lagSeconds.Update(lateness.Seconds())
+	o.lag += time.Duration(lagWeight * float64(lateness-o.lag))
+	o.publishedLag.Store(int64(o.lag))
+	o.aboveTargetLag.add(lateness > shedTargetLag)
+	o.aboveKeptLag.add(lateness > shedKeptMinLag)
+	o.adjustShedFraction(lateness)
+	isLasting := o.aboveKeptLag.count() >= lastingLateCount && !o.aboveKeptLag.hasCaughtUp()
+	o.acceptsKept.Store(!isLasting)
+	o.logShedding(now, lateness)
+	tooManyConns := o.hasTooManyConns()
+	elapsed := now.Sub(o.changedAt)
 	switch {
-	case !o.on.Load() && (o.lag > lagTooMuch && lasts || crowded):
-		o.begin(now)
-		o.log.Warn("router: Too busy for new connections.", "lag", o.lag, "crowded", crowded, "for_at_least", o.pause)
-	case o.on.Load() && o.lag < lagRecovered && !crowded && lasted >= o.pause:
-		o.on.Store(false)
-		o.turnedAway.Store(false)
-		o.since = now
-		o.log.Info("router: Takes new connections again.", "lag", o.lag, "after", lasted)
-	case o.on.Load() && lasted >= turnedAwayAfter:
-		o.turnedAway.Store(true)
+	case !o.paused.Load() && (o.lag > overloadLag && isLasting || tooManyConns):
+		o.beginPause(now)
+		o.log.Warn("router: Too busy for new connections.", "lag", o.lag, "crowded", tooManyConns, "for_at_least", o.pause)
+	case o.paused.Load() && o.lag < recoveredLag && !tooManyConns && elapsed >= o.pause:
+		o.paused.Store(false)
+		o.balancerTurnedAway.Store(false)
+		o.changedAt = now
+		o.log.Info("router: Accepting new connections again.", "lag", o.lag, "after", elapsed)
+	case o.paused.Load() && elapsed >= balancerDelay:
+		o.balancerTurnedAway.Store(true)
 	}
 }
 
-// history holds which of the last measures were late, a bit each, the latest lowest.
-type history uint32
+// lateHistory holds which of the last measurements were late: one bit each, the latest in the
+// lowest bit.
+type lateHistory uint32
 
-func (h *history) add(late bool) {
-	*h = *h << 1 & (1<<historyLen - 1)
+func (h *lateHistory) add(late bool) {
+	*h = *h << 1 & (1<<historyLength - 1)
 	if late {
 		*h |= 1
 	}
 }
 
-// count says how many measures were late.
-func (h history) count() int { return bits.OnesCount32(uint32(h)) }
+// count returns how many measurements were late.
+func (h lateHistory) count() int { return bits.OnesCount32(uint32(h)) }
 
-// isOver says whether the latest measures were all in time.
-func (h history) isOver() bool { return h&(1<<caughtUpAfter-1) == 0 }
+// hasCaughtUp reports whether the latest measurements were all in time.
+func (h lateHistory) hasCaughtUp() bool { return h&(1<<caughtUpCount-1) == 0 }
 
-// adapt changes the part that is shed by how late the last measure was: by as much as keeps
-// the lateness at its target, whatever the flood. A single late measure is none.
-func (o *overload) adapt(late time.Duration) {
-	if late > shedTarget && o.overTarget.count() < repeatedLate {
+// adjustShedFraction changes the fraction that is shed according to the last measurement, so
+// that the lag stays at its target whatever the load. It ignores a single late measurement.
+func (o *overload) adjustShedFraction(lateness time.Duration) {
+	if lateness > shedTargetLag && o.aboveTargetLag.count() < repeatedLateCount {
 		return
 	}
-	off := float64(late-shedTarget) / float64(shedTarget)
-	part := math.Float64frombits(o.shedPart.Load()) + min(shedGain*off, mostShedGain)
-	o.shedPart.Store(math.Float64bits(min(max(part, 0), 1)))
+	deviation := float64(lateness-shedTargetLag) / float64(shedTargetLag)
+	fraction := math.Float64frombits(o.shedFraction.Load()) + min(shedGain*deviation, maxShedStep)
+	o.shedFraction.Store(math.Float64bits(min(max(fraction, 0), 1)))
 }
 
-// noteShedding logs when requests begin to be refused unread, and when all are taken again.
-func (o *overload) noteShedding(now time.Time, late time.Duration) {
+// logShedding logs when the router begins to refuse requests unread, and when it accepts all
+// of them again.
+func (o *overload) logShedding(now time.Time, lateness time.Duration) {
 	shed := &o.shed
-	part := math.Float64frombits(o.shedPart.Load())
-	sheds := (o.lag > shedKeptFrom && !o.takesKept.Load() || part > 0) && !o.hasFewCallers()
-	if sheds && !shed.on {
-		*shed = shedPeriod{on: true, since: now}
-		o.log.Warn("router: Refuses requests unread.", "lag", o.lag, "late", late, "part_of_new", part)
+	fraction := math.Float64frombits(o.shedFraction.Load())
+	shedding := (o.lag > shedKeptMinLag && !o.acceptsKept.Load() || fraction > 0) && !o.hasFewCallers()
+	if shedding && !shed.active {
+		*shed = shedPeriod{active: true, startedAt: now}
+		o.log.Warn("router: Refusing requests before reading them.", "lag", o.lag, "late", lateness, "part_of_new", fraction)
 	}
-	if shed.on && late > shedTarget {
-		shed.measures++
-		shed.worst = max(shed.worst, late)
+	if shed.active && lateness > shedTargetLag {
+		shed.lateMeasures++
+		shed.maxLateness = max(shed.maxLateness, lateness)
 	}
-	if !sheds && shed.on {
-		shed.on = false
-		o.log.Info("router: Refuses no request unread any more.", "after", now.Sub(shed.since), "late_measures", shed.measures, "worst", shed.worst)
+	if !shedding && shed.active {
+		shed.active = false
+		o.log.Info("router: No longer refusing requests before reading them.", "after", now.Sub(shed.startedAt), "late_measures", shed.lateMeasures, "worst", shed.maxLateness)
 	}
 }
 
-// begin asks for no new connections from now on.
-func (o *overload) begin(now time.Time) {
-	if o.pause == 0 || now.Sub(o.since) > pauseKept {
+// beginPause starts a pause, in which the router asks for no new connections.
+func (o *overload) beginPause(now time.Time) {
+	if o.pause == 0 || now.Sub(o.changedAt) > pauseMemory {
 		o.pause = minPause
 	} else {
 		o.pause = min(2*o.pause, maxPause)
 	}
-	o.since = now
-	o.on.Store(true)
+	o.changedAt = now
+	o.paused.Store(true)
 	overloads.Inc()
 }
--- a/router/overload_test.go
+++ b/router/overload_test.go
@@ -6,233 +6,236 @@
 	"time"
 )
 
-// TestOverloadNeedsLastingLag: one late tick is no overload, lasting lateness is,
-// and it ends only after a pause.
+// TestOverloadNeedsLastingLag checks that one late tick is no overload, that lasting lag
+// is, and that the overload ends only after a pause.
 func TestOverloadNeedsLastingLag(t *testing.T) {
-	o := &overload{log: slog.New(slog.DiscardHandler), crowded: func() bool { return false }}
+	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	now := time.Now()
 	measure := func(late time.Duration, times int) {
 		for range times {
-			now = now.Add(lagEvery + late)
+			now = now.Add(lagInterval + late)
 			o.measure(now, late)
 		}
 	}
 	measure(100*time.Millisecond, 1)
-	if o.on.Load() {
+	if o.paused.Load() {
 		t.Error("one late tick counts as overload")
 	}
 	measure(100*time.Millisecond, 10)
-	if !o.on.Load() {
-		t.Error("lasting lateness is no overload")
+	if !o.paused.Load() {
+		t.Error("lasting lag does not count as overload")
 	}
 	measure(0, 15)
-	if !o.on.Load() {
-		t.Error("the overload ended before the balancer had seen it")
+	if !o.paused.Load() {
+		t.Error("the overload ended before the balancer could see it")
 	}
 	measure(0, 60)
-	if o.on.Load() {
+	if o.paused.Load() {
 		t.Error("the overload does not end")
 	}
 }
 
-// TestCrowdIsOverload: a want of descriptors counts at once.
-func TestCrowdIsOverload(t *testing.T) {
+// TestTooManyConnectionsIsOverload checks that a shortage of descriptors counts as overload at
+// once.
+func TestTooManyConnectionsIsOverload(t *testing.T) {
 	crowded := true
-	o := &overload{log: slog.New(slog.DiscardHandler), crowded: func() bool { return crowded }}
+	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return crowded }}
 	o.measure(time.Now(), 0)
-	if !o.on.Load() {
-		t.Error("a crowded router asks for more connections")
+	if !o.paused.Load() {
+		t.Error("a router with too many connections accepts more")
 	}
 }
 
-// shedShare is the part of 2000 requests that are shed.
-func shedShare(o *overload, kept bool) float64 {
+// measuredShedFraction returns the fraction of 2000 requests that is shed.
+func measuredShedFraction(o *overload, kept bool) float64 {
 	shed := 0
 	for range 2000 {
-		if o.sheds(kept) {
+		if o.shouldShed(kept) {
 			shed++
 		}
 	}
 	return float64(shed) / 2000
 }
 
-// TestShedsMoreTheLaterItRuns: on connections that are kept, nothing while it runs in time,
-// all when it is far behind.
-func TestShedsMoreTheLaterItRuns(t *testing.T) {
-	o := &overload{log: slog.New(slog.DiscardHandler), crowded: func() bool { return false }}
+// TestShedFractionOnKeptConnectionsGrowsWithLag checks that nothing is shed on kept connections
+// while the router runs in time, and everything when it is far behind.
+func TestShedFractionOnKeptConnectionsGrowsWithLag(t *testing.T) {
+	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	for _, c := range []struct {
 		lag         time.Duration
 		least, most float64
 	}{
 		{0, 0, 0},
-		{shedKeptFrom, 0, 0},
-		{shedKeptFrom + shedKeptSpan/2, 0.4, 0.6},
-		{shedKeptFrom + shedKeptSpan, 1, 1},
+		{shedKeptMinLag, 0, 0},
+		{shedKeptMinLag + shedKeptLagRange/2, 0.4, 0.6},
+		{shedKeptMinLag + shedKeptLagRange, 1, 1},
 		{time.Second, 1, 1},
 	} {
-		o.average.Store(int64(c.lag))
-		if got := shedShare(o, true); got < c.least || got > c.most {
+		o.publishedLag.Store(int64(c.lag))
+		if got := measuredShedFraction(o, true); got < c.least || got > c.most {
 			t.Errorf("%.2f shed at a lag of %s", got, c.lag)
 		}
 	}
 }
 
-// TestShedsUntilItRunsInTime: on new connections, nothing while it runs in time, all soon
-// after it has fallen far behind, the same part for as long as it is as late as it should be,
-// and nothing soon after that.
-func TestShedsUntilItRunsInTime(t *testing.T) {
-	o := &overload{log: slog.New(slog.DiscardHandler), crowded: func() bool { return false }}
+// TestShedFractionOnNewConnectionsFollowsLag checks that, on new connections, nothing is shed
+// while the router runs in time, everything soon after it has fallen far behind, a constant
+// fraction while the lag is at its target, and nothing soon after the lag is over.
+func TestShedFractionOnNewConnectionsFollowsLag(t *testing.T) {
+	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	now := time.Now()
-	drive(o, &now, shedTarget, time.Second)
-	if got := shedShare(o, false); got > 0 {
+	measureFor(o, &now, shedTargetLag, time.Second)
+	if got := measuredShedFraction(o, false); got > 0 {
 		t.Errorf("%.2f shed in time", got)
 	}
-	drive(o, &now, time.Second, 250*time.Millisecond)
-	if got := shedShare(o, false); got < 1 {
+	measureFor(o, &now, time.Second, 250*time.Millisecond)
+	if got := measuredShedFraction(o, false); got < 1 {
 		t.Errorf("%.2f shed far behind", got)
 	}
-	drive(o, &now, 0, 250*time.Millisecond)
-	drive(o, &now, shedTarget, time.Second)
-	if got := shedShare(o, false); got < 0.3 || got > 0.7 {
-		t.Errorf("%.2f shed halfway, as late as it should be", got)
+	measureFor(o, &now, 0, 250*time.Millisecond)
+	measureFor(o, &now, shedTargetLag, time.Second)
+	if got := measuredShedFraction(o, false); got < 0.3 || got > 0.7 {
+		t.Errorf("%.2f shed halfway, at the target lag", got)
 	}
-	drive(o, &now, 0, 500*time.Millisecond)
-	if got := shedShare(o, false); got > 0 {
-		t.Errorf("%.2f shed after the flood", got)
+	measureFor(o, &now, 0, 500*time.Millisecond)
+	if got := measuredShedFraction(o, false); got > 0 {
+		t.Errorf("%.2f shed after the burst", got)
 	}
 }
 
-// drive measures a lateness for a while, every lagEvery.
-func drive(o *overload, now *time.Time, late, span time.Duration) {
+// measureFor feeds the same lateness to o every lagInterval for the given span.
+func measureFor(o *overload, now *time.Time, late, span time.Duration) {
 	for end := now.Add(span); now.Before(end); {
-		*now = now.Add(lagEvery)
+		*now = now.Add(lagInterval)
 		o.measure(*now, late)
 	}
 }
 
-// TestReleasesOnlyWhatGoesElsewhere: a late router closes connections with their answers
-// once new ones lead to others, and keeps those that it serves in time.
-func TestReleasesOnlyWhatGoesElsewhere(t *testing.T) {
-	o := &overload{log: slog.New(slog.DiscardHandler), crowded: func() bool { return false }}
+// TestConnectionsAreClosedOnceBalancerTurnedAway checks that a late router closes connections
+// after their answers once new ones go to other routers, and keeps them while it serves in time.
+func TestConnectionsAreClosedOnceBalancerTurnedAway(t *testing.T) {
+	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	now := time.Now()
 	released := func() int {
 		count := 0
 		for range 1000 {
-			if o.releases() {
+			if o.shouldCloseConn() {
 				count++
 			}
 		}
 		return count
 	}
-	drive(o, &now, 100*time.Millisecond, time.Second)
-	if !o.on.Load() || released() > 0 {
-		t.Errorf("overloaded: %v; %d of 1000 released before the balancer turned away", o.on.Load(), released())
+	measureFor(o, &now, 100*time.Millisecond, time.Second)
+	if !o.paused.Load() || released() > 0 {
+		t.Errorf("overloaded: %v; %d of 1000 closed before the balancer turned away", o.paused.Load(), released())
 	}
-	drive(o, &now, 100*time.Millisecond, turnedAwayAfter)
+	measureFor(o, &now, 100*time.Millisecond, balancerDelay)
 	if got := released(); got < 900 {
-		t.Errorf("%d of 1000 released while far behind", got)
+		t.Errorf("%d of 1000 closed while far behind", got)
 	}
-	drive(o, &now, releaseFrom/2, time.Second)
-	if got := released(); !o.on.Load() || got > 0 {
-		t.Errorf("overloaded: %v; %d of 1000 released while in time", o.on.Load(), got)
+	measureFor(o, &now, closeMinLag/2, time.Second)
+	if got := released(); !o.paused.Load() || got > 0 {
+		t.Errorf("overloaded: %v; %d of 1000 closed while in time", o.paused.Load(), got)
 	}
 }
 
-// TestPauseGrowsWhileReturnsOverload: a router whose kept callers fill it stays away for
-// longer each time that its return brought too many, and forgets that after calm.
-func TestPauseGrowsWhileReturnsOverload(t *testing.T) {
-	o := &overload{log: slog.New(slog.DiscardHandler), crowded: func() bool { return false }}
+// TestPauseDoublesOnRepeatedOverload checks that the pause doubles each time the router is
+// overloaded again soon after its return, and starts again at its minimum after a calm period.
+func TestPauseDoublesOnRepeatedOverload(t *testing.T) {
+	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	now := time.Now()
 	for _, want := range []time.Duration{minPause, 2 * minPause, 4 * minPause, maxPause, maxPause} {
-		drive(o, &now, 100*time.Millisecond, time.Second)
-		if !o.on.Load() || o.pause != want {
-			t.Errorf("overloaded: %v; rests for %s, want %s", o.on.Load(), o.pause, want)
+		measureFor(o, &now, 100*time.Millisecond, time.Second)
+		if !o.paused.Load() || o.pause != want {
+			t.Errorf("overloaded: %v; pause %s, want %s", o.paused.Load(), o.pause, want)
 		}
-		drive(o, &now, 0, want+time.Second)
-		if o.on.Load() {
-			t.Errorf("still away after %s", want)
+		measureFor(o, &now, 0, want+time.Second)
+		if o.paused.Load() {
+			t.Errorf("still paused after %s", want)
 		}
 	}
-	drive(o, &now, 0, 2*pauseKept)
-	drive(o, &now, 100*time.Millisecond, time.Second)
+	measureFor(o, &now, 0, 2*pauseMemory)
+	measureFor(o, &now, 100*time.Millisecond, time.Second)
 	if o.pause != minPause {
-		t.Errorf("rests for %s after calm, want %s", o.pause, minPause)
+		t.Errorf("pause %s after a calm period, want %s", o.pause, minPause)
 	}
 }
 
-// TestPauseOfTheProcessRefusesNothing guards against refusing requests after the process stood
-// still, or had no processor for a moment, though it runs in time again.
-func TestPauseOfTheProcessRefusesNothing(t *testing.T) {
+// TestStoppedProcessShedsNothingOnKeptConnections guards against refusing requests after the
+// process was stopped, or had no processor for a moment, although it runs in time again.
+func TestStoppedProcessShedsNothingOnKeptConnections(t *testing.T) {
 	for _, pause := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 6 * time.Second} {
 		for late := 1; late <= 3; late++ {
-			o := &overload{log: slog.New(slog.DiscardHandler), crowded: func() bool { return false }}
+			o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 			now := time.Now()
-			drive(o, &now, 0, time.Second)
+			measureFor(o, &now, 0, time.Second)
 			for range late {
-				drive(o, &now, pause, lagEvery)
-				refusesNothingKept(t, o, pause, late)
+				measureFor(o, &now, pause, lagInterval)
+				checkNothingShedOnKept(t, o, pause, late)
 			}
 			for range 20 {
-				drive(o, &now, 0, lagEvery)
-				refusesNothingKept(t, o, pause, late)
+				measureFor(o, &now, 0, lagInterval)
+				checkNothingShedOnKept(t, o, pause, late)
 			}
 		}
 	}
 }
 
-func refusesNothingKept(t *testing.T, o *overload, pause time.Duration, late int) {
+// checkNothingShedOnKept fails the test if requests on kept connections are shed or the router
+// asks for no new connections.
+func checkNothingShedOnKept(t *testing.T, o *overload, pause time.Duration, late int) {
 	t.Helper()
-	if got := shedShare(o, true); got > 0 || o.on.Load() {
-		t.Fatalf("%d measures of %s: %.2f shed, no new connections: %v", late, pause, got, o.on.Load())
+	if got := measuredShedFraction(o, true); got > 0 || o.paused.Load() {
+		t.Fatalf("%d measurements of %s: %.2f shed, no new connections: %v", late, pause, got, o.paused.Load())
 	}
 }
 
-// TestTakesAllOnceInTime guards against refusing requests on kept connections when the router
-// runs in time again after it was late for long.
-func TestTakesAllOnceInTime(t *testing.T) {
-	o := &overload{log: slog.New(slog.DiscardHandler), crowded: func() bool { return false }}
+// TestSheddingOnKeptConnectionsEndsOnceCaughtUp guards against refusing requests on kept
+// connections when the router runs in time again after a long lag.
+func TestSheddingOnKeptConnectionsEndsOnceCaughtUp(t *testing.T) {
+	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	now := time.Now()
-	drive(o, &now, time.Second, 2*time.Second)
-	if got := shedShare(o, true); got < 1 {
+	measureFor(o, &now, time.Second, 2*time.Second)
+	if got := measuredShedFraction(o, true); got < 1 {
 		t.Errorf("%.2f shed far behind", got)
 	}
-	drive(o, &now, 0, 2*lagEvery)
-	if got := shedShare(o, true); got > 0 {
+	measureFor(o, &now, 0, 2*lagInterval)
+	if got := measuredShedFraction(o, true); got > 0 {
 		t.Errorf("%.2f shed when it runs in time again", got)
 	}
 }
 
-// TestOneLateMeasureRefusesNoNewConnection guards against refusing requests on new connections
-// after the process stood still once.
-func TestOneLateMeasureRefusesNoNewConnection(t *testing.T) {
-	o := &overload{log: slog.New(slog.DiscardHandler), crowded: func() bool { return false }}
+// TestSingleLateMeasureShedsNothing guards against refusing requests on new connections after the
+// process was stopped once.
+func TestSingleLateMeasureShedsNothing(t *testing.T) {
+	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	now := time.Now()
-	drive(o, &now, 0, time.Second)
-	drive(o, &now, 6*time.Second, lagEvery)
+	measureFor(o, &now, 0, time.Second)
+	measureFor(o, &now, 6*time.Second, lagInterval)
 	for n := range 20 {
-		if got := shedShare(o, false); got > 0 {
-			t.Fatalf("%.2f shed %d measures later", got, n)
+		if got := measuredShedFraction(o, false); got > 0 {
+			t.Fatalf("%.2f shed %d measurements later", got, n)
 		}
-		drive(o, &now, 0, lagEvery)
+		measureFor(o, &now, 0, lagInterval)
 	}
 }
 
-// TestFewCallersAreNotRefused guards against refusing the requests of a few callers when the
-// processor is taken by other processes.
-func TestFewCallersAreNotRefused(t *testing.T) {
-	callers := fewCallers
+// TestFewCallersAreNotShed guards against refusing the requests of a few callers when other
+// processes use the processor.
+func TestFewCallersAreNotShed(t *testing.T) {
+	callers := maxUnshedCallers
 	o := &overload{
-		log:     slog.New(slog.DiscardHandler),
-		crowded: func() bool { return false },
-		callers: func() int { return callers },
+		log:             slog.New(slog.DiscardHandler),
+		hasTooManyConns: func() bool { return false },
+		callerCount:     func() int { return callers },
 	}
 	now := time.Now()
-	drive(o, &now, time.Second, time.Second)
-	if got, onNew := shedShare(o, true), shedShare(o, false); got+onNew > 0 {
+	measureFor(o, &now, time.Second, time.Second)
+	if got, onNew := measuredShedFraction(o, true), measuredShedFraction(o, false); got+onNew > 0 {
 		t.Errorf("%.2f shed on kept connections and %.2f on new ones, of %d callers", got, onNew, callers)
 	}
-	callers = fewCallers + 1
-	if got, onNew := shedShare(o, true), shedShare(o, false); got < 1 || onNew < 1 {
+	callers = maxUnshedCallers + 1
+	if got, onNew := measuredShedFraction(o, true), measuredShedFraction(o, false); got < 1 || onNew < 1 {
 		t.Errorf("%.2f shed on kept connections and %.2f on new ones, of %d callers", got, onNew, callers)
 	}
 }
--- a/router/owners.go
+++ b/router/owners.go
@@ -8,42 +8,42 @@
 )
 
 // ownerGrace is how long another router may be unreachable before its requests
-// are no longer called "in progress".
+// are no longer reported as "in progress".
 const ownerGrace = 10 * time.Second
 
-// owners tells which processes may still run what they claimed. It decides
-// only whether a resend is told "in progress" or "may have run", never whether
-// a request runs.
-type owners struct {
+// claimOwners tells which processes may still be running the requests that they
+// claimed. It decides only whether a repeated request is answered "in progress" or
+// "may have run", never whether a request runs.
+type claimOwners struct {
 	self        control.NodeID
 	incarnation control.Incarnation
 	now         func() time.Time
 
 	mu    sync.Mutex
-	known map[control.NodeID]owner
+	known map[control.NodeID]ownerState
 }
 
-// owner is what is known of another router.
-type owner struct {
-	// incarnation is that of its latest message; zero if none came.
+// ownerState is what is known about another router.
+type ownerState struct {
+	// incarnation is that of its latest message; zero if there was none.
 	incarnation control.Incarnation
-	// lostAt is when the session to it was lost; zero if it was not.
+	// lostAt is when the session to it was lost; zero if it is not lost.
 	lostAt time.Time
 }
 
-func newOwners(self control.NodeID, incarnation control.Incarnation, now func() time.Time) *owners {
-	return &owners{self: self, incarnation: incarnation, now: now, known: make(map[control.NodeID]owner)}
+func newClaimOwners(self control.NodeID, incarnation control.Incarnation, now func() time.Time) *claimOwners {
+	return &claimOwners{self: self, incarnation: incarnation, now: now, known: make(map[control.NodeID]ownerState)}
 }
 
-// heard takes in that a message came from a process.
-func (o *owners) heard(node control.NodeID, incarnation control.Incarnation) {
+// messageReceived records that a message came from a process.
+func (o *claimOwners) messageReceived(node control.NodeID, incarnation control.Incarnation) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.known[node] = owner{incarnation: incarnation}
+	o.known[node] = ownerState{incarnation: incarnation}
 }
 
-// connected takes in that the session to a router came up or was lost.
-func (o *owners) connected(node control.NodeID, connected bool) {
+// sessionChanged records that the session to a router was established or lost.
+func (o *claimOwners) sessionChanged(node control.NodeID, connected bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	state := o.known[node]
@@ -56,8 +56,8 @@
 	o.known[node] = state
 }
 
-// alive says whether a process may still run what it claimed.
-func (o *owners) alive(node control.NodeID, incarnation control.Incarnation) bool {
+// mayBeRunning reports whether a process may still be running the requests it claimed.
+func (o *claimOwners) mayBeRunning(node control.NodeID, incarnation control.Incarnation) bool {
 	if node == o.self {
 		return incarnation == o.incarnation
 	}
--- a/router/peers.go
+++ b/router/peers.go
@@ -14,7 +14,8 @@
 
 // The methods of calls between routers.
 const (
-	// methodConfig fetches what follows a version; see follower.Update.
+	// methodConfig fetches the changes after a version, see follower.Update; on a managed
+	// platform it fetches the directory.
 	methodConfig = "config.fetch"
 	// methodStatus fetches an operator.Status.
 	methodStatus = "operator.status"
@@ -22,18 +23,18 @@
 	methodDrain = "operator.drain"
 )
 
-// configRequest asks a peer for what follows version From.
+// configRequest asks a peer for the changes after version From.
 type configRequest struct {
 	From config.Version `json:"from"`
 }
 
-// peerHandler receives what other routers send. It implements peer.Handler.
+// peerHandler handles messages and calls from other routers. It implements peer.Handler.
 type peerHandler struct{ router *Router }
 
 // Received implements peer.Handler.
 func (h peerHandler) Received(from control.NodeID, incarnation control.Incarnation, messages []control.Message) {
-	if h.router.patched != nil {
-		h.router.owners.heard(from, incarnation)
+	if h.router.ownPlatform != nil {
+		h.router.owners.messageReceived(from, incarnation)
 	}
 	for _, message := range messages {
 		h.router.loop.post(control.MessageReceived{From: from, Incarnation: incarnation, Message: message})
@@ -42,8 +43,8 @@
 
 // StateChanged implements peer.Handler.
 func (h peerHandler) StateChanged(node control.NodeID, connected bool) {
-	if h.router.patched != nil {
-		h.router.owners.connected(node, connected)
+	if h.router.ownPlatform != nil {
+		h.router.owners.sessionChanged(node, connected)
 	} else if connected {
 		h.router.peerConnected(node)
 	}
@@ -63,8 +64,8 @@
 	case methodDrain:
 		return []byte("{}"), backend(h).Drain(ctx, "")
 	case methodCommit:
-		if h.router.patched == nil {
-			return nil, errNotPatched
+		if h.router.ownPlatform == nil {
+			return nil, errConfigNotPatchable
 		}
 		return h.serveCommit(ctx, payload)
 	default:
--- a/router/pipeline.go
+++ b/router/pipeline.go
@@ -16,22 +16,22 @@
 	"github.com/walnutcove/walnutcove/pipeline"
 )
 
-// pipeline strings the filters together, in the order that requests flow.
+// pipeline chains the filters in the order in which requests pass them.
 func (r *Router) pipeline(keys *authenticate.Filter) pipeline.Handler {
 	limits := r.settings.Limits
-	relaying := &relay.Relay{Client: r.targets, Request: dispatch.Request, Log: r.log}
+	answerRelay := &relay.Relay{Client: r.targets, Request: dispatch.Request, Log: r.log}
 	return pipeline.Chain(
 		requestlog.New(r.log),
 		ready.New(r),
 		keys,
 		classify.New(classify.Options{DefaultDeadline: time.Duration(limits.DefaultDeadline)}),
-		&quarantine.Filter{Set: &r.suspects},
+		&quarantine.Filter{Set: &r.quarantineSet},
 		&runrecord.Filter{Keeper: r.records},
 		retry.New(r.log),
-		&grant.Filter{Source: &grants{loop: r.loop, inForce: r.InForce, notices: &r.notices}, Log: r.log},
+		&grant.Filter{Source: &grantSource{loop: r.loop, inForce: r.InForce, notices: &r.notices}, Log: r.log},
 		&dispatch.Filter{
 			Client:           r.targets,
-			Relay:            relaying.Answer,
+			Relay:            answerRelay.Answer,
 			FirstByteTimeout: time.Duration(limits.FirstByteTimeout),
 			Log:              r.log,
 		},
--- a/router/routed.go
+++ b/router/routed.go
@@ -20,79 +20,80 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// routedPipeline strings the filters together for a configuration with routes.
-// At-most-once needs no run records there: each attempt of a caller has an id of
-// its own, and is sent again only if it surely did not run.
+// routedPipeline chains the filters for a configuration with routes. It needs no run
+// records to run requests at most once: each attempt of a caller has an id of its own,
+// and is sent again only if it certainly did not run.
 func (r *Router) routedPipeline() pipeline.Handler {
 	limits := r.settings.Limits
 	retries := retry.NewWindowed(r.log, r.retryRules)
-	slots := &grant.Filter{Source: &grants{loop: r.loop, inForce: r.InForce, notices: &r.notices}, Log: r.log}
-	answers := &answers{
-		events: &events.Relay{Lag: r.overload.late, Log: r.log},
+	grantFilter := &grant.Filter{Source: &grantSource{loop: r.loop, inForce: r.InForce, notices: &r.notices}, Log: r.log}
+	answers := &answerRelays{
+		events: &events.Relay{Lag: r.overload.currentLag, Log: r.log},
 		whole:  &relay.Relay{Client: r.targets, Request: dispatch.Request, Log: r.log},
 	}
-	answers.events.Reopen = r.reopener(slots, retries)
+	answers.events.Reopen = r.streamReopener(grantFilter, retries)
 	return pipeline.Chain(
 		requestlog.New(r.log),
-		ready.New(serving{r}),
+		ready.New(alwaysServing{r}),
 		route.New(route.Options{
 			Source:          r,
 			Dialect:         r.dialect(),
 			DefaultDeadline: time.Duration(limits.DefaultDeadline),
-			Lag:             r.overload.late,
+			Lag:             r.overload.currentLag,
 		}),
 		detach.New(r.log),
-		&quarantine.Filter{Set: &r.suspects},
+		&quarantine.Filter{Set: &r.quarantineSet},
 		retries,
-		slots,
-		r.dispatcher(answers.take),
+		grantFilter,
+		r.dispatcher(answers.relay),
 	)
 }
 
-// safePart is the part of the fleet's retry budget that routers use: members come
-// and go, and each counts the others with a delay.
-const safePart = 0.8
+// usedBudgetShare is the share of the fleet's retry budget that routers use. The rest is
+// a reserve, as members come and go and each router counts the others with a delay.
+const usedBudgetShare = 0.8
 
-// retryRules is this router's part of the fleet's retry budget: what requests earn
-// counts where they entered, the slack is shared alike.
+// retryRules returns this router's part of the fleet's retry budget: the ratio applies
+// to the requests that entered here, and the slack is divided equally.
 func (r *Router) retryRules() retry.Rules {
 	limits := r.retries.Load()
-	members := max(1, r.members.Load())
+	members := max(1, r.liveRouterCount.Load())
 	return retry.Rules{
-		Ratio:  safePart * limits.Ratio,
-		Slack:  safePart * limits.Slack / float64(members),
+		Ratio:  usedBudgetShare * limits.Ratio,
+		Slack:  usedBudgetShare * limits.Slack / float64(members),
 		Window: time.Duration(limits.Window),
 	}
 }
 
-// serving is the state of a router that takes requests until it is closed: one
-// that leaves says so to the balancer, and serves what still arrives.
-type serving struct{ *Router }
+// alwaysServing is the state of a router that accepts requests until it is closed: a
+// leaving router tells the balancer, and serves the requests that still arrive.
+type alwaysServing struct{ *Router }
 
 // Draining implements ready.State.
-func (serving) Draining() bool { return false }
+func (alwaysServing) Draining() bool { return false }
 
-// Ready implements ready.State. The route filter refuses what comes too early.
-func (serving) Ready() bool { return true }
+// Ready implements ready.State. The route filter refuses requests that come too early.
+func (alwaysServing) Ready() bool { return true }
 
-func (r *Router) dispatcher(take func(context.Context, *pipeline.Exchange, *targets.Response) error) *dispatch.Filter {
+// dispatcher returns a dispatch filter that passes answers to relayAnswer.
+func (r *Router) dispatcher(relayAnswer func(context.Context, *pipeline.Exchange, *targets.Response) error) *dispatch.Filter {
 	return &dispatch.Filter{
 		Client:           r.targets,
-		Relay:            take,
+		Relay:            relayAnswer,
 		FirstByteTimeout: time.Duration(r.settings.Limits.FirstByteTimeout),
-		Lag:              r.overload.late,
+		Lag:              r.overload.currentLag,
 		Log:              r.log,
 	}
 }
 
-// answers hands answers to the relay for their kind.
-type answers struct {
+// answerRelays passes answers to the relay for their kind.
+type answerRelays struct {
 	events *events.Relay
 	whole  *relay.Relay
 }
 
-func (a *answers) take(ctx context.Context, ex *pipeline.Exchange, answer *targets.Response) error {
-	if ex.Route.Kind == config.RouteStream && answer.Status < firstFailure {
+func (a *answerRelays) relay(ctx context.Context, ex *pipeline.Exchange, answer *targets.Response) error {
+	if ex.Route.Kind == config.RouteStream && answer.Status < minFailureStatus {
 		return a.events.Answer(ctx, ex, answer)
 	}
 	if err := a.whole.Answer(ctx, ex, answer); err != nil {
@@ -101,12 +102,12 @@
 	return retry.FailedAnswer(ex)
 }
 
-// firstFailure is the first HTTP status of an answer that is no success.
-const firstFailure = 300
+// minFailureStatus is the lowest HTTP status that is not a success.
+const minFailureStatus = 300
 
-// reopener returns how broken streams go on: with a slot of another target and
-// out of the retry budget.
-func (r *Router) reopener(slots *grant.Filter, retries *retry.Filter) events.Reopen {
+// streamReopener returns the function that continues broken streams: on a slot of another
+// target, charged to the retry budget.
+func (r *Router) streamReopener(grantFilter *grant.Filter, retries *retry.Filter) events.Reopen {
 	return func(ctx context.Context, ex *pipeline.Exchange) (*targets.Response, error) {
 		if ex.Attempt >= ex.Route.Attempts {
 			return nil, result.New(result.StreamBroken, "The request has used up its attempts.")
@@ -117,15 +118,15 @@
 		ex.Attempt++
 		ex.Excluded = append(ex.Excluded, ex.Target)
 		var answer *targets.Response
-		keep := func(_ context.Context, ex *pipeline.Exchange, got *targets.Response) error {
-			if got.Status >= firstFailure {
-				got.Body.Close()
-				return result.New(result.StreamBroken, "The other target failed with status %d.", got.Status)
+		captureAnswer := func(_ context.Context, ex *pipeline.Exchange, received *targets.Response) error {
+			if received.Status >= minFailureStatus {
+				received.Body.Close()
+				return result.New(result.StreamBroken, "The other target failed with status %d.", received.Status)
 			}
-			answer = got
+			answer = received
 			return nil
 		}
-		err := pipeline.Chain(slots, r.dispatcher(keep))(ctx, ex)
+		err := pipeline.Chain(grantFilter, r.dispatcher(captureAnswer))(ctx, ex)
 		return answer, err
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -1,7 +1,7 @@
 // Package router assembles one router: the control goroutine, the pipeline of
-// filters that callers' requests flow through, the sessions with other
-// routers, the platform's clients and the operator API. It holds no policy of
-// its own; that is in package control.
+// filters for callers' requests, the sessions with other routers, the platform
+// clients and the operator API. It contains no scheduling policy; that is in
+// package control.
 //
 //	callers -> front -> ready -> authenticate -> classify -> quarantine ->
 //	runrecord -> retry -> grant -> dispatch -> relay -> targets
@@ -41,73 +41,75 @@
 	incarnation control.Incarnation
 	log         *slog.Logger
 
-	// One of the two is nil; see settings.Platform.Kind.
-	*patched
+	// Exactly one of the two is nil; see settings.Platform.Kind.
+	*ownPlatform
 	*managed
 
-	targets  *targets.HTTPClient
-	notices  notices
-	poller   *loadpoll.Poller
-	suspects quarantine.Set
-	loop     *loop
-	mesh     *peer.Mesh
-	front    *front.Server
-	operator *operator.Server
+	targets       *targets.HTTPClient
+	notices       targetNotices
+	poller        *loadpoll.Poller
+	quarantineSet quarantine.Set
+	loop          *loop
+	mesh          *peer.Mesh
+	front         *front.Server
+	operator      *operator.Server
 
 	inForce atomic.Pointer[config.Snapshot]
-	// retries is the fleet's retry budget, and members how many routers share it.
-	retries atomic.Pointer[settings.Retries]
-	members atomic.Int64
-	// lastAlive is the list that noteMembers was given last.
-	lastAlive atomic.Pointer[[]control.NodeID]
-	draining  atomic.Bool
-	watched   watched
-	vms       atomic.Pointer[[]store.VM]
+	// retries is the fleet's retry budget, and liveRouterCount how many routers share it.
+	retries         atomic.Pointer[settings.Retries]
+	liveRouterCount atomic.Int64
+	// lastLiveRouters is the list last passed to recordLiveRouters.
+	lastLiveRouters atomic.Pointer[[]control.NodeID]
+	draining        atomic.Bool
+	watched         watchedTargets
+	vms             atomic.Pointer[[]store.VM]
 
-	callers     net.Listener
-	operators   net.Listener
-	health      net.Listener
-	cancel      context.CancelFunc
-	background  sync.WaitGroup
-	stopLoop    chan struct{}
-	drainedOnce sync.Once
-	drainedCh   chan struct{}
-	drainAsked  chan struct{}
-	askOnce     sync.Once
-	closeOnce   sync.Once
-	unpublish   func()
+	callers          net.Listener
+	operators        net.Listener
+	health           net.Listener
+	cancel           context.CancelFunc
+	background       sync.WaitGroup
+	stopLoop         chan struct{}
+	drainedOnce      sync.Once
+	drainedCh        chan struct{}
+	drainRequested   chan struct{}
+	drainRequestOnce sync.Once
+	closeOnce        sync.Once
+	unpublishMetrics func()
 }
 
-// patched holds what serves a fleet on the product's own platform: operators
-// patch the configuration through the routers, run records make requests run at
-// most once, and targets are ordered into their declared state.
-type patched struct {
-	platform *store.Client
-	batched  *batch.Table // makes this router's commits of run records
-	commits  atomic.Pointer[forward.Table]
-	store    *configstore.Store
-	follower *follower.Follower
-	orders   *orders.Reconciler
-	records  *runrecord.Keeper
-	owners   *owners
+// ownPlatform holds the parts that only a fleet on the product's own platform needs:
+// operators patch the configuration through the routers, run records make requests run
+// at most once, and orders bring targets into their declared state.
+type ownPlatform struct {
+	platform    *store.Client
+	batchTable  *batch.Table // commits run records for this router
+	commits     atomic.Pointer[forward.Table]
+	configStore *configstore.Store
+	follower    *follower.Follower
+	orders      *orders.Reconciler
+	records     *runrecord.Keeper
+	owners      *claimOwners
 
-	// sharing guards what this router's part of the write budget follows from.
-	sharing sync.Mutex
-	alive   []control.NodeID
-	listed  int
+	// writeShareMu guards the fields from which this router's share of the write budget
+	// is computed.
+	writeShareMu sync.Mutex
+	aliveRouters []control.NodeID
+	listedVMs    int
 }
 
-// CallersAddress is the "ip:port" that callers reach.
+// CallersAddress returns the "ip:port" for callers.
 func (r *Router) CallersAddress() string { return r.callers.Addr().String() }
 
-// OperatorsAddress is the "ip:port" that operators reach.
+// OperatorsAddress returns the "ip:port" for operators.
 func (r *Router) OperatorsAddress() string { return r.operators.Addr().String() }
 
-// PeersAddress is the "ip:port" that other routers reach.
+// PeersAddress returns the "ip:port" for other routers.
 func (r *Router) PeersAddress() string { return r.mesh.Address() }
 
-// DrainAsked is closed when an operator asked this router to drain.
-func (r *Router) DrainAsked() <-chan struct{} { return r.drainAsked }
+// DrainRequested returns a channel that is closed when an operator asks this router to
+// drain.
+func (r *Router) DrainAsked() <-chan struct{} { return r.drainRequested }
 
 // Ready implements ready.State: a configuration version is in force, and on a
 // managed platform the other routers are known.
@@ -121,7 +123,8 @@
 // InForce implements authenticate.Source.
 func (r *Router) InForce() *config.Snapshot { return r.inForce.Load() }
 
-func (r *Router) start(f func()) {
+// startWorker runs f on a goroutine that Close waits for.
+func (r *Router) startWorker(f func()) {
 	r.background.Add(1)
 	go func() {
 		defer r.background.Done()
@@ -129,28 +132,28 @@
 	}()
 }
 
-func (r *Router) serve(what string, serve func(net.Listener) error, listener net.Listener) {
+func (r *Router) serve(name string, serve func(net.Listener) error, listener net.Listener) {
 	err := serve(listener)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
-		r.log.Error("router: A listener failed.", "listener", what, "error", err)
+		r.log.Error("router: A listener failed.", "listener", name, "error", err)
 	}
 }
 
-// Shutdown drains the router: it takes no new work, hands its shards over,
-// finishes every request in progress and stops. If ctx ends first, it stops by
-// force and returns the context's error.
+// Shutdown drains the router: it accepts no new work, hands its shards over,
+// finishes every request in progress and stops. If ctx ends first, it stops at
+// once and returns the context's error.
 func (r *Router) Shutdown(ctx context.Context) error {
 	r.startDrain()
 	if r.managed != nil {
-		r.withdraw()
+		r.withdrawMember()
 	}
-	r.giveNotice(ctx)
+	r.awaitDrainNotice(ctx)
 	r.loop.post(control.DrainStarted{})
 	err := r.front.Shutdown(ctx)
 	if err == nil {
 		err = r.waitDrained(ctx)
 	}
-	if r.patched != nil {
+	if r.ownPlatform != nil {
 		if closeErr := r.records.Close(ctx); err == nil {
 			err = closeErr
 		}
@@ -159,7 +162,7 @@
 	return err
 }
 
-// startDrain makes this router leave: callers are refused and shards go to
+// startDrain marks this router as leaving: callers are refused and shards move to
 // other routers.
 func (r *Router) startDrain() {
 	if r.draining.Swap(true) {
@@ -168,8 +171,8 @@
 	r.log.Info("router: Draining.")
 }
 
-// Reload takes over what a running router can of new settings, and names it. It
-// also names the sections that differ and need a restart.
+// Reload applies the sections of new settings that can change in a running router and
+// returns their names, and those of the sections that differ and need a restart.
 func (r *Router) Reload(s settings.Settings) (taken, needRestart []string) {
 	if old := r.retries.Swap(&s.Retries); *old != s.Retries {
 		taken = append(taken, "retries")
@@ -194,9 +197,9 @@
 	return taken, needRestart
 }
 
-// giveNotice goes on taking requests until the balancer had the time to see that
-// this router is not ready. Connections that arrive meanwhile are served.
-func (r *Router) giveNotice(ctx context.Context) {
+// awaitDrainNotice waits until the balancer has had time to see that this router is
+// not ready. Connections that arrive meanwhile are served.
+func (r *Router) awaitDrainNotice(ctx context.Context) {
 	limits := r.settings.Limits
 	notice := time.NewTimer(time.Duration(min(limits.DrainNotice, limits.DrainTimeout/2)))
 	defer notice.Stop()
@@ -215,7 +218,7 @@
 	}
 }
 
-// Close stops at once. Requests in progress are cut.
+// Close stops at once. Requests in progress are interrupted.
 func (r *Router) Close() {
 	r.closeOnce.Do(r.close)
 }
@@ -227,19 +230,19 @@
 	expired, cancel := context.WithCancel(context.Background())
 	cancel()
 	if r.managed != nil {
-		r.caches.Close()
+		r.cacheWatcher.Close()
 	}
-	if r.patched != nil {
+	if r.ownPlatform != nil {
 		r.orders.Close()
 		_ = r.records.Close(expired)
-		r.batched.Close()
+		r.batchTable.Close()
 	}
 	_ = r.operator.Shutdown(expired)
 	r.closeListeners()
 	_ = r.mesh.Close()
 	close(r.stopLoop)
 	<-r.loop.done
-	r.unpublish()
+	r.unpublishMetrics()
 	_ = r.targets.Close()
 	r.background.Wait()
 	r.closePlatform()
@@ -248,7 +251,7 @@
 
 // WaitReady returns once this router can serve; see Ready.
 func (r *Router) WaitReady(ctx context.Context) error {
-	ready := r.canServe()
+	ready := r.readyChan()
 	select {
 	case <-ready:
 		return nil
@@ -257,15 +260,15 @@
 	}
 }
 
-// canServe is closed once this router can serve.
-func (r *Router) canServe() <-chan struct{} {
+// readyChan returns a channel that is closed once this router can serve.
+func (r *Router) readyChan() <-chan struct{} {
 	if r.managed != nil {
 		return r.joined
 	}
 	return r.follower.Ready()
 }
 
-// version is the configuration version in force; zero before there is one.
+// version returns the configuration version in force; zero before there is one.
 func (r *Router) version() config.Version {
 	if snapshot := r.InForce(); snapshot != nil {
 		return snapshot.Version
@@ -275,7 +278,7 @@
 
 func (r *Router) closePlatform() {
 	if r.managed != nil {
-		r.rows.Close()
+		r.platformStore.Close()
 		return
 	}
 	r.platform.Close()
--- a/router/shell.go
+++ b/router/shell.go
@@ -19,8 +19,9 @@
 	configChanges = metrics.GetOrCreateCounter(`walnut_router_config_changes_total`)
 )
 
-// watched is the set of targets whose load this router polls.
-type watched struct {
+// watchedTargets is the set of targets that are scheduled here, whose load or prompt
+// caches this router follows.
+type watchedTargets struct {
 	mu    sync.Mutex
 	names []string
 }
@@ -35,8 +36,8 @@
 	r.watched.mu.Lock()
 	r.watched.names = targets
 	r.watched.mu.Unlock()
-	if r.patched == nil {
-		r.watchCaches() // answers tell the load, and polls have a price there
+	if r.ownPlatform == nil {
+		r.watchCaches() // no polls: answers report the load, and polls are costly there
 		return
 	}
 	r.pollWatched()
@@ -62,16 +63,16 @@
 
 // quarantineChanged implements shell.
 func (r *Router) quarantineChanged(fingerprint uint64, quarantined bool) {
-	if !r.suspects.Change(fingerprint, quarantined) {
+	if !r.quarantineSet.Change(fingerprint, quarantined) {
 		return
 	}
-	r.log.Warn("quarantine: Verdict changed.", "fingerprint", fingerprint, "quarantined", quarantined)
+	r.log.Warn("quarantine: Quarantine of a fingerprint changed.", "fingerprint", fingerprint, "quarantined", quarantined)
 }
 
 // versionSeen implements shell.
 func (r *Router) versionSeen(from control.NodeID, version uint64) {
 	if r.managed != nil {
-		r.fetchFrom(from)
+		r.fetchDirectoryFrom(from)
 		return
 	}
 	r.follower.VersionSeen(string(from), config.Version(version))
@@ -82,14 +83,14 @@
 	r.drainedOnce.Do(func() { close(r.drainedCh) })
 }
 
-// configChanged puts a version in force: requests that arrive from now on are
-// served by it, and the control goroutine follows.
+// configChanged puts a version in force: requests that arrive from now on use it,
+// and the control goroutine is told.
 func (r *Router) configChanged(snapshot *config.Snapshot) {
 	r.inForce.Store(snapshot)
 	r.notices.prune(r.loop.instant(time.Now()), snapshot.Declarations.Targets)
 	configChanges.Inc()
 	r.loop.post(control.ConfigChanged{Snapshot: snapshot})
-	if r.patched != nil {
+	if r.ownPlatform != nil {
 		r.pollWatched()
 		r.orders.SetConfig(snapshot)
 	} else {
@@ -98,7 +99,7 @@
 	r.log.Info("config: Version in force.", "version", uint64(snapshot.Version))
 }
 
-// loadPolled hands a load report to the control goroutine.
+// loadPolled passes a load report to the control goroutine.
 func (r *Router) loadPolled(name string, load targets.Load, err error) {
 	if err != nil {
 		r.loop.post(control.TargetUnreachable{Target: name})
@@ -125,7 +126,7 @@
 			r.vmsListed(vms)
 		case ctx.Err() == nil:
 			vmListErrors.Inc()
-			r.log.Warn("member: VM list could not be read.", "error", err)
+			r.log.Warn("member: Could not read the VM list.", "error", err)
 		}
 		select {
 		case <-time.After(vmListPause(every)):
@@ -135,17 +136,17 @@
 	}
 }
 
-// vmListPause varies the period, so that routers that started together do not
-// read in step.
+// vmListPause returns the interval with random variation, so that routers that
+// started together do not read the list at the same moments.
 func vmListPause(every time.Duration) time.Duration {
 	return every*3/4 + rand.N(every/2)
 }
 
-// vmsListed spreads the list to the sessions and the control goroutine.
+// vmsListed passes the list to the peer sessions and the control goroutine.
 func (r *Router) vmsListed(vms []store.VM) {
 	r.vms.Store(&vms)
-	if r.patched != nil {
-		r.listedChanged(vms)
+	if r.ownPlatform != nil {
+		r.listedVMsChanged(vms)
 	}
 	addresses := make(map[control.NodeID]string, len(vms))
 	members := make([]control.Member, 0, len(vms))
--- a/router/start.go
+++ b/router/start.go
@@ -28,7 +28,7 @@
 	"github.com/walnutcove/walnutcove/targets/loadpoll"
 )
 
-// Keys of the settings that errors of Start and Check name.
+// Settings keys that errors of Start and Check name.
 const (
 	keyCallers   = "listen.callers"
 	keyOperators = "listen.operators"
@@ -38,8 +38,8 @@
 )
 
 // Start starts a router and returns once its listeners are open. The router
-// takes callers' requests once it has a configuration version. An error is a
-// settings.Problems and leaves nothing running.
+// accepts callers' requests once it has a configuration version. An error is a
+// settings.Problems; nothing is left running then.
 func Start(s settings.Settings, log *slog.Logger) (*Router, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -48,16 +48,16 @@
 		log = slog.Default()
 	}
 	r := &Router{
-		settings:    s,
-		incarnation: newIncarnation(),
-		log:         log.With("node", s.Node.Name),
-		stopLoop:    make(chan struct{}),
-		drainedCh:   make(chan struct{}),
-		drainAsked:  make(chan struct{}),
+		settings:       s,
+		incarnation:    newIncarnation(),
+		log:            log.With("node", s.Node.Name),
+		stopLoop:       make(chan struct{}),
+		drainedCh:      make(chan struct{}),
+		drainRequested: make(chan struct{}),
 	}
 	r.retries.Store(&s.Retries)
 	r.buildCore()
-	if err := r.open(); err != nil {
+	if err := r.openListeners(); err != nil {
 		r.closeListeners()
 		r.closePlatform()
 		return nil, err
@@ -69,8 +69,8 @@
 	return r, nil
 }
 
-// Check finds out what Start would refuse, but for addresses that are in use.
-// It opens nothing. The error is a settings.Problems.
+// Check returns the error that Start would return for the settings, except for
+// addresses in use. It opens nothing. The error is a settings.Problems.
 func Check(s settings.Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
@@ -79,24 +79,25 @@
 	return err
 }
 
-// problem is an error about one key of the settings.
-func problem(key string, err error) error {
+// settingsProblem returns an error about one settings key.
+func settingsProblem(key string, err error) error {
 	return settings.Problems{{Key: key, Reason: err.Error()}}
 }
 
+// newIncarnation returns a random incarnation, which is never zero.
 func newIncarnation() control.Incarnation {
 	var bytes [8]byte
 	_, _ = rand.Read(bytes[:]) // never fails, see crypto/rand
 	return control.Incarnation(binary.LittleEndian.Uint64(bytes[:]) | 1)
 }
 
-// buildCore makes the parts that do nothing by themselves.
+// buildCore creates the parts that do nothing until they are called or started.
 func (r *Router) buildCore() {
 	s := r.settings
 	if s.Platform.Kind == settings.KindManaged {
 		r.managed = r.newManaged()
 	} else {
-		r.buildPatched()
+		r.buildOwnPlatform()
 	}
 	machine := control.New(control.Options{
 		Node:           control.NodeID(s.Node.Name),
@@ -117,45 +118,45 @@
 	r.loop = newLoop(machine, r, r.log)
 }
 
-// buildPatched makes the clients of the product's own platform.
-func (r *Router) buildPatched() {
+// buildOwnPlatform creates the clients of the product's own platform.
+func (r *Router) buildOwnPlatform() {
 	s := r.settings
-	r.patched = &patched{}
+	r.ownPlatform = &ownPlatform{}
 	r.platform = store.NewClient(store.Options{
 		Address:         s.Platform.Address,
 		Timeout:         time.Duration(s.Platform.Timeout),
-		WritesPerSecond: firstWritesPerSecond + patchWritesPerSecond,
+		WritesPerSecond: initialWritesPerSecond + patchWritesPerSecond,
 		WriteBurst:      writeBurst,
 	})
-	r.store = configstore.New(r.platform, r.platform.Objects(), configstore.Options{Log: r.log})
+	r.configStore = configstore.New(r.platform, r.platform.Objects(), configstore.Options{Log: r.log})
 	r.follower = follower.New(follower.Options{
-		Source:    r.store,
+		Source:    r.configStore,
 		Peers:     peerFetcher{r},
 		OnChange:  r.configChanged,
 		PollEvery: time.Duration(s.Platform.PollEvery),
 		Timeout:   time.Duration(s.Platform.Timeout),
 		Log:       r.log,
 	})
-	r.owners = newOwners(control.NodeID(s.Node.Name), r.incarnation, time.Now)
+	r.owners = newClaimOwners(control.NodeID(s.Node.Name), r.incarnation, time.Now)
 }
 
-// callerListener opens the listener for callers. Keep-alive probes are off: they take four
-// system calls for each connection, a third of what a refusal costs, and find nothing that
-// the deadlines of requests and the idle timeout do not.
-var callerListener = net.ListenConfig{KeepAlive: -1}
+// callerListenConfig opens the listener for callers. Keep-alive probes are off: they take four
+// system calls per connection, a third of the cost of a refusal, and detect nothing that the
+// request deadlines and the idle timeout do not.
+var callerListenConfig = net.ListenConfig{KeepAlive: -1}
 
-// open opens the listeners and makes what answers peers and operators.
-func (r *Router) open() error {
+// openListeners opens the listeners and creates the servers for peers and operators.
+func (r *Router) openListeners() error {
 	var err error
-	if r.callers, err = callerListener.Listen(context.Background(), "tcp", r.settings.Listen.Callers); err != nil {
-		return problem(keyCallers, err)
+	if r.callers, err = callerListenConfig.Listen(context.Background(), "tcp", r.settings.Listen.Callers); err != nil {
+		return settingsProblem(keyCallers, err)
 	}
 	if r.operators, err = net.Listen("tcp", r.settings.Listen.Operators); err != nil {
-		return problem(keyOperators, err)
+		return settingsProblem(keyOperators, err)
 	}
 	if r.settings.Listen.Health != "" {
 		if r.health, err = net.Listen("tcp", r.settings.Listen.Health); err != nil {
-			return problem(keyHealth, err)
+			return settingsProblem(keyHealth, err)
 		}
 	}
 	r.operator, err = operator.New(backend{r}, operator.Options{
@@ -165,7 +166,7 @@
 		Log:       r.log,
 	})
 	if err != nil {
-		return problem("operators", err)
+		return settingsProblem("operators", err)
 	}
 	options, err := peerOptions(r.settings, r.incarnation)
 	if err != nil {
@@ -174,16 +175,16 @@
 	options.Logger = r.log
 	r.mesh, err = peer.New(options, peerHandler{r})
 	if err != nil {
-		return problem(keyPeers, err)
+		return settingsProblem(keyPeers, err)
 	}
 	return nil
 }
 
-// peerOptions loads the keys for peers and checks them.
+// peerOptions loads the TLS keys for peers and returns the checked options.
 func peerOptions(s settings.Settings, incarnation control.Incarnation) (peer.Options, error) {
 	keys, err := tlsfiles.Load(s.Peers.CertFile, s.Peers.KeyFile, s.Peers.CAFile)
 	if err != nil {
-		return peer.Options{}, problem(keyPeerFiles, err)
+		return peer.Options{}, settingsProblem(keyPeerFiles, err)
 	}
 	options := peer.Options{
 		Node:          control.NodeID(s.Node.Name),
@@ -193,7 +194,7 @@
 		TrustNetwork:  s.Peers.TrustNetwork,
 	}
 	if err := options.Check(); err != nil {
-		return peer.Options{}, problem(keyPeerFiles, err)
+		return peer.Options{}, settingsProblem(keyPeerFiles, err)
 	}
 	return options, nil
 }
@@ -206,8 +207,8 @@
 	}
 }
 
-// buildWorkers makes the parts that have goroutines of their own, and what
-// needs them.
+// buildWorkers creates the parts that have goroutines of their own, and the parts
+// that depend on them.
 func (r *Router) buildWorkers() {
 	s := r.settings
 	r.targets = targets.NewHTTPClient(targets.Options{
@@ -228,20 +229,20 @@
 	options.Log = r.log
 	options.Dialect = r.dialect()
 	if r.managed != nil {
-		r.caches = cachewatch.New(platform.NewCaches(r.targets), r.targetKept, r.log)
-		options.Release = r.overload.releases
-		options.Shed = r.overload.sheds
-		options.OnShed = r.noteUnread
+		r.cacheWatcher = cachewatch.New(platform.NewCaches(r.targets), r.targetCacheChanged, r.log)
+		options.Release = r.overload.shouldCloseConn
+		options.Shed = r.overload.shouldShed
+		options.OnShed = r.countUnread
 		r.front = front.New(options, r.routedPipeline())
 		return
 	}
 	r.orders = r.newOrders()
-	r.buildCommits()
+	r.buildCommitTable()
 	r.records = runrecord.New(runrecord.Options{
 		Table:       r.commits.Load(),
 		Node:        control.NodeID(s.Node.Name),
 		Incarnation: r.incarnation,
-		OwnerAlive:  r.owners.alive,
+		OwnerAlive:  r.owners.mayBeRunning,
 		Logger:      r.log,
 	})
 	keys := authenticate.New(r)
@@ -249,7 +250,7 @@
 	r.front = front.New(options, r.pipeline(keys))
 }
 
-// dialect is how the fleet's callers and targets speak.
+// dialect returns the dialect of the fleet's callers and targets.
 func (r *Router) dialect() *dialect.Dialect {
 	if r.managed != nil {
 		return platform.Dialect
@@ -257,25 +258,25 @@
 	return dialect.Own
 }
 
-// run starts the goroutines of a router whose parts are all made.
+// run starts the router's goroutines, after all its parts have been created.
 func (r *Router) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
-	r.unpublish = r.publishMetrics()
+	r.unpublishMetrics = r.publishMetrics()
 	go r.loop.run(r.stopLoop)
 	if r.managed != nil {
-		r.start(func() { r.directory.Run(ctx) })
-		r.start(func() { r.followMembers(ctx) })
-		r.start(func() { r.awaitJoined(ctx) })
-		r.start(func() { r.overload.run(ctx) })
-		r.start(func() { r.unread.run(ctx, r.loop) })
+		r.startWorker(func() { r.directory.Run(ctx) })
+		r.startWorker(func() { r.followMembers(ctx) })
+		r.startWorker(func() { r.awaitJoined(ctx) })
+		r.startWorker(func() { r.overload.run(ctx) })
+		r.startWorker(func() { r.unread.run(ctx, r.loop) })
 	} else {
-		r.start(func() { r.follower.Run(ctx) })
-		r.start(func() { r.followVMs(ctx) })
+		r.startWorker(func() { r.follower.Run(ctx) })
+		r.startWorker(func() { r.followVMs(ctx) })
 	}
 	if r.health != nil {
-		r.start(func() { r.serve("health", r.operator.Serve, r.health) })
+		r.startWorker(func() { r.serve("health", r.operator.Serve, r.health) })
 	}
-	r.start(func() { r.serve("callers", r.front.Serve, r.callers) })
-	r.start(func() { r.serve("operators", r.operator.Serve, r.operators) })
+	r.startWorker(func() { r.serve("callers", r.front.Serve, r.callers) })
+	r.startWorker(func() { r.serve("operators", r.operator.Serve, r.operators) })
 }
--- a/router/start_test.go
+++ b/router/start_test.go
@@ -19,17 +19,17 @@
 	return s
 }
 
-// goroutines that libraries keep for the whole process.
-var libraries = []goleak.Option{
+// ignoredGoroutines are goroutines that libraries keep for the whole process.
+var ignoredGoroutines = []goleak.Option{
 	goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
 	goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"),
 	goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*HostClient).connsCleaner"),
 }
 
-// TestFailedStartLeavesNothing takes one listener's port after the other: no
-// goroutine and no listener is left.
-func TestFailedStartLeavesNothing(t *testing.T) {
-	defer goleak.VerifyNone(t, libraries...)
+// TestFailedStartLeavesNothingRunning occupies the port of one listener after the
+// other and checks that no goroutine and no listener is left.
+func TestFailedStartLeavesNothingRunning(t *testing.T) {
+	defer goleak.VerifyNone(t, ignoredGoroutines...)
 	for _, key := range []string{keyCallers, keyOperators, keyPeers} {
 		taken, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
@@ -49,7 +49,7 @@
 		}
 		again, err := net.Listen("tcp4", free)
 		if err != nil {
-			t.Errorf("%s: a listener was left: %v", key, err)
+			t.Errorf("%s: a listener was left open: %v", key, err)
 		} else {
 			again.Close()
 		}
@@ -67,9 +67,9 @@
 	return listener.Addr().String()
 }
 
-// TestCloseLeavesNothing starts and closes a router.
-func TestCloseLeavesNothing(t *testing.T) {
-	defer goleak.VerifyNone(t, libraries...)
+// TestCloseLeavesNothingRunning starts and closes a router.
+func TestCloseLeavesNothingRunning(t *testing.T) {
+	defer goleak.VerifyNone(t, ignoredGoroutines...)
 	r, err := Start(testSettings(), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
--- a/router/status.go
+++ b/router/status.go
@@ -19,21 +19,21 @@
 	if request.Node != "" && request.Node != b.router.settings.Node.Name {
 		return b.remoteStatus(ctx, request)
 	}
-	var inside control.Status
-	if !b.router.loop.query(func(m *control.Machine) { inside = m.Status() }) {
+	var machineStatus control.Status
+	if !b.router.loop.query(func(m *control.Machine) { machineStatus = m.Status() }) {
 		return operator.Status{}, result.New(result.RouterUnreachable, "The router has stopped.")
 	}
 	status := operator.Status{
 		Newest:  b.router.version(),
-		Routers: []operator.RouterStatus{b.routerStatus(inside)},
+		Routers: []operator.RouterStatus{b.routerStatus(machineStatus)},
 	}
 	if request.Detail {
-		b.addDetail(&status, inside)
+		b.addDetail(&status, machineStatus)
 	}
 	return status, nil
 }
 
-func (b backend) routerStatus(inside control.Status) operator.RouterStatus {
+func (b backend) routerStatus(machineStatus control.Status) operator.RouterStatus {
 	r := b.router
 	row := operator.RouterStatus{
 		Node:        r.settings.Node.Name,
@@ -42,8 +42,8 @@
 		Incarnation: fmt.Sprintf("%016x", uint64(r.incarnation)),
 		State:       b.state(),
 		Version:     r.version(),
-		Waiting:     inside.Waiting,
-		Running:     inside.Running,
+		Waiting:     machineStatus.Waiting,
+		Running:     machineStatus.Running,
 	}
 	if vms := r.vms.Load(); vms != nil {
 		for _, vm := range *vms {
@@ -71,10 +71,10 @@
 	}
 }
 
-// addDetail adds the requests that entered here by workspace, and the shards
+// addDetail adds the requests that entered here, per workspace, and the shards
 // and targets scheduled here.
-func (b backend) addDetail(status *operator.Status, inside control.Status) {
-	for workspace, count := range inside.ByWorkspace {
+func (b backend) addDetail(status *operator.Status, machineStatus control.Status) {
+	for workspace, count := range machineStatus.ByWorkspace {
 		status.Backlog = append(status.Backlog, operator.WorkspaceBacklog{
 			Workspace:    workspace,
 			Waiting:      count.Waiting,
@@ -85,7 +85,7 @@
 	slices.SortFunc(status.Backlog, func(x, y operator.WorkspaceBacklog) int {
 		return strings.Compare(x.Workspace, y.Workspace)
 	})
-	for _, shard := range inside.Shards {
+	for _, shard := range machineStatus.Shards {
 		b.addShard(status, shard)
 	}
 }
@@ -99,7 +99,7 @@
 		Running:    shard.Granted,
 	}
 	var states map[string]orders.Reason
-	if b.router.patched != nil {
+	if b.router.ownPlatform != nil {
 		states = b.router.orders.States()
 	}
 	for _, target := range shard.Targets {
@@ -113,7 +113,7 @@
 			Slots:         target.Slots,
 			LoadAgeMillis: loadAgeMillis(target.LoadAge),
 			Scheduler:     b.router.settings.Node.Name,
-			Orders:        ordersOf(states, target.Target),
+			Orders:        orderStatus(states, target.Target),
 		})
 	}
 	status.Shards = append(status.Shards, row)
@@ -132,7 +132,7 @@
 	}
 }
 
-// loadAgeMillis is -1 for a target that has not reported yet.
+// loadAgeMillis returns the age in milliseconds; -1 for a target that has not reported yet.
 func loadAgeMillis(age time.Duration) int64 {
 	if age < 0 {
 		return -1
--- a/router/unread.go
+++ b/router/unread.go
@@ -8,20 +8,20 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// unreadEvery is the period of telling the schedulers what was refused unread: several
-// times within the second in which a refusal counts there.
-const unreadEvery = 200 * time.Millisecond
+// unreadReportInterval is the interval at which schedulers are told how many requests were
+// refused unread: several times within the second for which a refusal counts there.
+const unreadReportInterval = 200 * time.Millisecond
 
-// unread counts the requests that this router refused before it read them, by pool and
+// unreadCounts counts the requests that this router refused before reading them, by pool and
 // workspace. It is safe for concurrent use.
-type unread struct {
+type unreadCounts struct {
 	mu     sync.Mutex
 	counts map[unreadKey]int
 }
 
 type unreadKey struct{ pool, workspace string }
 
-func (u *unread) add(key unreadKey) {
+func (u *unreadCounts) add(key unreadKey) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.counts == nil {
@@ -30,8 +30,8 @@
 	u.counts[key]++
 }
 
-// take returns the counts since the last call.
-func (u *unread) take() map[unreadKey]int {
+// take returns the counts since the last call and resets them.
+func (u *unreadCounts) take() map[unreadKey]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	counts := u.counts
@@ -39,9 +39,9 @@
 	return counts
 }
 
-// run tells the control goroutine until ctx ends.
-func (u *unread) run(ctx context.Context, to *loop) {
-	ticker := time.NewTicker(unreadEvery)
+// run reports the counts to the control goroutine until ctx ends.
+func (u *unreadCounts) run(ctx context.Context, to *loop) {
+	ticker := time.NewTicker(unreadReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -55,8 +55,8 @@
 	}
 }
 
-// noteUnread counts a request that is refused unread, if its route and key are known.
-func (r *Router) noteUnread(host, path []byte, header func(name string) []byte) {
+// countUnread counts a request that is refused unread, if its route and key are known.
+func (r *Router) countUnread(host, path []byte, header func(name string) []byte) {
 	snapshot := r.InForce()
 	if snapshot == nil {
 		return
--- a/router/unread_test.go
+++ b/router/unread_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-func TestUnreadIsTakenOnce(t *testing.T) {
-	var u unread
+func TestUnreadCountsAreTakenOnce(t *testing.T) {
+	var u unreadCounts
 	key := unreadKey{pool: "gen", workspace: "a"}
 	u.add(key)
 	u.add(key)
