--- a/front/answer.go
+++ b/front/answer.go
@@ -183,8 +183,8 @@
 
 // withResultCode returns err with a result code: its own, or result.StreamBroken.
 func withResultCode(err error) error {
-	var numbered *result.Error
-	if errors.As(err, &numbered) {
+	var coded *result.Error
+	if errors.As(err, &coded) {
 		return err
 	}
 	return result.Wrap(result.StreamBroken, err, "The answer broke off.")
--- a/front/arrivals.go
+++ b/front/arrivals.go
@@ -54,60 +54,60 @@
 // reports false if there is no room: a workspace may hold at most as much as is
 // left free, so a single workspace gets at most half and there is always room for
 // another one.
-func (a *bodyReservations) reserve(workspace string, bytes int64, now time.Time) (uint64, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.expire(now)
-	workspaceBytes := a.bytesByWorkspace[workspace]
-	if workspaceBytes+bytes > a.max-a.totalBytes {
+func (b *bodyReservations) reserve(workspace string, bytes int64, now time.Time) (uint64, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.expire(now)
+	workspaceBytes := b.bytesByWorkspace[workspace]
+	if workspaceBytes+bytes > b.max-b.totalBytes {
 		return 0, false
 	}
-	a.totalBytes += bytes
-	a.bytesByWorkspace[workspace] = workspaceBytes + bytes
-	return a.register(&bodyReservation{owner: a, workspace: workspace, bytes: bytes}, now), true
+	b.totalBytes += bytes
+	b.bytesByWorkspace[workspace] = workspaceBytes + bytes
+	return b.register(&bodyReservation{owner: b, workspace: workspace, bytes: bytes}, now), true
 }
 
-// refuse records why a request is refused after its headers were read, and returns
+// recordRefusal records why a request is refused after its headers were read, and returns
 // the number of the record.
-func (a *bodyReservations) refuse(refusal *result.Error, now time.Time) uint64 {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.expire(now)
-	return a.register(&bodyReservation{owner: a, refusal: refusal}, now)
+func (b *bodyReservations) recordRefusal(refusal *result.Error, now time.Time) uint64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.expire(now)
+	return b.register(&bodyReservation{owner: b, refusal: refusal}, now)
 }
 
 // register numbers a reservation and sets its expiry. The caller holds a.mu.
-func (a *bodyReservations) register(reservation *bodyReservation, now time.Time) uint64 {
-	a.lastNumber++
-	reservation.number = a.lastNumber
-	reservation.expiresAt = now.Add(a.timeout)
-	a.pending[reservation.number] = reservation
-	a.byExpiry = append(a.byExpiry, reservation)
+func (b *bodyReservations) register(reservation *bodyReservation, now time.Time) uint64 {
+	b.lastNumber++
+	reservation.number = b.lastNumber
+	reservation.expiresAt = now.Add(b.timeout)
+	b.pending[reservation.number] = reservation
+	b.byExpiry = append(b.byExpiry, reservation)
 	return reservation.number
 }
 
 // expire frees the bytes reserved for bodies that did not arrive in time. The
 // caller holds a.mu.
-func (a *bodyReservations) expire(now time.Time) {
-	for len(a.byExpiry) > 0 && (a.byExpiry[0].claimed || now.After(a.byExpiry[0].expiresAt)) {
-		first := a.byExpiry[0]
-		a.byExpiry = a.byExpiry[1:]
+func (b *bodyReservations) expire(now time.Time) {
+	for len(b.byExpiry) > 0 && (b.byExpiry[0].claimed || now.After(b.byExpiry[0].expiresAt)) {
+		first := b.byExpiry[0]
+		b.byExpiry = b.byExpiry[1:]
 		if !first.claimed {
-			delete(a.pending, first.number)
-			a.shrinkLocked(first, 0)
+			delete(b.pending, first.number)
+			b.shrinkLocked(first, 0)
 		}
 	}
 }
 
 // claim returns a pending reservation once; nil if it has been claimed or has expired.
-func (a *bodyReservations) claim(number uint64) *bodyReservation {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	reservation := a.pending[number]
+func (b *bodyReservations) claim(number uint64) *bodyReservation {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	reservation := b.pending[number]
 	if reservation == nil {
 		return nil
 	}
-	delete(a.pending, number)
+	delete(b.pending, number)
 	reservation.claimed = true
 	return reservation
 }
@@ -123,22 +123,22 @@
 }
 
 // shrinkLocked is shrinkTo for callers that hold a.mu.
-func (a *bodyReservations) shrinkLocked(reservation *bodyReservation, size int64) {
+func (b *bodyReservations) shrinkLocked(reservation *bodyReservation, size int64) {
 	excess := reservation.bytes - size
 	if excess <= 0 {
 		return
 	}
 	reservation.bytes = size
-	a.totalBytes -= excess
-	a.bytesByWorkspace[reservation.workspace] -= excess
-	if a.bytesByWorkspace[reservation.workspace] == 0 {
-		delete(a.bytesByWorkspace, reservation.workspace)
+	b.totalBytes -= excess
+	b.bytesByWorkspace[reservation.workspace] -= excess
+	if b.bytesByWorkspace[reservation.workspace] == 0 {
+		delete(b.bytesByWorkspace, reservation.workspace)
 	}
 }
 
 // heldBytes returns the number of reserved bytes.
-func (a *bodyReservations) heldBytes() int64 {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.totalBytes
+func (b *bodyReservations) heldBytes() int64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.totalBytes
 }
--- a/front/arrivals_test.go
+++ b/front/arrivals_test.go
@@ -46,17 +46,17 @@
 func TestReservationsExpire(t *testing.T) {
 	now := time.Unix(0, 0)
 	a := newBodyReservations(1000, time.Minute)
-	lost, _ := a.reserve("w", 400, now)
-	kept, _ := a.reserve("w", 100, now)
-	a.claim(kept)
-	a.refuse(result.New(result.KeyWrong, "Wrong."), now)
+	unclaimed, _ := a.reserve("w", 400, now)
+	claimed, _ := a.reserve("w", 100, now)
+	a.claim(claimed)
+	a.recordRefusal(result.New(result.KeyWrong, "Wrong."), now)
 	if _, ok := a.reserve("w", 400, now.Add(time.Minute)); ok {
 		t.Error("bytes were reserved twice")
 	}
 	if _, ok := a.reserve("w", 400, now.Add(time.Minute+1)); !ok || a.heldBytes() != 500 {
 		t.Errorf("%d bytes held after the expiry", a.heldBytes())
 	}
-	if a.claim(lost) != nil || a.claim(kept) != nil || len(a.pending) != 1 || len(a.byExpiry) != 1 {
+	if a.claim(unclaimed) != nil || a.claim(claimed) != nil || len(a.pending) != 1 || len(a.byExpiry) != 1 {
 		t.Errorf("%d pending, %d in expiry order", len(a.pending), len(a.byExpiry))
 	}
 }
--- a/front/atonce.go
+++ b/front/atonce.go
@@ -49,25 +49,25 @@
 	if err != nil {
 		return nil // the listener is closed: the next accept reports it
 	}
-	a := &fastRefuser{server: server, rawListener: raw}
-	a.reader = bufio.NewReaderSize(&a.source, server.options.MaxHeaderBytes)
-	a.writer = bufio.NewWriter(&a.output)
-	return a
+	f := &fastRefuser{server: server, rawListener: raw}
+	f.reader = bufio.NewReaderSize(&f.source, server.options.MaxHeaderBytes)
+	f.writer = bufio.NewWriter(&f.output)
+	return f
 }
 
 // refuseWaiting accepts pending connections and refuses their requests for as long as the
 // server sheds load. It returns a connection whose request the fast path cannot refuse; or
 // nil, and the admission of the connection that is accepted next.
-func (a *fastRefuser) refuseWaiting() (*callerConn, admission) {
-	for a.server.options.Shed(false) {
-		fd, ok := a.acceptWaiting()
+func (f *fastRefuser) refuseWaiting() (*callerConn, admission) {
+	for f.server.options.Shed(false) {
+		fd, ok := f.acceptWaiting()
 		if !ok {
 			return nil, undecided
 		}
-		if conn := a.refuse(fd); conn != nil {
+		if conn := f.refuse(fd); conn != nil {
 			return conn, conn.admission
 		}
-		if a.refusalCount++; a.refusalCount%refusalsPerYield == 0 {
+		if f.refusalCount++; f.refusalCount%refusalsPerYield == 0 {
 			runtime.Gosched()
 		}
 	}
@@ -76,32 +76,32 @@
 
 // acceptWaiting accepts a pending connection. If that fails, the listener's own accept follows
 // and reports the failure.
-func (a *fastRefuser) acceptWaiting() (fd int, ok bool) {
+func (f *fastRefuser) acceptWaiting() (fd int, ok bool) {
 	var err error
-	controlErr := a.rawListener.Control(func(listener uintptr) {
+	controlErr := f.rawListener.Control(func(listener uintptr) {
 		fd, _, err = syscall.Accept4(int(listener), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	})
 	if controlErr != nil || err != nil {
 		return 0, false
 	}
-	a.server.acceptedAt.Store(a.server.sinceStart())
+	f.server.acceptedAt.Store(f.server.sinceStart())
 	return fd, true
 }
 
 // refuse reads and refuses the request of a connection. If the request has not arrived whole
 // or is not a simple one, refuse returns the connection for the HTTP library to read.
-func (a *fastRefuser) refuse(fd int) *callerConn {
-	n, err := syscall.Read(fd, a.readBuffer[:])
+func (f *fastRefuser) refuse(fd int) *callerConn {
+	n, err := syscall.Read(fd, f.readBuffer[:])
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
-		return a.handOver(fd, nil)
+		return f.handOver(fd, nil)
 	case err != nil || n == 0:
 		closeDescriptor(fd) // the caller has closed the connection
 		return nil
-	case !a.parseSimple(a.readBuffer[:n]):
-		return a.handOver(fd, bytes.Clone(a.readBuffer[:n]))
+	case !f.parseSimple(f.readBuffer[:n]):
+		return f.handOver(fd, bytes.Clone(f.readBuffer[:n]))
 	}
-	a.writeRefusal(fd)
+	f.writeRefusal(fd)
 	closeDescriptor(fd)
 	return nil
 }
@@ -109,48 +109,48 @@
 // parseSimple reads the headers and reports whether the request is a simple one (no Expect
 // header, no chunks) that has arrived whole: closing with unread bytes would reset the
 // connection and lose the answer.
-func (a *fastRefuser) parseSimple(request []byte) bool {
-	a.source.Reset(request)
-	a.reader.Reset(&a.source)
-	header := &a.ctx.Request.Header
+func (f *fastRefuser) parseSimple(request []byte) bool {
+	f.source.Reset(request)
+	f.reader.Reset(&f.source)
+	header := &f.ctx.Request.Header
 	header.Reset()
-	if err := header.Read(a.reader); err != nil {
+	if err := header.Read(f.reader); err != nil {
 		return false // the HTTP library reports what is wrong with it
 	}
 	if len(header.Peek(fasthttp.HeaderExpect)) > 0 || header.ContentLength() == lengthChunked {
 		return false
 	}
-	return a.reader.Buffered()+a.source.Len() >= header.ContentLength()
+	return f.reader.Buffered()+f.source.Len() >= header.ContentLength()
 }
 
 // writeRefusal writes the refusal of the request whose headers were parsed.
-func (a *fastRefuser) writeRefusal(fd int) {
-	a.ctx.Request.SetRequestURIBytes(a.ctx.Request.Header.RequestURI())
-	a.server.writeOverloaded(&a.ctx)
+func (f *fastRefuser) writeRefusal(fd int) {
+	f.ctx.Request.SetRequestURIBytes(f.ctx.Request.Header.RequestURI())
+	f.server.writeOverloaded(&f.ctx)
 	fastRefusals.Inc()
-	a.output.Reset()
-	a.writer.Reset(&a.output)
-	if err := a.ctx.Response.Write(a.writer); err != nil {
+	f.output.Reset()
+	f.writer.Reset(&f.output)
+	if err := f.ctx.Response.Write(f.writer); err != nil {
 		return // unreachable: writes to a buffer do not fail
 	}
-	if err := a.writer.Flush(); err != nil {
+	if err := f.writer.Flush(); err != nil {
 		return
 	}
 	// A failed write means that the caller is gone.
-	_, _ = syscall.Write(fd, a.output.Bytes())
+	_, _ = syscall.Write(fd, f.output.Bytes())
 }
 
 // handOver makes a connection from a descriptor. read holds the bytes already read from it.
-func (a *fastRefuser) handOver(fd int, read []byte) *callerConn {
+func (f *fastRefuser) handOver(fd int, read []byte) *callerConn {
 	file := os.NewFile(uintptr(fd), "")
 	defer file.Close() // the connection has a duplicate of the descriptor
 	conn, err := net.FileConn(file)
 	if err != nil {
 		acceptFailures.Inc()
-		a.server.log.Warn("front: Could not make a connection from an accepted descriptor.", "error", err)
+		f.server.log.Warn("front: Could not make a connection from an accepted descriptor.", "error", err)
 		return nil
 	}
-	c := newCallerConn(conn, a.server)
+	c := newCallerConn(conn, f.server)
 	c.unread = read
 	c.admission = rejected
 	return c
--- a/front/atonce_test.go
+++ b/front/atonce_test.go
@@ -81,21 +81,21 @@
 	callerSetsID := *dialect.Own
 	callerSetsID.CallerSetsID = true
 	callerSetsID.RequestID = "Walnut-Request-Id"
-	var told []string
+	var shedRequests []string
 	r := newRefuser(t, Options{
 		Dialect: &callerSetsID,
 		OnShed: func(host, path []byte, header func(string) []byte) {
-			told = append(told, fmt.Sprintf("%s%s %s", host, path, header("Walnut-Request-Id")))
+			shedRequests = append(shedRequests, fmt.Sprintf("%s%s %s", host, path, header("Walnut-Request-Id")))
 		},
 	})
 	first := r.call(t, shortCall)
 	second := r.call(t, "GET /b?c=d HTTP/1.1\r\nHost: a\r\n\r\n")
 	r.shedsLeft = 2
-	before := fastRefusals.Get()
-	if conn, next := r.refuseWaiting(); conn != nil || next != admitted {
-		t.Fatalf("handed over: %v; admission of the next connection: %v", conn, next)
+	refusalsBefore := fastRefusals.Get()
+	if conn, nextAdmission := r.refuseWaiting(); conn != nil || nextAdmission != admitted {
+		t.Fatalf("handed over: %v; admission of the next connection: %v", conn, nextAdmission)
 	}
-	if got := fastRefusals.Get() - before; got != 2 {
+	if got := fastRefusals.Get() - refusalsBefore; got != 2 {
 		t.Errorf("%d fast refusals", got)
 	}
 	answer := answerOn(t, first)
@@ -104,8 +104,8 @@
 		t.Errorf("%s %v", answer.Status, answer.Header)
 	}
 	answerOn(t, second)
-	if want := []string{"a/a r-1", "a/b "}; strings.Join(told, ",") != strings.Join(want, ",") {
-		t.Errorf("OnShed got %q", told)
+	if want := []string{"a/a r-1", "a/b "}; strings.Join(shedRequests, ",") != strings.Join(want, ",") {
+		t.Errorf("OnShed got %q", shedRequests)
 	}
 }
 
@@ -151,12 +151,12 @@
 func TestAdmissionAfterFastRefusals(t *testing.T) {
 	r := newRefuser(t, Options{})
 	r.shedsLeft = 0
-	if conn, next := r.refuseWaiting(); conn != nil || next != admitted {
-		t.Errorf("%v, %v", conn, next)
+	if conn, nextAdmission := r.refuseWaiting(); conn != nil || nextAdmission != admitted {
+		t.Errorf("%v, %v", conn, nextAdmission)
 	}
 	r.shedsLeft = 1
-	if conn, next := r.refuseWaiting(); conn != nil || next != undecided {
-		t.Errorf("%v, %v", conn, next)
+	if conn, nextAdmission := r.refuseWaiting(); conn != nil || nextAdmission != undecided {
+		t.Errorf("%v, %v", conn, nextAdmission)
 	}
 	r.shedsLeft = 1
 	if r.server.shouldShed(&callerConn{admission: admitted}) || !r.server.shouldShed(&callerConn{admission: rejected}) {
@@ -174,11 +174,11 @@
 	r.call(t, "").Close()
 	next := r.call(t, shortCall)
 	r.shedsLeft = 2
-	before := fastRefusals.Get()
+	refusalsBefore := fastRefusals.Get()
 	if conn, _ := r.refuseWaiting(); conn != nil {
 		t.Fatal("handed over")
 	}
-	if got := fastRefusals.Get() - before; got != 1 {
+	if got := fastRefusals.Get() - refusalsBefore; got != 1 {
 		t.Errorf("%d fast refusals", got)
 	}
 	answerOn(t, next)
--- a/front/bench_test.go
+++ b/front/bench_test.go
@@ -18,6 +18,7 @@
 	"github.com/walnutcove/walnutcove/pipeline"
 )
 
+// fixedSnapshot is a configuration source with one fixed snapshot.
 type fixedSnapshot struct{ snapshot *config.Snapshot }
 
 func (s fixedSnapshot) InForce() *config.Snapshot { return s.snapshot }
--- a/front/endby_test.go
+++ b/front/endby_test.go
@@ -30,13 +30,13 @@
 // TestRefusalAtDeadlineWhileExchangeRuns guards against a refusal that waits for the exchange to
 // end, is incomplete, or is followed by an answer.
 func TestRefusalAtDeadlineWhileExchangeRuns(t *testing.T) {
-	const at, answer = 50 * time.Millisecond, 600 * time.Millisecond
+	const refuseAfter, answerAfter = 50 * time.Millisecond, 600 * time.Millisecond
 	dropped := make(chan bool, 1)
-	f := start(t, Options{}, refusedAtHandler(at, answer, dropped))
+	f := start(t, Options{}, refusedAtHandler(refuseAfter, answerAfter, dropped))
 	sent := time.Now()
 	conn, r := f.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
 	response := f.answer(r)
-	if took := time.Since(sent); response.StatusCode != http.StatusGatewayTimeout || !response.Close || took > answer/2 {
+	if took := time.Since(sent); response.StatusCode != http.StatusGatewayTimeout || !response.Close || took > answerAfter/2 {
 		t.Errorf("status %d after %s, connection closes: %v", response.StatusCode, took, response.Close)
 	}
 	if rest, err := io.ReadAll(conn); err != nil || len(rest) > 0 {
@@ -56,14 +56,14 @@
 // TestDeadlineRefusalRacesAnswer guards against two answers or none to a request whose answer and
 // refusal are ready at the same time.
 func TestDeadlineRefusalRacesAnswer(t *testing.T) {
-	const callers, each, at = 16, 20, 10 * time.Millisecond
-	dropped := make(chan bool, callers*each)
-	f := start(t, Options{}, refusedAtHandler(at, at, dropped))
+	const callers, requestsEach, bothAfter = 16, 20, 10 * time.Millisecond
+	dropped := make(chan bool, callers*requestsEach)
+	f := start(t, Options{}, refusedAtHandler(bothAfter, bothAfter, dropped))
 	var refused, answered sync.Map
 	var all sync.WaitGroup
 	for range callers {
 		all.Go(func() {
-			for range each {
+			for range requestsEach {
 				conn, r := f.send("POST / HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 				response, err := http.ReadResponse(r, nil)
 				if err != nil {
@@ -91,7 +91,7 @@
 		return n
 	}
 	t.Logf("%d refused, %d answered", count(&refused), count(&answered))
-	if count(&refused)+count(&answered) != callers*each {
-		t.Errorf("%d refused and %d answered of %d", count(&refused), count(&answered), callers*each)
+	if count(&refused)+count(&answered) != callers*requestsEach {
+		t.Errorf("%d refused and %d answered of %d", count(&refused), count(&answered), callers*requestsEach)
 	}
 }
--- a/front/flood_test.go
+++ b/front/flood_test.go
@@ -45,7 +45,7 @@
 	}, answerEmpty)
 	client := &http.Client{Timeout: 10 * time.Second}
 	const requests = 3 * maxRefusalLogsPerSecond
-	before := refusalsUnlogged.Get()
+	unloggedBefore := refusalsUnlogged.Get()
 	for range requests {
 		answer, err := client.Get("http://" + address + "/x")
 		if err != nil {
@@ -56,7 +56,7 @@
 	}
 	client.CloseIdleConnections()
 	logged := strings.Count(lines.String(), "Request refused")
-	if unsaid := int(refusalsUnlogged.Get() - before); logged < maxRefusalLogsPerSecond || logged+unsaid != requests {
-		t.Errorf("%d refused: %d logged, %d only counted", requests, logged, unsaid)
+	if unlogged := int(refusalsUnlogged.Get() - unloggedBefore); logged < maxRefusalLogsPerSecond || logged+unlogged != requests {
+		t.Errorf("%d refused: %d logged, %d only counted", requests, logged, unlogged)
 	}
 }
--- a/front/header.go
+++ b/front/header.go
@@ -54,7 +54,7 @@
 	}
 	header.SetContentLength(0)
 	header.Del(fasthttp.HeaderExpect)
-	return s.reservations.refuse(refusal, now)
+	return s.reservations.recordRefusal(refusal, now)
 }
 
 // checkHeader returns the workspace, or the reason why the request is refused by its
--- a/front/serve_test.go
+++ b/front/serve_test.go
@@ -281,11 +281,11 @@
 }
 
 func TestExchangesDoNotShareBuffersUnderLoad(t *testing.T) {
-	const callers, each = 16, 100
+	const callers, requestsEach = 16, 100
 	// Each answer is written while another request is served, and every exchange
 	// is checked again after its buffers have been reused.
-	late := make(chan func(), callers*each)
-	served := make(chan *pipeline.Exchange, callers*each)
+	late := make(chan func(), callers*requestsEach)
+	served := make(chan *pipeline.Exchange, callers*requestsEach)
 	f := start(t, Options{}, func(ctx context.Context, ex *pipeline.Exchange) error {
 		done := make(chan struct{})
 		late <- func() {
@@ -308,7 +308,7 @@
 		wait.Go(func() {
 			conn := f.dial()
 			r := bufio.NewReader(conn)
-			for i := range each {
+			for i := range requestsEach {
 				name := fmt.Sprintf("%d-%d", caller, i)
 				sent := bodyFor(name, i)
 				fmt.Fprintf(conn, "POST /p%s HTTP/1.1\r\nHost: a\r\nX-Name: %s\r\nContent-Length: %d\r\n\r\n%s", name, name, len(sent), sent)
--- a/front/status_test.go
+++ b/front/status_test.go
@@ -53,18 +53,18 @@
 // TestOnShedGetsHostPathAndHeaders checks that OnShed gets the host, path and headers of a
 // request that is refused unread.
 func TestOnShedGetsHostPathAndHeaders(t *testing.T) {
-	told := make(chan string, 1)
+	shedRequests := make(chan string, 1)
 	f := start(t, Options{
 		Shed: func(bool) bool { return true },
 		OnShed: func(host, path []byte, header func(name string) []byte) {
-			told <- string(host) + " " + string(path) + " " + string(header("X-Key"))
+			shedRequests <- string(host) + " " + string(path) + " " + string(header("X-Key"))
 		},
 	}, answerEmpty)
 	_, r := f.send("POST /x/y?z HTTP/1.1\r\nHost: a\r\nX-Key: k\r\nContent-Length: 2\r\n\r\nhi")
 	if response := f.answer(r); response.StatusCode != 503 || !response.Close {
 		t.Errorf("status %d, close %v", response.StatusCode, response.Close)
 	}
-	if got := <-told; got != "a /x/y k" {
+	if got := <-shedRequests; got != "a /x/y k" {
 		t.Errorf("OnShed got %q", got)
 	}
 }
--- a/router/flood_test.go
+++ b/router/flood_test.go
@@ -30,24 +30,24 @@
 
 // simulate runs the load through the shedding of an overload in virtual time, and counts the
 // requests whose answers began in time and late.
-func (f floodLoad) simulate(o *overload, length time.Duration) (inTime, late int) {
+func (f floodLoad) simulate(o *overload, duration time.Duration) (inTime, late int) {
 	const step = time.Millisecond
 	var queue []cpuTurn
-	budget, due := time.Duration(0), 0.0
+	cpuBudget, dueArrivals := time.Duration(0), 0.0
 	start := time.Now()
-	for now := time.Duration(0); now < length; now += step {
-		for due += float64(f.perSecond) * step.Seconds(); due >= 1; due-- {
+	for now := time.Duration(0); now < duration; now += step {
+		for dueArrivals += float64(f.perSecond) * step.Seconds(); dueArrivals >= 1; dueArrivals-- {
 			if o.shouldShed(false) {
 				queue = append(queue, cpuTurn{arrivedAt: now, turnsLeft: 0, cost: f.refused})
 				continue
 			}
 			queue = append(queue, cpuTurn{arrivedAt: now, turnsLeft: f.turns, cost: f.served / time.Duration(f.turns)})
 		}
-		budget = min(budget+time.Duration(f.cores*float64(step)), step)
-		for len(queue) > 0 && budget >= queue[0].cost {
+		cpuBudget = min(cpuBudget+time.Duration(f.cores*float64(step)), step)
+		for len(queue) > 0 && cpuBudget >= queue[0].cost {
 			next := queue[0]
 			queue = queue[1:]
-			budget -= next.cost
+			cpuBudget -= next.cost
 			if next.turnsLeft > 1 {
 				next.turnsLeft--
 				queue = append(queue, next)
@@ -82,9 +82,9 @@
 // late: a late answer costs as much processor time, and its caller could have used another router.
 func TestFloodIsServedInTime(t *testing.T) {
 	const (
-		length   = 6 * time.Second
-		goodPart = 0.6
-		latePart = 0.15
+		duration       = 6 * time.Second
+		minInTimeShare = 0.6
+		maxLateShare   = 0.15
 	)
 	for _, perSecond := range []int{800, 1500, 2500} {
 		f := floodLoad{
@@ -93,14 +93,14 @@
 			maxWait: 150 * time.Millisecond,
 		}
 		o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
-		inTime, late := f.simulate(o, length)
-		refusals := f.refused.Seconds() * float64(perSecond)
-		bound := (f.cores - refusals) / f.served.Seconds() * length.Seconds()
-		t.Logf("%d per second: %d in time, %d late, the processor could serve %.0f", perSecond, inTime, late, bound)
-		if float64(inTime) < goodPart*bound {
-			t.Errorf("%d per second: %d in time of %.0f that the processor could serve", perSecond, inTime, bound)
+		inTime, late := f.simulate(o, duration)
+		refusalLoad := f.refused.Seconds() * float64(perSecond)
+		capacity := (f.cores - refusalLoad) / f.served.Seconds() * duration.Seconds()
+		t.Logf("%d per second: %d in time, %d late, the processor could serve %.0f", perSecond, inTime, late, capacity)
+		if float64(inTime) < minInTimeShare*capacity {
+			t.Errorf("%d per second: %d in time of %.0f that the processor could serve", perSecond, inTime, capacity)
 		}
-		if float64(late) > latePart*float64(inTime+late) {
+		if float64(late) > maxLateShare*float64(inTime+late) {
 			t.Errorf("%d per second: %d of %d are late", perSecond, late, inTime+late)
 		}
 	}
--- a/router/lagprobe.go
+++ b/router/lagprobe.go
@@ -55,12 +55,12 @@
 	if sent := p.sentAt.Load(); sent != 0 {
 		return time.Duration(now - sent)
 	}
-	took := p.lastDelay.Load()
+	lastDelay := p.lastDelay.Load()
 	p.sentAt.Store(now)
 	if _, err := p.writer.Write([]byte{0}); err != nil {
 		p.sentAt.Store(0) // closed: the router is stopping
 	}
-	return time.Duration(took)
+	return time.Duration(lastDelay)
 }
 
 func (p *lagProbe) close() {
--- a/router/lagprobe_test.go
+++ b/router/lagprobe_test.go
@@ -15,7 +15,7 @@
 	const (
 		workers = 300
 		turn    = time.Millisecond
-		least   = 50 * time.Millisecond
+		minLag  = 50 * time.Millisecond
 	)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	probe := startLagProbe(slog.New(slog.DiscardHandler))
@@ -23,7 +23,7 @@
 	time.Sleep(lagInterval)
 	probe.currentDelay()
 	time.Sleep(lagInterval)
-	if late := probe.currentDelay(); late > least {
+	if late := probe.currentDelay(); late > minLag {
 		t.Errorf("%s late on an idle process", late)
 	}
 	var stop atomic.Bool
@@ -31,14 +31,14 @@
 	for range workers {
 		go work(&stop, turn)
 	}
-	var most time.Duration
+	var maxLag time.Duration
 	for range 20 {
 		time.Sleep(lagInterval)
-		most = max(most, probe.currentDelay())
+		maxLag = max(maxLag, probe.currentDelay())
 	}
-	t.Log("maximum lag:", most)
-	if most < least {
-		t.Errorf("%s late at most behind %d goroutines with turns of %s", most, workers, turn)
+	t.Log("maximum lag:", maxLag)
+	if maxLag < minLag {
+		t.Errorf("%s late at most behind %d goroutines with turns of %s", maxLag, workers, turn)
 	}
 }
 
--- a/router/loop.go
+++ b/router/loop.go
@@ -185,6 +185,7 @@
 	}
 }
 
+// step passes an event to the machine and executes the resulting commands.
 func (l *loop) step(event control.Event) {
 	start := time.Now()
 	defer func() { controlBusy.Add(time.Since(start).Seconds()) }()
--- a/router/managed.go
+++ b/router/managed.go
@@ -33,8 +33,8 @@
 	peerFetchFailures = metrics.GetOrCreateCounter(`walnut_router_directory_fetches_total{result="failed"}`)
 )
 
-// errConfigNotPatchable answers patch requests in a fleet whose configuration is
-// written to the platform.
+// errConfigNotPatchable answers requests that concern patches or commits in a fleet
+// whose configuration is written to the platform.
 var errConfigNotPatchable = result.New(result.InvalidPatch, "This fleet's configuration is written to the platform, not patched through routers.")
 
 // managed holds the parts of a router that only a fleet on a managed platform needs.
@@ -42,8 +42,8 @@
 	platformStore *platform.Store
 	routers       *platform.Routers
 	directory     *directory.Follower
-	// routersKnown is closed when the routers have been listed first, and joined once this
-	// router may report that it is ready; see awaitJoined.
+	// routersKnown is closed once the routers have been listed for the first time, and joined
+	// once this router may report that it is ready; see awaitJoined.
 	routersKnown     chan struct{}
 	routersKnownOnce sync.Once
 	joined           chan struct{}
@@ -128,6 +128,7 @@
 	}()
 }
 
+// fetchDirectory fetches and imports the directory of a peer.
 func (r *Router) fetchDirectory(ctx context.Context, node control.NodeID) error {
 	known, err := json.Marshal(r.directory.Known())
 	if err != nil {
--- a/router/members.go
+++ b/router/members.go
@@ -114,6 +114,7 @@
 	}
 }
 
+// announce writes this router's row to the list.
 func (r *Router) announce(ctx context.Context) error {
 	return r.routers.Announce(ctx, store.VM{
 		Name:        r.settings.Node.Name,
@@ -123,6 +124,7 @@
 	})
 }
 
+// readMembers reads the list of routers and distributes it.
 func (r *Router) readMembers(ctx context.Context) error {
 	vms, err := r.routers.List(ctx)
 	if err != nil {
--- a/router/notices.go
+++ b/router/notices.go
@@ -37,8 +37,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.set.Prune(now, func(target string) (start int64, declared bool) {
-		found, declared := listed[target]
-		return found.Start, declared
+		listedTarget, declared := listed[target]
+		return listedTarget.Start, declared
 	})
 }
 
@@ -64,12 +64,12 @@
 		return "", 0, false
 	}
 	if req.Target != "" {
-		found, listed := l.Declarations.Targets[req.Target]
-		return req.Target, found.Start, listed
+		listedTarget, listed := l.Declarations.Targets[req.Target]
+		return req.Target, listedTarget.Start, listed
 	}
-	for name, found := range l.Declarations.Targets {
-		if found.Address == req.Address {
-			return name, found.Start, true
+	for name, listedTarget := range l.Declarations.Targets {
+		if listedTarget.Address == req.Address {
+			return name, listedTarget.Start, true
 		}
 	}
 	return "", 0, false
--- a/router/overload.go
+++ b/router/overload.go
@@ -15,8 +15,8 @@
 const (
 	// lagInterval is the interval at which the lag of this process is measured.
 	lagInterval = 50 * time.Millisecond
-	// lagWeight is the weight of a new measurement in the average, which so covers
-	// about the last half second.
+	// lagWeight is the weight of a new measurement in the moving average, which thus
+	// covers about the last half second.
 	lagWeight = 0.2
 	// overloadLag is the average lag at which the router asks for no new connections:
 	// requests then wait for the processor, several times each.
@@ -56,8 +56,8 @@
 	// second and stops sending connections after the second failed check.
 	minPause = 2500 * time.Millisecond
 	// maxPause is the longest pause of a router that runs in time again. The pause doubles each
-	// time the router is overloaded within pauseMemory of its return: the balancer sends the
-	// same callers back each time, and a larger router may be able to serve them.
+	// time the router is overloaded within pauseMemory of the end of the last pause: the balancer
+	// sends the same callers back each time, and a larger router may be able to serve them.
 	maxPause    = 20 * time.Second
 	pauseMemory = 10 * time.Second
 	// closeMinLag is the average lag above which connections are closed after their
@@ -113,10 +113,10 @@
 type shedPeriod struct {
 	active    bool
 	startedAt time.Time
-	// lateMeasures counts the measurements of the period above shedTargetLag, and maxLateness
-	// is the largest.
-	lateMeasures int
-	maxLateness  time.Duration
+	// lateMeasurements counts the measurements of the period above shedTargetLag, and
+	// maxLateness is the largest.
+	lateMeasurements int
+	maxLateness      time.Duration
 }
 
 // currentLag returns the average lag of this process.
@@ -234,12 +234,12 @@
 		o.log.Warn("router: Refusing requests before reading them.", "lag", o.lag, "late", lateness, "part_of_new", fraction)
 	}
 	if shed.active && lateness > shedTargetLag {
-		shed.lateMeasures++
+		shed.lateMeasurements++
 		shed.maxLateness = max(shed.maxLateness, lateness)
 	}
 	if !shedding && shed.active {
 		shed.active = false
-		o.log.Info("router: No longer refusing requests before reading them.", "after", now.Sub(shed.startedAt), "late_measures", shed.lateMeasures, "worst", shed.maxLateness)
+		o.log.Info("router: No longer refusing requests before reading them.", "after", now.Sub(shed.startedAt), "late_measures", shed.lateMeasurements, "worst", shed.maxLateness)
 	}
 }
 
--- a/router/overload_test.go
+++ b/router/overload_test.go
@@ -11,10 +11,10 @@
 func TestOverloadNeedsLastingLag(t *testing.T) {
 	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	now := time.Now()
-	measure := func(late time.Duration, times int) {
+	measure := func(lateness time.Duration, times int) {
 		for range times {
-			now = now.Add(lagInterval + late)
-			o.measure(now, late)
+			now = now.Add(lagInterval + lateness)
+			o.measure(now, lateness)
 		}
 	}
 	measure(100*time.Millisecond, 1)
@@ -62,8 +62,8 @@
 func TestShedFractionOnKeptConnectionsGrowsWithLag(t *testing.T) {
 	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	for _, c := range []struct {
-		lag         time.Duration
-		least, most float64
+		lag                time.Duration
+		minShare, maxShare float64
 	}{
 		{0, 0, 0},
 		{shedKeptMinLag, 0, 0},
@@ -72,7 +72,7 @@
 		{time.Second, 1, 1},
 	} {
 		o.publishedLag.Store(int64(c.lag))
-		if got := measuredShedFraction(o, true); got < c.least || got > c.most {
+		if got := measuredShedFraction(o, true); got < c.minShare || got > c.maxShare {
 			t.Errorf("%.2f shed at a lag of %s", got, c.lag)
 		}
 	}
@@ -104,10 +104,10 @@
 }
 
 // measureFor feeds the same lateness to o every lagInterval for the given span.
-func measureFor(o *overload, now *time.Time, late, span time.Duration) {
+func measureFor(o *overload, now *time.Time, lateness, span time.Duration) {
 	for end := now.Add(span); now.Before(end); {
 		*now = now.Add(lagInterval)
-		o.measure(*now, late)
+		o.measure(*now, lateness)
 	}
 }
 
--- a/router/owners_test.go
+++ b/router/owners_test.go
@@ -8,10 +8,10 @@
 func TestClaimOwnersMayBeRunning(t *testing.T) {
 	now := time.Unix(1000, 0)
 	o := newClaimOwners("a", 1, func() time.Time { return now })
-	check := func(when string, got, want bool) {
+	check := func(state string, got, want bool) {
 		t.Helper()
 		if got != want {
-			t.Errorf("%s: mayBeRunning is %v, want %v", when, got, want)
+			t.Errorf("%s: mayBeRunning is %v, want %v", state, got, want)
 		}
 	}
 	check("this process", o.mayBeRunning("a", 1), true)
--- a/router/router.go
+++ b/router/router.go
@@ -132,6 +132,7 @@
 	}()
 }
 
+// serve runs a server on its listener and logs why it failed, if it did.
 func (r *Router) serve(name string, serve func(net.Listener) error, listener net.Listener) {
 	err := serve(listener)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
@@ -173,9 +174,9 @@
 
 // Reload applies the sections of new settings that can change in a running router and
 // returns their names, and those of the sections that differ and need a restart.
-func (r *Router) Reload(s settings.Settings) (taken, needRestart []string) {
+func (r *Router) Reload(s settings.Settings) (applied, needRestart []string) {
 	if old := r.retries.Swap(&s.Retries); *old != s.Retries {
-		taken = append(taken, "retries")
+		applied = append(applied, "retries")
 	}
 	for _, section := range []struct {
 		name      string
@@ -194,7 +195,7 @@
 			needRestart = append(needRestart, section.name)
 		}
 	}
-	return taken, needRestart
+	return applied, needRestart
 }
 
 // awaitDrainNotice waits until the balancer has had time to see that this router is
--- a/router/shell.go
+++ b/router/shell.go
@@ -118,7 +118,7 @@
 
 // followVMs reads the platform's list of VMs until ctx ends.
 func (r *Router) followVMs(ctx context.Context) {
-	every := time.Duration(r.settings.Platform.VMListEvery)
+	interval := time.Duration(r.settings.Platform.VMListEvery)
 	for {
 		vms, err := r.platform.ListVMs(ctx)
 		switch {
@@ -129,17 +129,17 @@
 			r.log.Warn("member: Could not read the VM list.", "error", err)
 		}
 		select {
-		case <-time.After(vmListPause(every)):
+		case <-time.After(vmListDelay(interval)):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// vmListPause returns the interval with random variation, so that routers that
+// vmListDelay returns the interval with random variation, so that routers that
 // started together do not read the list at the same moments.
-func vmListPause(every time.Duration) time.Duration {
-	return every*3/4 + rand.N(every/2)
+func vmListDelay(interval time.Duration) time.Duration {
+	return interval*3/4 + rand.N(interval/2)
 }
 
 // vmsListed passes the list to the peer sessions and the control goroutine.
