--- a/router/lagprobe_test.go
+++ b/router/lagprobe_test.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// TestQueuedWorkIsLag: where many goroutines that wait for the processor take turns,
-// timers are on time and what arrives is read late. The probe tells.
-func TestQueuedWorkIsLag(t *testing.T) {
+// TestLagProbeMeasuresQueuedWork checks that the probe measures lag when many goroutines share
+// the processor: timers are then on time, but input is read late.
+func TestLagProbeMeasuresQueuedWork(t *testing.T) {
 	const (
 		workers = 300
 		turn    = time.Millisecond
-		least   = 50 * time.Millisecond
+		minLag  = 50 * time.Millisecond
 	)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	probe := startLagProbe(slog.New(slog.DiscardHandler))
 	defer probe.close()
-	time.Sleep(lagEvery)
-	probe.late()
-	time.Sleep(lagEvery)
-	if late := probe.late(); late > least {
-		t.Errorf("%s late with nothing to do", late)
+	time.Sleep(lagInterval)
+	probe.currentDelay()
+	time.Sleep(lagInterval)
+	if late := probe.currentDelay(); late > minLag {
+		t.Errorf("%s late on an idle process", late)
 	}
 	var stop atomic.Bool
 	defer stop.Store(true)
 	for range workers {
 		go work(&stop, turn)
 	}
-	var most time.Duration
+	var maxLag time.Duration
 	for range 20 {
-		time.Sleep(lagEvery)
-		most = max(most, probe.late())
+		time.Sleep(lagInterval)
+		maxLag = max(maxLag, probe.currentDelay())
 	}
-	t.Log("late at most:", most)
-	if most < least {
-		t.Errorf("%s late at most behind %d goroutines with turns of %s", most, workers, turn)
+	t.Log("maximum lag:", maxLag)
+	if maxLag < minLag {
+		t.Errorf("%s late at most behind %d goroutines with turns of %s", maxLag, workers, turn)
 	}
 }
 
-// work uses the processor in turns, each for what arrived on a connection.
+// work uses the processor for one turn for each byte that arrives on a connection.
 func work(stop *atomic.Bool, turn time.Duration) {
 	near, far := net.Pipe()
 	defer near.Close()
