--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -128,7 +128,7 @@
 			reload(r, path, log)
 		case <-signals:
 			return drain(r, limit, signals, 1, log)
-		case <-r.DrainAsked():
+		case <-r.DrainRequested():
 			// The platform may end the VM by a signal now; that is no second order.
 			return drain(r, limit, signals, 2, log)
 		}
--- a/devfleet/fleet.go
+++ b/devfleet/fleet.go
@@ -217,7 +217,7 @@
 // drainWhenAsked shuts a router down when an operator drains it.
 func (f *Fleet) drainWhenAsked(r *router.Router) {
 	select {
-	case <-r.DrainAsked():
+	case <-r.DrainRequested():
 	case <-f.closed:
 		return
 	}
--- a/devfleet/operator_test.go
+++ b/devfleet/operator_test.go
@@ -24,12 +24,12 @@
 		}
 	}
 	select {
-	case <-fleet.Routers[1].DrainAsked():
+	case <-fleet.Routers[1].DrainRequested():
 	case <-time.After(testTimeout):
 		t.Fatal("vm-2 was not asked to drain")
 	}
 	select {
-	case <-fleet.Routers[0].DrainAsked():
+	case <-fleet.Routers[0].DrainRequested():
 		t.Error("vm-1 drains")
 	default:
 	}
--- a/front/accept_test.go
+++ b/front/accept_test.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(Options{KeptConns: 1, IdleGrace: time.Millisecond}, answerEmpty)
+	s := New(Options{MaxKeptConns: 1, IdleGrace: time.Millisecond}, answerEmpty)
 	go s.Serve(listener)
 	defer s.Close()
 	get := func(client *http.Client) bool {
--- a/front/server.go
+++ b/front/server.go
@@ -73,7 +73,7 @@
 	// MaxKeptConns is how many connections may be open before each is closed after
 	// its answer, so that descriptors are left for new callers and for targets.
 	// Default 0: no limit.
-	KeptConns int
+	MaxKeptConns int
 	// Shed, if set, reports whether the next request is refused before any work is done
 	// for it. Its connection is closed, so that the caller's next connection may reach
 	// another router. kept tells that the connection has been answered on before.
@@ -83,7 +83,7 @@
 	OnShed func(host, path []byte, header func(name string) []byte)
 	// CloseAfterAnswer, if set, reports whether the connection of the next answer is
 	// closed after it.
-	Release func() bool
+	CloseAfterAnswer func() bool
 	// Dialect is the dialect that callers use. Default dialect.Own.
 	Dialect *dialect.Dialect
 	// Log defaults to slog.Default().
@@ -99,7 +99,7 @@
 		ReadTimeout:    time.Duration(limits.ReadTimeout),
 		IdleTimeout:    time.Duration(limits.IdleTimeout),
 		WriteTimeout:   time.Duration(limits.StallTimeout),
-		KeptConns:      int(callerConnShare * float64(limits.MaxDescriptors)),
+		MaxKeptConns:   int(callerConnShare * float64(limits.MaxDescriptors)),
 	}
 }
 
--- a/front/shutdown.go
+++ b/front/shutdown.go
@@ -154,14 +154,14 @@
 
 // HasTooManyConns reports whether so many connections are open that each is closed
 // after its answer rather than kept for another request.
-func (s *Server) IsCrowded() bool {
-	return s.options.KeptConns > 0 && s.ConnCount() > s.options.KeptConns
+func (s *Server) HasTooManyConns() bool {
+	return s.options.MaxKeptConns > 0 && s.ConnCount() > s.options.MaxKeptConns
 }
 
 // shouldCloseConn reports whether a connection is closed after its answer, because the
 // server drains, has too many connections, or is to get less load.
 func (s *Server) shouldCloseConn() bool {
-	return s.draining.Load() || s.IsCrowded() || s.options.Release != nil && s.options.Release()
+	return s.draining.Load() || s.HasTooManyConns() || s.options.CloseAfterAnswer != nil && s.options.CloseAfterAnswer()
 }
 
 func (s *Server) connOpened(conn *callerConn) {
--- a/router/managed.go
+++ b/router/managed.go
@@ -87,7 +87,7 @@
 		restored:       make(chan struct{}, 1),
 		overload: &overload{
 			log:             r.log,
-			hasTooManyConns: func() bool { return r.front.IsCrowded() },
+			hasTooManyConns: func() bool { return r.front.HasTooManyConns() },
 			callerCount:     func() int { return r.front.ConnCount() },
 		},
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -109,7 +109,7 @@
 
 // DrainRequested returns a channel that is closed when an operator asks this router to
 // drain.
-func (r *Router) DrainAsked() <-chan struct{} { return r.drainRequested }
+func (r *Router) DrainRequested() <-chan struct{} { return r.drainRequested }
 
 // Ready implements ready.State: a configuration version is in force, and on a
 // managed platform the other routers are known.
--- a/router/start.go
+++ b/router/start.go
@@ -230,7 +230,7 @@
 	options.Dialect = r.dialect()
 	if r.managed != nil {
 		r.cacheWatcher = cachewatch.New(platform.NewCaches(r.targets), r.targetCacheChanged, r.log)
-		options.Release = r.overload.shouldCloseConn
+		options.CloseAfterAnswer = r.overload.shouldCloseConn
 		options.Shed = r.overload.shouldShed
 		options.OnShed = r.countUnread
 		r.front = front.New(options, r.routedPipeline())
