--- a/peer/accept.go
+++ b/peer/accept.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxHandshakes bounds the accepted connections that are not sessions yet.
+	// maxHandshakes bounds the accepted connections whose handshake is in progress.
 	maxHandshakes = 512
-	// acceptPause follows an accept error, such as too many open files.
-	acceptPause = 50 * time.Millisecond
+	// acceptRetryDelay is the wait after an accept error, such as too many open files.
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// accept takes connections until Close.
-func (m *Mesh) accept() {
+// acceptLoop accepts connections until Close.
+func (m *Mesh) acceptLoop() {
 	for {
 		raw, err := m.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -26,48 +26,50 @@
 		}
 		if err != nil {
 			m.log.Warn("peer: Accept failed.", "error", err)
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		m.admit(m.counters.conn(raw))
+		m.startHandshake(m.counters.countBytes(raw))
 	}
 }
 
-// admit starts the handshake of a connection, or closes it if too many are going on.
-func (m *Mesh) admit(raw net.Conn) {
+// startHandshake starts the handshake of a connection, or closes the connection
+// if maxHandshakes are in progress.
+func (m *Mesh) startHandshake(raw net.Conn) {
 	select {
-	case m.handshakes <- struct{}{}:
+	case m.handshakeSlots <- struct{}{}:
 	default:
-		m.counters.acceptRefused(failLimit)
+		m.counters.countRefusal(failLimit)
 		raw.Close()
 		return
 	}
 	started := m.spawn(func() {
-		defer func() { <-m.handshakes }()
-		m.welcome(raw)
+		defer func() { <-m.handshakeSlots }()
+		m.handshake(raw)
 	})
 	if !started {
 		raw.Close()
-		<-m.handshakes
+		<-m.handshakeSlots
 	}
 }
 
-// welcome reads the hello of a connection and makes it a session.
-func (m *Mesh) welcome(raw net.Conn) {
+// handshake reads the hello of an accepted connection and makes the connection a
+// session, or refuses it.
+func (m *Mesh) handshake(raw net.Conn) {
 	deadline := time.AfterFunc(m.options.DialTimeout, func() { raw.Close() })
 	defer deadline.Stop()
-	conn, hello, remote, reason := m.receive(raw)
+	conn, hello, remote, reason := m.receiveHello(raw)
 	if reason == "" {
-		reason = m.adopt(conn, raw, hello, remote)
+		reason = m.installSession(conn, raw, hello, remote)
 	}
 	if reason == "" {
 		return
 	}
-	m.counters.acceptRefused(reason)
+	m.counters.countRefusal(reason)
 	if reason != failDuplicate {
 		m.log.Warn("peer: Connection refused.", "address", raw.RemoteAddr(), "node", remote.Node, "reason", string(reason))
 	}
-	if refused, ok := refusals[reason]; ok && conn != nil {
+	if refused, ok := wireRefusals[reason]; ok && conn != nil {
 		answer := m.hello()
 		answer.Refused = refused
 		_ = writeHello(conn, answer)
@@ -75,8 +77,9 @@
 	raw.Close()
 }
 
-// receive secures the connection and checks the hello.
-func (m *Mesh) receive(raw net.Conn) (net.Conn, *peerpb.Hello, wire.Origin, failure) {
+// receiveHello runs the TLS handshake if TLS is on, then reads and checks the
+// hello.
+func (m *Mesh) receiveHello(raw net.Conn) (net.Conn, *peerpb.Hello, wire.Origin, failReason) {
 	conn := raw
 	if m.options.TLS != nil {
 		secure := tls.Server(raw, m.options.TLS)
@@ -100,14 +103,14 @@
 	return conn, hello, remote, reason
 }
 
-// adopt makes the connection the session of its node.
-func (m *Mesh) adopt(conn, raw net.Conn, hello *peerpb.Hello, remote wire.Origin) failure {
-	l := m.link(remote.Node)
+// installSession makes the connection the session with its node.
+func (m *Mesh) installSession(conn, raw net.Conn, hello *peerpb.Hello, remote wire.Origin) failReason {
+	l := m.ensureLink(remote.Node)
 	if l == nil {
 		return failClosed
 	}
 	s := newSession(l, raw, remote, false, hello.GetDial())
-	if reason := l.install(s); reason != "" {
+	if reason := l.installSession(s); reason != "" {
 		s.cancel()
 		return reason
 	}
--- a/peer/batch.go
+++ b/peer/batch.go
@@ -17,22 +17,24 @@
 )
 
 const (
-	// flushMessages ends the wait for more messages.
-	flushMessages = 256
-	// flushBurst is how many flushes may follow each other without a wait.
-	flushBurst = 32
-	// keptBufferBytes bounds the write buffer that an idle session keeps.
-	keptBufferBytes = 16 << 10
+	// fullBatchMessages is the number of queued messages at which a batch is
+	// written without waiting for more.
+	fullBatchMessages = 256
+	// maxFlushBurst bounds the flushes made without a wait between them.
+	maxFlushBurst = 32
+	// maxKeptBufferBytes bounds the write buffer that is kept between flushes.
+	maxKeptBufferBytes = 16 << 10
 )
 
-// wake tells the writer how many messages wait.
+// wake signals the writer that a number of messages are queued.
 func (s *session) wake(waiting int) {
-	signal(s.work)
-	if waiting >= flushMessages {
-		signal(s.full)
+	signal(s.pending)
+	if waiting >= fullBatchMessages {
+		signal(s.batchFull)
 	}
 }
 
+// signal puts a token into a channel of capacity 1 unless it holds one.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -40,15 +42,15 @@
 	}
 }
 
-// write sends what waits on the link: at once while flushes are few, else in
-// batches.
-func (s *session) write() {
+// writeLoop sends the messages queued on the link: at once while flushes are
+// rare, else in batches.
+func (s *session) writeLoop() {
 	encoder := wire.NewEncoder(s.mesh.self, s.remote, s.mesh.counters.observer(directionOut))
 	var buffer bytes.Buffer
-	pace := rate.NewLimiter(rate.Every(s.mesh.options.FlushEvery), flushBurst)
-	signal(s.work) // for the messages that waited for the session
-	for s.awaitBatch(pace) {
-		messages := s.link.take(s)
+	limiter := rate.NewLimiter(rate.Every(s.mesh.options.FlushEvery), maxFlushBurst)
+	signal(s.pending) // messages may have been queued before the session opened
+	for s.awaitBatch(limiter) {
+		messages := s.link.takeQueue(s)
 		if len(messages) == 0 {
 			continue
 		}
@@ -59,16 +61,16 @@
 	}
 }
 
-// awaitBatch waits for messages and, while flushes come fast, for more of them.
-// It reports false at the session's end.
-func (s *session) awaitBatch(pace *rate.Limiter) bool {
+// awaitBatch waits for messages and, if the flush rate is at its limit, for more
+// of them. It returns false when the session ends.
+func (s *session) awaitBatch(limiter *rate.Limiter) bool {
 	select {
-	case <-s.work:
+	case <-s.pending:
 	case <-s.ctx.Done():
 		return false
 	}
-	turn := pace.Reserve()
-	wait := min(turn.Delay(), s.mesh.options.FlushEvery)
+	reservation := limiter.Reserve()
+	wait := min(reservation.Delay(), s.mesh.options.FlushEvery)
 	if wait <= 0 {
 		return true
 	}
@@ -76,38 +78,39 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-s.full:
-		turn.Cancel()
+	case <-s.batchFull:
+		reservation.Cancel()
 	case <-s.ctx.Done():
 		return false
 	}
 	return true
 }
 
-// encode appends the messages' frames to the buffer.
+// encode appends frames with the messages to the buffer. Messages that can't be
+// encoded are dropped.
 func (s *session) encode(encoder *wire.Encoder, buffer *bytes.Buffer, messages []control.Message) {
 	messages = wire.Split(messages)
 	for len(messages) > 0 {
 		frame, taken, err := encoder.Frame(messages)
 		if err != nil {
-			s.mesh.counters.dropped(dropNotEncodable, 1)
-			s.mesh.log.Error("peer: Message dropped.", "node", s.remote.Node, "error", err)
+			s.mesh.counters.countDropped(dropNotEncodable, 1)
+			s.mesh.log.Error("peer: Encoding a message failed; it is dropped.", "node", s.remote.Node, "error", err)
 		}
 		messages = messages[taken:]
 		if _, err := protodelim.MarshalTo(buffer, frame); err != nil {
-			s.mesh.log.Error("peer: Frame dropped.", "node", s.remote.Node, "error", err)
+			s.mesh.log.Error("peer: Encoding a frame failed; its messages are dropped.", "node", s.remote.Node, "error", err)
 		}
 	}
 }
 
 // flush writes the buffer and empties it. It ends the session on an error.
 func (s *session) flush(buffer *bytes.Buffer, count int) bool {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	_ = s.stream.SetWriteDeadline(time.Now().Add(s.mesh.options.WriteTimeout))
 	_, err := s.stream.Write(buffer.Bytes())
 	buffer.Reset()
-	if buffer.Cap() > keptBufferBytes {
+	if buffer.Cap() > maxKeptBufferBytes {
 		*buffer = bytes.Buffer{}
 	}
 	s.mesh.counters.flushes.Inc()
@@ -115,7 +118,7 @@
 	if err == nil {
 		return true
 	}
-	s.mesh.counters.dropped(dropWriteFailed, count)
+	s.mesh.counters.countDropped(dropWriteFailed, count)
 	if errors.Is(err, yamux.ErrTimeout) || errors.Is(err, yamux.ErrConnectionWriteTimeout) {
 		s.end(endStalled)
 	} else {
@@ -124,14 +127,14 @@
 	return false
 }
 
-// farewell tells the other side why the session ends, and ends it.
-func (s *session) farewell(reason endReason) {
+// closeGracefully sends the other side the reason and ends the session.
+func (s *session) closeGracefully(reason endReason) {
 	closing := peerpb.Closing_CLOSING_SHUTDOWN
 	if reason == endIdle {
 		closing = peerpb.Closing_CLOSING_IDLE
 	}
 	s.mu.Lock()
-	s.leaving = reason
+	s.announcedEnd = reason
 	s.mu.Unlock()
 	select {
 	case <-s.started:
@@ -141,21 +144,22 @@
 	s.end(reason)
 }
 
+// sendClosing sends the last frame of a session.
 func (s *session) sendClosing(closing peerpb.Closing) {
 	var buffer bytes.Buffer
 	if _, err := protodelim.MarshalTo(&buffer, &peerpb.Frame{Closing: closing}); err != nil {
 		return
 	}
-	if !s.writing.TryLock() {
-		return // a writer that is blocked would hold up the end
+	if !s.writeMu.TryLock() {
+		return // a blocked writer would delay the end of the session
 	}
-	defer s.writing.Unlock()
+	defer s.writeMu.Unlock()
 	_ = s.stream.SetWriteDeadline(time.Now().Add(s.mesh.options.WriteTimeout))
 	_, _ = s.stream.Write(buffer.Bytes())
 }
 
-// read delivers what the other side sends, until the session's end.
-func (s *session) read() {
+// readLoop delivers the other side's messages until the session ends.
+func (s *session) readLoop() {
 	decoder := wire.NewDecoder(s.remote, s.mesh.self, s.mesh.counters.observer(directionIn))
 	reader := bufio.NewReader(s.stream)
 	for {
@@ -164,24 +168,25 @@
 			s.end(reason)
 			return
 		}
-		s.used()
+		s.markUsed()
 		if len(messages) > 0 {
 			s.link.deliver(s, messages)
 		}
 	}
 }
 
-// readFrame reads one frame, or says why the session must end.
+// readFrame reads the messages of one frame, or returns the reason for which the
+// session must end.
 func (s *session) readFrame(reader *bufio.Reader, decoder *wire.Decoder) ([]control.Message, endReason) {
 	frame := &peerpb.Frame{}
 	options := protodelim.UnmarshalOptions{MaxSize: wire.MaxFrameBytes}
 	err := options.UnmarshalFrom(reader, frame)
 	if err != nil {
-		return nil, s.readEnd(err)
+		return nil, s.readErrorReason(err)
 	}
 	messages, err := decoder.Messages(frame)
 	if err != nil {
-		s.mesh.log.Warn("peer: Frame refused.", "node", s.remote.Node, "error", err)
+		s.mesh.log.Warn("peer: Invalid frame received.", "node", s.remote.Node, "error", err)
 		return nil, endGarbage
 	}
 	switch frame.GetClosing() {
@@ -193,8 +198,8 @@
 	return messages, ""
 }
 
-// readEnd tells a broken connection from a broken frame.
-func (s *session) readEnd(err error) endReason {
+// readErrorReason distinguishes a broken connection from an invalid frame.
+func (s *session) readErrorReason(err error) endReason {
 	var tooLarge *protodelim.SizeTooLargeError
 	switch {
 	case errors.As(err, &tooLarge):
--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -12,20 +12,20 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// player is a Handler that plays a scheduler, which grants tickets and
+// simulatedNode is a Handler that simulates a scheduler, which grants tickets and
 // acknowledges reports, and an entry, which reports the end of granted runs.
-type player struct {
+type simulatedNode struct {
 	recorder
 	node
 	messages atomic.Int64
-	ended    chan struct{}
+	runEnded chan struct{}
 }
 
-func (p *player) Received(from control.NodeID, _ control.Incarnation, messages []control.Message) {
+func (p *simulatedNode) Received(from control.NodeID, _ control.Incarnation, messages []control.Message) {
 	var answers []control.Message
 	for _, message := range messages {
 		p.messages.Add(1)
-		if answer := p.answer(message); answer != nil {
+		if answer := p.reply(message); answer != nil {
 			answers = append(answers, answer)
 		}
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-func (p *player) answer(message control.Message) control.Message {
+func (p *simulatedNode) reply(message control.Message) control.Message {
 	switch m := message.(type) {
 	case control.Ticket:
 		return control.Grant{
@@ -57,7 +57,7 @@
 	case control.Report:
 		return control.ReportAck{Grant: m.Grant}
 	case control.ReportAck:
-		p.ended <- struct{}{}
+		p.runEnded <- struct{}{}
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// cpuTime is the processor time of this process.
+// cpuTime returns the processor time used by this process.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -91,10 +91,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkRun carries the four messages of a run between an entry and a
+// BenchmarkRunMessages sends the four messages of a run between an entry and a
 // scheduler and reports, for both nodes together, bytes and processor time.
-// Either a run starts every few milliseconds, or 64 are under way.
-func BenchmarkRun(b *testing.B) {
+// Either a run starts every few milliseconds, or 64 are in progress.
+func BenchmarkRunMessages(b *testing.B) {
 	for _, secure := range []bool{false, true} {
 		b.Run(fmt.Sprintf("tls=%v/sparse", secure), func(b *testing.B) {
 			benchmarkRun(b, secure, 1, 5*time.Millisecond)
@@ -105,23 +105,23 @@
 	}
 }
 
-func benchmarkRun(b *testing.B, secure bool, window int, pause time.Duration) {
+func benchmarkRun(b *testing.B, secure bool, maxInFlight int, pause time.Duration) {
 	entry, scheduler := benchPair(b, secure)
 	before := benchBytes(entry)
-	spent := cpuTime()
+	cpuBefore := cpuTime()
 	b.ResetTimer()
-	running := 0
+	inFlight := 0
 	for i := range b.N {
 		entry.Send("lekki-entry-2", benchTicket(i))
-		running++
-		for running >= window {
-			<-entry.ended
-			running--
+		inFlight++
+		for inFlight >= maxInFlight {
+			<-entry.runEnded
+			inFlight--
 		}
 		time.Sleep(pause)
 	}
-	for ; running > 0; running-- {
-		<-entry.ended
+	for ; inFlight > 0; inFlight-- {
+		<-entry.runEnded
 	}
 	b.StopTimer()
 	after := benchBytes(entry)
@@ -129,13 +129,13 @@
 	for name := range after {
 		b.ReportMetric(float64(after[name]-before[name])/float64(b.N), name+"-B/run")
 	}
-	b.ReportMetric(float64(cpuTime()-spent)/messages, "cpu-ns/message")
+	b.ReportMetric(float64(cpuTime()-cpuBefore)/messages, "cpu-ns/message")
 }
 
-// benchBytes reads the byte counters of a node that count in a run.
-func benchBytes(p *player) map[string]int {
+// benchBytes reads a node's byte counters for the messages of a run.
+func benchBytes(p *simulatedNode) map[string]int {
 	read := func(name, direction, kind string) int {
-		return p.count(fmt.Sprintf(`%s{direction=%q,kind=%q}`, name, direction, kind))
+		return p.counterValue(fmt.Sprintf(`%s{direction=%q,kind=%q}`, name, direction, kind))
 	}
 	const bytes = "walnut_peer_message_bytes_total"
 	return map[string]int{
@@ -143,16 +143,16 @@
 		"grant":  read(bytes, "in", "grant"),
 		"report": read(bytes, "out", "report"),
 		"ack":    read(bytes, "in", "report-ack"),
-		"wire": p.count(`walnut_peer_wire_bytes_total{direction="in"}`) +
-			p.count(`walnut_peer_wire_bytes_total{direction="out"}`),
+		"wire": p.counterValue(`walnut_peer_wire_bytes_total{direction="in"}`) +
+			p.counterValue(`walnut_peer_wire_bytes_total{direction="out"}`),
 	}
 }
 
-func benchPair(b *testing.B, secure bool) (entry, scheduler *player) {
+func benchPair(b *testing.B, secure bool) (entry, scheduler *simulatedNode) {
 	keys := makeKeys(b, "ikeja-entry-1", "lekki-entry-2")
-	var players []*player
+	var players []*simulatedNode
 	for i, name := range []control.NodeID{"ikeja-entry-1", "lekki-entry-2"} {
-		p := &player{ended: make(chan struct{}, 1024)}
+		p := &simulatedNode{runEnded: make(chan struct{}, 1024)}
 		change := func(o *Options) {
 			if secure {
 				o.TLS = loadKeys(b, keys, string(name))
@@ -161,15 +161,15 @@
 		p.node = startWith(b, p, name, control.Incarnation(i+1), change)
 		players = append(players, p)
 	}
-	introduce(players[0].node, players[1].node)
+	setAllPeers(players[0].node, players[1].node)
 	if _, err := players[0].Call(context.Background(), "lekki-entry-2", "echo", nil); err != nil {
 		b.Fatal(err)
 	}
 	return players[0], players[1]
 }
 
-// BenchmarkSessionMemory opens b.N sessions from one node and reports the
-// memory of a session's two ends, which are both in this process.
+// BenchmarkSessionMemory opens b.N sessions from one node and reports the memory
+// per session end; both ends of each session are in this process.
 func BenchmarkSessionMemory(b *testing.B) {
 	for _, secure := range []bool{false, true} {
 		b.Run(fmt.Sprintf("tls=%v", secure), func(b *testing.B) { benchmarkMemory(b, secure) })
@@ -190,7 +190,7 @@
 			}
 		}))
 	}
-	introduce(nodes...)
+	setAllPeers(nodes...)
 	before := memoryInUse()
 	b.ResetTimer()
 	for _, n := range nodes[1:] {
@@ -213,7 +213,7 @@
 	for _, secure := range []bool{false, true} {
 		b.Run(fmt.Sprintf("tls=%v", secure), func(b *testing.B) {
 			entry, _ := benchPair(b, secure)
-			session := entry.known("lekki-entry-2").session
+			session := entry.findLink("lekki-entry-2").session
 			before := benchBytes(entry)["wire"]
 			b.ResetTimer()
 			for range b.N {
@@ -226,8 +226,8 @@
 	}
 }
 
-// BenchmarkOpen opens a session with the first call and closes it, and reports
-// bytes and processor time of both ends.
+// BenchmarkOpen opens a session with its first call and closes it. It reports the
+// bytes and the processor time of both ends.
 func BenchmarkOpen(b *testing.B) {
 	for _, secure := range []bool{false, true} {
 		b.Run(fmt.Sprintf("tls=%v", secure), func(b *testing.B) {
@@ -235,7 +235,7 @@
 			before, spent := benchBytes(entry)["wire"], cpuTime()
 			b.ResetTimer()
 			for range b.N {
-				entry.known("lekki-entry-2").session.farewell(endIdle)
+				entry.findLink("lekki-entry-2").session.closeGracefully(endIdle)
 				eventually(b, "the end of the session", func() bool { return scheduler.sessionCount() == 0 })
 				if _, err := entry.Call(context.Background(), "lekki-entry-2", "echo", nil); err != nil {
 					b.Fatal(err)
--- a/peer/call.go
+++ b/peer/call.go
@@ -11,28 +11,28 @@
 	"github.com/walnutcove/walnutcove/peer/peerpb"
 )
 
-// Errors of a Call, wrapped with the node and the method.
+// Errors returned by Call, wrapped with the node and the method.
 var (
-	// ErrCallFailed says that the other node's handler returned an error,
-	// whose text follows.
+	// ErrCallFailed reports that the other node's handler returned an error,
+	// whose text is appended.
 	ErrCallFailed = errors.New("call failed at the other node")
-	// ErrCallTooLarge says that a request or an answer exceeds Options.MaxCallBytes.
+	// ErrCallTooLarge reports that a request or an answer exceeds Options.MaxCallBytes.
 	ErrCallTooLarge = errors.New("call is too large")
-	// ErrBusy says that the other node has too many of this node's calls open.
+	// ErrBusy reports that this node has too many calls open at the other node.
 	ErrBusy = errors.New("too many calls")
-	// ErrSessionEnded says that the session broke before the answer.
+	// ErrSessionEnded reports that the session ended before the answer arrived.
 	ErrSessionEnded = errors.New("session ended")
 )
 
-// errNotSent says that a call found its session ending, as after an idle time,
-// and that nothing of it was sent. It is made again on the next session.
+// errNotSent reports that the session was ending, for example because it was
+// idle, before any of the call was sent. The call is retried on the next session.
 var errNotSent = errors.New("nothing was sent")
 
 const (
-	// maxCallTries bounds the sessions that one call tries, and callRetryPause
-	// is the pause between two of them.
+	// maxCallTries bounds the sessions on which one call is tried, callRetryDelay
+	// apart.
 	maxCallTries   = 5
-	callRetryPause = 5 * time.Millisecond
+	callRetryDelay = 5 * time.Millisecond
 
 	resultAnswered     = "answered"
 	resultUnreachable  = "unreachable"
@@ -42,11 +42,12 @@
 	resultBusy         = "busy"
 	resultFailed       = "failed"
 
-	// callOverheadBytes is the room for the fields beside a payload.
-	callOverheadBytes = 1 << 10
+	// maxCallOverheadBytes bounds the encoded size of a call message without its
+	// payload.
+	maxCallOverheadBytes = 1 << 10
 )
 
-// call waits for a session and makes a call on it.
+// call makes a call, and retries it while its session ends before it was sent.
 func (l *link) call(ctx context.Context, method string, payload []byte) ([]byte, error) {
 	if len(payload) > l.mesh.options.MaxCallBytes {
 		return nil, ErrCallTooLarge
@@ -56,25 +57,25 @@
 		if try == maxCallTries || !errors.Is(err, errNotSent) {
 			return answer, err
 		}
-		if !sleep(ctx, callRetryPause) {
+		if !sleep(ctx, callRetryDelay) {
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// callOnce makes a call on the present session.
+// callOnce waits for a session and makes a call on it.
 func (l *link) callOnce(ctx context.Context, method string, payload []byte) ([]byte, error) {
-	s, err := l.await(ctx)
+	s, err := l.awaitStarted(ctx)
 	if err != nil {
 		return nil, err
 	}
 	s.openCalls.Add(1)
 	defer s.openCalls.Add(-1)
-	s.used()
+	s.markUsed()
 	return s.call(ctx, method, payload)
 }
 
-// sleep waits; false if ctx ended first.
+// sleep waits for d. It returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -86,11 +87,11 @@
 	}
 }
 
-// await returns a started session and dials if there is none.
-func (l *link) await(ctx context.Context) (*session, error) {
+// awaitStarted returns a started session. It dials if there is none.
+func (l *link) awaitStarted(ctx context.Context) (*session, error) {
 	for {
 		l.mu.Lock()
-		_, ok := l.ready()
+		_, ok := l.ensureSession()
 		s, changed := l.session, l.changed
 		l.mu.Unlock()
 		if !ok {
@@ -118,24 +119,24 @@
 	}
 }
 
-// call sends a request on a stream of its own and reads the answer.
+// call sends a request on a new stream and reads the answer.
 func (s *session) call(ctx context.Context, method string, payload []byte) ([]byte, error) {
 	stream, err := s.mux.OpenStream()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w: %w", ErrSessionEnded, errNotSent, err)
 	}
 	defer stream.Close()
-	stop := interrupt(ctx, stream)
+	stop := interruptOnDone(ctx, stream)
 	defer stop()
 	request := &peerpb.CallRequest{Method: method, Payload: payload, TimeLeft: timeLeft(ctx).Microseconds()}
 	if err := writeMessage(stream, request); err != nil {
-		return nil, callError(ctx, err)
+		return nil, wrapCallError(ctx, err)
 	}
 	answer := &peerpb.CallAnswer{}
 	if err := readMessage(stream, s.mesh.options.MaxCallBytes, answer); err != nil {
-		return nil, callError(ctx, err)
+		return nil, wrapCallError(ctx, err)
 	}
-	s.used()
+	s.markUsed()
 	if answer.GetBusy() {
 		return nil, ErrBusy
 	}
@@ -145,8 +146,9 @@
 	return answer.GetPayload(), nil
 }
 
-// interrupt ends reads and writes of a stream with its context.
-func interrupt(ctx context.Context, stream *yamux.Stream) (stop func() bool) {
+// interruptOnDone makes reads and writes of a stream fail once its context ends.
+// stop cancels this.
+func interruptOnDone(ctx context.Context, stream *yamux.Stream) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		_ = stream.SetDeadline(time.Now())
 	})
@@ -157,7 +159,9 @@
 	return time.Until(deadline)
 }
 
-func callError(ctx context.Context, err error) error {
+// wrapCallError returns the context's error if the context ended, and
+// ErrCallTooLarge as it is. It wraps any other error in ErrSessionEnded.
+func wrapCallError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -167,7 +171,7 @@
 	return fmt.Errorf("%w: %w", ErrSessionEnded, err)
 }
 
-// callResult is the counter label of a call's end.
+// callResult returns the "result" label of the call counters.
 func callResult(err error) string {
 	switch {
 	case err == nil:
--- a/peer/call_test.go
+++ b/peer/call_test.go
@@ -12,7 +12,7 @@
 	const limit = 1000
 	small := func(o *Options) { o.MaxCallBytes = limit }
 	a, b := start(t, "a", 1), start(t, "b", 2, small)
-	introduce(a, b)
+	setAllPeers(a, b)
 	b.answer = func(_ context.Context, method string, _ []byte) ([]byte, error) {
 		switch method {
 		case "long":
@@ -46,7 +46,7 @@
 
 func TestLargeCall(t *testing.T) {
 	a, b := start(t, "a", 1), start(t, "b", 2)
-	introduce(a, b)
+	setAllPeers(a, b)
 	payload := bytes.Repeat([]byte("0123456789abcdef"), 1<<18)
 	answer, err := a.Call(context.Background(), "b", "echo", payload)
 	if err != nil || !bytes.Equal(answer, append([]byte("echo "), payload...)) {
@@ -54,12 +54,12 @@
 	}
 }
 
-// TestTooManyCalls: calls over the limit are refused at once; a cancelled call
-// frees its place.
+// TestTooManyCalls checks that calls over the limit are refused at once, and that
+// a cancelled call no longer counts against it.
 func TestTooManyCalls(t *testing.T) {
 	const limit = 2
 	a, b := start(t, "a", 1), start(t, "b", 2, func(o *Options) { o.MaxCalls = limit })
-	introduce(a, b)
+	setAllPeers(a, b)
 	entered := make(chan struct{}, limit)
 	b.answer = func(ctx context.Context, method string, _ []byte) ([]byte, error) {
 		if method == "wait" {
@@ -82,7 +82,7 @@
 	if _, err := a.Call(context.Background(), "b", "short", nil); !errors.Is(err, ErrBusy) {
 		t.Errorf("call over the limit: %v", err)
 	}
-	if got := b.count(`walnut_peer_calls_total{direction="in",result="busy"}`); got != 1 {
+	if got := b.counterValue(`walnut_peer_calls_total{direction="in",result="busy"}`); got != 1 {
 		t.Errorf("%d calls counted as busy", got)
 	}
 	cancel()
@@ -99,7 +99,7 @@
 
 func TestCallAfterClose(t *testing.T) {
 	a, b := start(t, "a", 1), start(t, "b", 2)
-	introduce(a, b)
+	setAllPeers(a, b)
 	a.Close()
 	if _, err := a.Call(context.Background(), "b", "echo", nil); err == nil {
 		t.Error("a closed node called")
@@ -107,19 +107,19 @@
 	a.Send("b", heartbeat(1))
 }
 
-// TestCallThatFindsItsSessionEnding calls right after the session was closed as
-// idle, on either side: the call is made on a new session.
-func TestCallThatFindsItsSessionEnding(t *testing.T) {
+// TestCallRetriedWhenSessionIsEnding calls while either side closes the session
+// because it is idle: the call must be made on a new session.
+func TestCallRetriedWhenSessionIsEnding(t *testing.T) {
 	const rounds = 1500
 	a, b := start(t, "a", 1), start(t, "b", 2)
-	introduce(a, b)
+	setAllPeers(a, b)
 	b.answer = func(context.Context, string, []byte) ([]byte, error) { return nil, nil }
 	ctx := context.Background()
 	for round := range rounds {
 		if _, err := a.Call(ctx, "b", "echo", nil); err != nil {
 			t.Fatalf("round %d: %v", round, err)
 		}
-		a.known("b").session.farewell(endIdle)
+		a.findLink("b").session.closeGracefully(endIdle)
 		eventually(t, "the end of the session", func() bool { return b.sessionCount() == 0 })
 	}
 }
--- a/peer/counters.go
+++ b/peer/counters.go
@@ -9,7 +9,7 @@
 	"github.com/walnutcove/walnutcove/peer/wire"
 )
 
-// dropReason says why a message was not sent or not delivered.
+// dropReason is the reason for which a message was not sent or not delivered.
 type dropReason string
 
 const (
@@ -23,42 +23,42 @@
 	dropReplaced     dropReason = "session-replaced"
 )
 
-// endReason says why a session ended.
+// endReason is the reason for which a session ended.
 type endReason string
 
 const (
-	endClosed    endReason = "closed"    // Close was called here
-	endIdle      endReason = "idle"      // nothing was sent either way
-	endShutdown  endReason = "shutdown"  // the other node closed
+	endClosed    endReason = "closed"    // Close was called on this node
+	endIdle      endReason = "idle"      // no message or call in either direction for Options.IdleTimeout
+	endShutdown  endReason = "shutdown"  // Close was called on the other node
 	endLost      endReason = "lost"      // the connection broke
 	endNoAnswer  endReason = "no-answer" // a ping was not answered
 	endStalled   endReason = "stalled"   // a write did not finish in time
-	endGarbage   endReason = "garbage"   // a frame could not be decoded
-	endOversize  endReason = "oversize"  // a frame was too long
+	endGarbage   endReason = "garbage"   // an invalid frame was received
+	endOversize  endReason = "oversize"  // a frame exceeded wire.MaxFrameBytes
 	endStreams   endReason = "streams"   // the other side opened too many streams
-	endDuplicate endReason = "duplicate" // another session of the pair stays
-	endRestarted endReason = "restarted" // the node has a newer incarnation
+	endDuplicate endReason = "duplicate" // another session between the same processes takes precedence
+	endRestarted endReason = "restarted" // a newer incarnation of the node connected
 	endMoved     endReason = "moved"     // the node's address changed
 )
 
-// failure says why a connection did not become a session.
-type failure string
+// failReason is the reason for which a connection did not become a session.
+type failReason string
 
 const (
-	failConnect   failure = "connect"
-	failTLS       failure = "tls"
-	failHello     failure = "hello"
-	failProtocol  failure = "protocol"
-	failIdentity  failure = "identity"
-	failWrongNode failure = "wrong-node"
-	failStale     failure = "stale-incarnation"
-	failDuplicate failure = "duplicate"
-	failLimit     failure = "limit"
-	failPlain     failure = "plain-not-loopback"
-	failClosed    failure = "closed"
+	failConnect   failReason = "connect"
+	failTLS       failReason = "tls"
+	failHello     failReason = "hello"
+	failProtocol  failReason = "protocol"
+	failIdentity  failReason = "identity"
+	failWrongNode failReason = "wrong-node"
+	failStale     failReason = "stale-incarnation"
+	failDuplicate failReason = "duplicate"
+	failLimit     failReason = "limit"
+	failPlain     failReason = "plain-not-loopback"
+	failClosed    failReason = "closed"
 )
 
-// Every reason, so that each counter is there from the start.
+// All label values, so that each counter is exported from the start.
 var (
 	dropReasons = []dropReason{
 		dropQueueFull, dropUnreachable, dropNoAddress, dropClosed, dropSelf, dropNotEncodable,
@@ -68,7 +68,7 @@
 		endClosed, endIdle, endShutdown, endLost, endNoAnswer, endStalled, endGarbage, endOversize, endStreams,
 		endDuplicate, endRestarted, endMoved,
 	}
-	failures = []failure{
+	failReasons = []failReason{
 		failConnect, failTLS, failHello, failProtocol, failIdentity, failWrongNode, failStale,
 		failDuplicate, failLimit, failPlain, failClosed,
 	}
@@ -78,7 +78,7 @@
 	}
 )
 
-// direction of a message, a call or a byte.
+// direction is the direction of messages, calls and bytes, seen from this node.
 type direction string
 
 const (
@@ -86,15 +86,15 @@
 	directionOut direction = "out"
 )
 
-// counters are the measure of control traffic. docs/PEERS.md lists them.
+// counters are the metrics of a Mesh. docs/PEERS.md lists them.
 type counters struct {
 	messages     map[direction]map[wire.Kind]kindCounters
 	bytes        map[direction]*metrics.Counter
 	calls        map[direction]map[string]*metrics.Counter
 	drops        map[dropReason]*metrics.Counter
 	ends         map[endReason]*metrics.Counter
-	dialFailures map[failure]*metrics.Counter
-	refusals     map[failure]*metrics.Counter
+	dialFailures map[failReason]*metrics.Counter
+	refusals     map[failReason]*metrics.Counter
 	dialled      *metrics.Counter
 	accepted     *metrics.Counter
 	sessions     *metrics.Gauge
@@ -115,8 +115,8 @@
 		calls:        make(map[direction]map[string]*metrics.Counter),
 		drops:        byReason(set, "walnut_peer_dropped_total", dropReasons),
 		ends:         byReason(set, "walnut_peer_sessions_ended_total", endReasons),
-		dialFailures: byReason(set, "walnut_peer_dial_failures_total", failures),
-		refusals:     byReason(set, "walnut_peer_refusals_total", failures),
+		dialFailures: byReason(set, "walnut_peer_dial_failures_total", failReasons),
+		refusals:     byReason(set, "walnut_peer_refusals_total", failReasons),
 		dialled:      set.GetOrCreateCounter(`walnut_peer_sessions_opened_total{role="dialled"}`),
 		accepted:     set.GetOrCreateCounter(`walnut_peer_sessions_opened_total{role="accepted"}`),
 		sessions:     set.GetOrCreateGauge(`walnut_peer_sessions`, nil),
@@ -155,7 +155,7 @@
 	return result
 }
 
-// observer counts the entries of one direction.
+// observer returns a function that counts the entries of one direction.
 func (c counters) observer(d direction) wire.Observer {
 	kinds := c.messages[d]
 	return func(kind wire.Kind, bytes int) {
@@ -164,16 +164,16 @@
 	}
 }
 
-func (c counters) dropped(reason dropReason, count int) { c.drops[reason].Add(count) }
+func (c counters) countDropped(reason dropReason, count int) { c.drops[reason].Add(count) }
 
-func (c counters) sessionEnded(reason endReason, started bool) {
+func (c counters) countSessionEnded(reason endReason, started bool) {
 	c.ends[reason].Inc()
 	if started {
 		c.sessions.Dec()
 	}
 }
 
-func (c counters) sessionStarted(dialled bool) {
+func (c counters) countSessionStarted(dialled bool) {
 	c.sessions.Inc()
 	if dialled {
 		c.dialled.Inc()
@@ -182,18 +182,20 @@
 	}
 }
 
-func (c counters) dialFailed(reason failure)       { c.dialFailures[reason].Inc() }
-func (c counters) acceptRefused(reason failure)    { c.refusals[reason].Inc() }
-func (c counters) call(d direction, result string) { c.calls[d][result].Inc() }
+func (c counters) countDialFailure(reason failReason)   { c.dialFailures[reason].Inc() }
+func (c counters) countRefusal(reason failReason)       { c.refusals[reason].Inc() }
+func (c counters) countCall(d direction, result string) { c.calls[d][result].Inc() }
 
-// countedConn counts the bytes of a connection, below TLS and yamux.
+// countedConn counts the bytes of a TCP connection, including the overhead of TLS
+// and yamux.
 type countedConn struct {
 	net.Conn
 	in  *metrics.Counter
 	out *metrics.Counter
 }
 
-func (c counters) conn(conn net.Conn) net.Conn {
+// countBytes wraps a connection in a countedConn.
+func (c counters) countBytes(conn net.Conn) net.Conn {
 	return &countedConn{
 		Conn: conn,
 		in:   c.bytes[directionIn],
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -10,25 +10,26 @@
 	"github.com/walnutcove/walnutcove/peer/wire"
 )
 
-// duplicateTries bounds the dials that the other side refuses because it
-// prefers another connection, which then does not appear.
-const duplicateTries = 5
+// maxDuplicateDials bounds the dials in a row that the other side refuses because
+// it prefers another connection of the pair, while that connection never arrives.
+const maxDuplicateDials = 5
 
-// dial opens a session, or gives up and drops what waits for it.
+// dial opens a session, or gives up and drops the queued messages.
 func (l *link) dial() {
-	reason := failure("")
-	for range duplicateTries {
+	reason := failReason("")
+	for range maxDuplicateDials {
 		reason = l.dialOnce()
-		if reason != failDuplicate || l.awaitSession() {
+		if reason != failDuplicate || l.awaitPreferred() {
 			break
 		}
 	}
-	l.dialled(reason)
-	l.announce()
+	l.finishDial(reason)
+	l.notifyHandler()
 }
 
-// awaitSession waits for the connection that the other side prefers.
-func (l *link) awaitSession() bool {
+// awaitPreferred waits for the connection that the other side prefers. It returns
+// false if no session is open after a back-off; another dial may then be tried.
+func (l *link) awaitPreferred() bool {
 	l.mu.Lock()
 	changed := l.changed
 	open := l.session != nil
@@ -36,7 +37,7 @@
 	if open {
 		return true
 	}
-	wait := time.NewTimer(backOff(1, l.mesh.options.RetryMin, l.mesh.options.RetryMax))
+	wait := time.NewTimer(dialBackoff(1, l.mesh.options.RetryMin, l.mesh.options.RetryMax))
 	defer wait.Stop()
 	select {
 	case <-changed:
@@ -48,8 +49,9 @@
 	return l.session != nil || l.closed
 }
 
-// dialled records the end of a dial.
-func (l *link) dialled(reason failure) {
+// finishDial records the result of a dial. After a failure it drops the queue and
+// sets the back-off.
+func (l *link) finishDial(reason failReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dialing = false
@@ -57,38 +59,39 @@
 	if l.session != nil || reason == "" {
 		return
 	}
-	l.failures++
-	l.notBefore = time.Now().Add(backOff(l.failures, l.mesh.options.RetryMin, l.mesh.options.RetryMax))
-	l.lost = true
+	l.failedDials++
+	l.nextDialAt = time.Now().Add(dialBackoff(l.failedDials, l.mesh.options.RetryMin, l.mesh.options.RetryMax))
+	l.lastEndFailed = true
 	l.dropQueue(dropUnreachable)
-	l.mesh.log.Debug("peer: Dial failed.", "node", l.node, "reason", string(reason), "failures", l.failures)
+	l.mesh.log.Debug("peer: Dial failed.", "node", l.node, "reason", string(reason), "failures", l.failedDials)
 }
 
-// dialOnce makes one connection and says why it did not become a session.
-func (l *link) dialOnce() failure {
+// dialOnce makes one connection and returns the reason if it did not become a
+// session.
+func (l *link) dialOnce() failReason {
 	l.mu.Lock()
 	address := l.address
-	l.dials++
-	seq := l.dials
+	l.dialCount++
+	seq := l.dialCount
 	l.mu.Unlock()
 	ctx, cancel := context.WithTimeout(l.mesh.ctx, l.mesh.options.DialTimeout)
 	defer cancel()
 	reason := l.connect(ctx, address, seq)
 	if reason != "" {
-		l.mesh.counters.dialFailed(reason)
+		l.mesh.counters.countDialFailure(reason)
 	}
 	return reason
 }
 
-func (l *link) connect(ctx context.Context, address string, seq uint64) failure {
+func (l *link) connect(ctx context.Context, address string, seq uint64) failReason {
 	var dialer net.Dialer
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return failConnect
 	}
-	raw = l.mesh.counters.conn(raw)
+	raw = l.mesh.counters.countBytes(raw)
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
-	conn, remote, reason := l.greet(raw, seq)
+	conn, remote, reason := l.exchangeHellos(raw, seq)
 	if !stop() && reason == "" {
 		reason = failHello
 	}
@@ -97,7 +100,7 @@
 		return reason
 	}
 	s := newSession(l, raw, remote, true, seq)
-	if reason := l.install(s); reason != "" {
+	if reason := l.installSession(s); reason != "" {
 		s.cancel()
 		raw.Close()
 		return reason
@@ -106,8 +109,9 @@
 	return ""
 }
 
-// greet secures the connection and exchanges hellos.
-func (l *link) greet(raw net.Conn, seq uint64) (net.Conn, wire.Origin, failure) {
+// exchangeHellos runs the TLS handshake if TLS is on, sends this side's hello and
+// checks the answer.
+func (l *link) exchangeHellos(raw net.Conn, seq uint64) (net.Conn, wire.Origin, failReason) {
 	conn := raw
 	if l.mesh.options.TLS != nil {
 		secure := tls.Client(raw, l.mesh.options.TLS)
@@ -125,7 +129,7 @@
 	}
 	answer, err := readHello(conn)
 	if err != nil {
-		l.mesh.log.Warn("peer: No hello.", "node", l.node, "error", err)
+		l.mesh.log.Warn("peer: Reading the hello failed.", "node", l.node, "error", err)
 		return nil, wire.Origin{}, failHello
 	}
 	remote, reason := checkHello(answer, conn)
@@ -135,12 +139,12 @@
 	case remote.Node != l.node:
 		return nil, remote, failWrongNode
 	case answer.GetRefused() != peerpb.Refused_REFUSED_NONE:
-		return nil, remote, refusedAs(answer.GetRefused())
+		return nil, remote, failReasonFor(answer.GetRefused())
 	}
 	return conn, remote, ""
 }
 
-// hello describes this side.
+// hello returns a hello that describes this node.
 func (m *Mesh) hello() *peerpb.Hello {
 	return &peerpb.Hello{
 		Protocol:    protocolVersion,
--- a/peer/fault_test.go
+++ b/peer/fault_test.go
@@ -11,16 +11,15 @@
 	"github.com/walnutcove/walnutcove/processes"
 )
 
-// quick shortens the times after which a cut is noticed.
-func quick(o *Options) {
+// shortTimeouts shortens the time until a broken connection is detected.
+func shortTimeouts(o *Options) {
 	o.KeepAliveAfter = 100 * time.Millisecond
 	o.WriteTimeout = 300 * time.Millisecond
 	o.DialTimeout = time.Second
 	o.RetryMax = 100 * time.Millisecond
 }
 
-// proxyTo starts a proxy before an address. Its direction forth leads to the
-// address.
+// proxyTo starts a proxy that forwards connections to an address.
 func proxyTo(t testing.TB, address string) *processes.Way {
 	t.Helper()
 	way, err := processes.NewWay("to "+address, "127.0.0.1", address)
@@ -31,7 +30,8 @@
 	return way
 }
 
-// sendUntil repeats a message until the condition holds: delivery is best effort.
+// sendUntil sends a message repeatedly until the condition holds, since delivery is
+// best effort.
 func sendUntil(t testing.TB, what string, from node, to control.NodeID, condition func() bool) {
 	t.Helper()
 	eventually(t, what, func() bool {
@@ -40,9 +40,10 @@
 	})
 }
 
-// pairThroughProxies connects a and b so that each dials through a proxy.
-func pairThroughProxies(t testing.TB) (a, b node, toB, toA *processes.Way) {
-	a, b = start(t, "a", 1, quick), start(t, "b", 2, quick)
+// connectThroughProxies starts a and b, each of which dials the other through a
+// proxy.
+func connectThroughProxies(t testing.TB) (a, b node, toB, toA *processes.Way) {
+	a, b = start(t, "a", 1, shortTimeouts), start(t, "b", 2, shortTimeouts)
 	toB, toA = proxyTo(t, b.Address()), proxyTo(t, a.Address())
 	a.SetPeers(map[control.NodeID]string{"b": toB.Address()})
 	b.SetPeers(map[control.NodeID]string{"a": toA.Address()})
@@ -50,24 +51,26 @@
 	return a, b, toB, toA
 }
 
-func lastState(n node) bool {
+// isConnected reports whether the last state that the handler was notified of is
+// connected.
+func isConnected(n node) bool {
 	changes := n.changes()
 	return len(changes) > 0 && changes[len(changes)-1].connected
 }
 
-func TestCutBothWays(t *testing.T) {
-	a, b, toB, toA := pairThroughProxies(t)
+func TestLinkStalledInBothDirections(t *testing.T) {
+	a, b, toB, toA := connectThroughProxies(t)
 	for _, proxy := range []*processes.Way{toB, toA} {
 		proxy.Hold(processes.Forth)
 		proxy.Hold(processes.Back)
 	}
-	eventually(t, "both to notice", func() bool { return !lastState(a) && !lastState(b) })
-	if a.count(`walnut_peer_sessions_ended_total{reason="no-answer"}`) == 0 &&
-		b.count(`walnut_peer_sessions_ended_total{reason="no-answer"}`) == 0 {
+	eventually(t, "both to notice", func() bool { return !isConnected(a) && !isConnected(b) })
+	if a.counterValue(`walnut_peer_sessions_ended_total{reason="no-answer"}`) == 0 &&
+		b.counterValue(`walnut_peer_sessions_ended_total{reason="no-answer"}`) == 0 {
 		t.Error("no session ended for want of an answer")
 	}
 	sendUntil(t, "a drop", a, "b", func() bool {
-		return a.count(`walnut_peer_dropped_total{reason="unreachable"}`) > 0
+		return a.counterValue(`walnut_peer_dropped_total{reason="unreachable"}`) > 0
 	})
 	for _, proxy := range []*processes.Way{toB, toA} {
 		if err := proxy.Heal(); err != nil {
@@ -76,25 +79,26 @@
 	}
 	before := len(b.received("a"))
 	sendUntil(t, "messages after the cut", a, "b", func() bool { return len(b.received("a")) > before })
-	eventually(t, "both to be connected", func() bool { return lastState(a) && lastState(b) })
+	eventually(t, "both to be connected", func() bool { return isConnected(a) && isConnected(b) })
 }
 
-// TestCutOneWay: what a sends to b on a's connections is lost. The session
-// moves to a connection that b dialled.
-func TestCutOneWay(t *testing.T) {
-	a, b, toB, _ := pairThroughProxies(t)
+// TestLinkStalledInOneDirection stalls what a sends to b on the connections that
+// a dialled. The session must move to a connection that b dialled.
+func TestLinkStalledInOneDirection(t *testing.T) {
+	a, b, toB, _ := connectThroughProxies(t)
 	toB.Hold(processes.Forth)
 	before := len(a.received("b"))
 	sendUntil(t, "b's messages on a new session", b, "a", func() bool {
-		return b.count(`walnut_peer_sessions_opened_total{role="dialled"}`) > 0 && len(a.received("b")) > before
+		return b.counterValue(`walnut_peer_sessions_opened_total{role="dialled"}`) > 0 && len(a.received("b")) > before
 	})
 	before = len(b.received("a"))
 	sendUntil(t, "a's messages on b's session", a, "b", func() bool { return len(b.received("a")) > before })
 }
 
-// TestCallOverCutSession: a call that is under way ends with an error.
-func TestCallOverCutSession(t *testing.T) {
-	a, b := start(t, "a", 1, quick), start(t, "b", 2, quick)
+// TestCallOverStalledSession checks that a call in progress fails when the answer
+// can't arrive.
+func TestCallOverStalledSession(t *testing.T) {
+	a, b := start(t, "a", 1, shortTimeouts), start(t, "b", 2, shortTimeouts)
 	entered := make(chan struct{})
 	b.answer = func(ctx context.Context, _ string, _ []byte) ([]byte, error) {
 		close(entered)
@@ -119,8 +123,9 @@
 	}
 }
 
-// TestStalledNodeFillsNoMemory: the queue to a node that reads nothing is bounded.
-func TestStalledNodeFillsNoMemory(t *testing.T) {
+// TestQueueToUnresponsiveNodeIsBounded checks that the queue to a node that reads
+// nothing is bounded.
+func TestQueueToUnresponsiveNodeIsBounded(t *testing.T) {
 	const limit = 100
 	a := start(t, "a", 1, func(o *Options) {
 		o.QueueMessages = limit
@@ -131,14 +136,15 @@
 	for range 10 * limit {
 		a.Send("b", heartbeat(1))
 	}
-	if got := a.count(`walnut_peer_dropped_total{reason="queue-full"}`); got != 9*limit {
+	if got := a.counterValue(`walnut_peer_dropped_total{reason="queue-full"}`); got != 9*limit {
 		t.Errorf("%d messages dropped", got)
 	}
 }
 
-// TestHalfOpenSessionGivesWay: b lost the session that a dialled, unnoticed by
-// a, and dials. a prefers its own session only until that fails a ping.
-func TestHalfOpenSessionGivesWay(t *testing.T) {
+// TestHalfOpenSessionIsReplaced: b lost the session that a dialled, and dials
+// while a has not noticed the loss. a must keep its own session only until a ping
+// on it fails.
+func TestHalfOpenSessionIsReplaced(t *testing.T) {
 	a := start(t, "a", 1, func(o *Options) {
 		o.WriteTimeout = time.Second
 		o.KeepAliveAfter = 10 * testTimeout // only the refusal may ping
@@ -148,7 +154,7 @@
 	a.Send("b", heartbeat(1))
 	first := other.accept(t)
 	first.answerHello(t, "b", 2)
-	eventually(t, "a's session", func() bool { return lastState(a) })
+	eventually(t, "a's session", func() bool { return isConnected(a) })
 	second := dialRaw(t, a.Address())
 	if refused := second.hello(t, rawHello("b", 2, "a")).GetRefused().String(); refused != "REFUSED_DUPLICATE" {
 		t.Fatalf("second connection: %s", refused)
@@ -159,24 +165,24 @@
 }
 
 func TestRestartedNode(t *testing.T) {
-	a := start(t, "a", 1, quick)
+	a := start(t, "a", 1, shortTimeouts)
 	before := start(t, "b", 2)
-	introduce(a, before)
+	setAllPeers(a, before)
 	a.Send("b", heartbeat(1))
 	eventually(t, "first message", func() bool { return len(before.received("a")) == 1 })
 	before.Close()
-	eventually(t, "a to hear that b is down", func() bool { return !lastState(a) })
-	if got := a.count(`walnut_peer_sessions_ended_total{reason="shutdown"}`); got != 1 {
+	eventually(t, "a to hear that b is down", func() bool { return !isConnected(a) })
+	if got := a.counterValue(`walnut_peer_sessions_ended_total{reason="shutdown"}`); got != 1 {
 		t.Errorf("%d sessions ended by shutdown", got)
 	}
 	after := start(t, "b", 3, func(o *Options) { o.ListenAddress = before.Address() })
 	sendUntil(t, "message to the new process", a, "b", func() bool { return len(after.received("a")) > 0 })
 }
 
-func TestIdleSessionIsClosedQuietly(t *testing.T) {
+func TestIdleSessionIsClosedWithoutNotice(t *testing.T) {
 	idle := func(o *Options) { o.IdleAfter = 200 * time.Millisecond }
 	a, b := start(t, "a", 1, idle), start(t, "b", 2, idle)
-	introduce(a, b)
+	setAllPeers(a, b)
 	a.Send("b", heartbeat(1))
 	eventually(t, "message", func() bool { return len(b.received("a")) == 1 })
 	eventually(t, "the end of the session", func() bool { return a.sessionCount()+b.sessionCount() == 0 })
@@ -189,14 +195,15 @@
 	}
 }
 
-// TestManyNodesDialAtOnce: each pair ends up with one session.
-func TestManyNodesDialAtOnce(t *testing.T) {
+// TestOneSessionPerPairWhenAllDial checks that each pair of nodes ends up with one
+// session when both sides dial at once.
+func TestOneSessionPerPairWhenAllDial(t *testing.T) {
 	const count = 9
 	var nodes []node
 	for i := range count {
 		nodes = append(nodes, start(t, control.NodeID(fmt.Sprintf("node-%d", i)), control.Incarnation(i+1)))
 	}
-	introduce(nodes...)
+	setAllPeers(nodes...)
 	for _, from := range nodes {
 		for _, to := range nodes {
 			if from != to {
--- a/peer/hello.go
+++ b/peer/hello.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// protocolVersion changes when old and new nodes can't talk.
+	// protocolVersion is raised by changes that are incompatible with older nodes.
 	protocolVersion = 1
 	maxHelloBytes   = 1 << 10
 )
 
 var (
-	errHello    = errors.New("bad hello")
-	errIdentity = errors.New("certificate is not for this node")
+	errInvalidHello     = errors.New("invalid hello")
+	errWrongCertificate = errors.New("certificate is not for this node")
 )
 
-// byteReader reads no further than asked, so that the bytes behind a hello stay
-// for the yamux session.
+// byteReader is an unbuffered io.ByteReader. It consumes no bytes after the
+// hello, which belong to the yamux session.
 type byteReader struct{ io.Reader }
 
 // ReadByte implements io.ByteReader.
@@ -48,13 +48,14 @@
 	hello := &peerpb.Hello{}
 	options := protodelim.UnmarshalOptions{MaxSize: maxHelloBytes}
 	if err := options.UnmarshalFrom(byteReader{conn}, hello); err != nil {
-		return nil, fmt.Errorf("%w: %w", errHello, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidHello, err)
 	}
 	return hello, nil
 }
 
-// checkHello returns the other side's origin, or why the hello is refused.
-func checkHello(hello *peerpb.Hello, conn net.Conn) (wire.Origin, failure) {
+// checkHello returns the origin of the other side, and the reason if its hello
+// is rejected.
+func checkHello(hello *peerpb.Hello, conn net.Conn) (wire.Origin, failReason) {
 	origin := wire.Origin{
 		Node:        control.NodeID(hello.GetNode()),
 		Incarnation: control.Incarnation(hello.GetIncarnation()),
@@ -71,23 +72,23 @@
 	return origin, ""
 }
 
-// checkIdentity compares a node's name with the verified certificate of a TLS
-// connection. Plain connections pass.
+// checkIdentity checks that the verified certificate of a TLS connection is for
+// the node. Connections without TLS always pass.
 func checkIdentity(conn net.Conn, node control.NodeID) error {
 	secure, ok := conn.(*tls.Conn)
 	if !ok {
 		return nil
 	}
 	certificates := secure.ConnectionState().PeerCertificates
-	if len(certificates) == 0 || !names(certificates[0], node) {
-		return errIdentity
+	if len(certificates) == 0 || !isCertificateFor(certificates[0], node) {
+		return errWrongCertificate
 	}
 	return nil
 }
 
-// names reports whether a certificate is for a node: its common name, a DNS
-// name or a URI is the node's name.
-func names(certificate *x509.Certificate, node control.NodeID) bool {
+// isCertificateFor reports whether a certificate is for a node: its common name,
+// one of its DNS names or one of its URIs equals the node's name.
+func isCertificateFor(certificate *x509.Certificate, node control.NodeID) bool {
 	if certificate.Subject.CommonName == string(node) {
 		return true
 	}
@@ -99,8 +100,8 @@
 	})
 }
 
-// refusals pairs the reasons of this side with those on the wire.
-var refusals = map[failure]peerpb.Refused{
+// wireRefusals maps the reasons of this package to the reasons on the wire.
+var wireRefusals = map[failReason]peerpb.Refused{
 	failProtocol:  peerpb.Refused_REFUSED_PROTOCOL,
 	failDuplicate: peerpb.Refused_REFUSED_DUPLICATE,
 	failIdentity:  peerpb.Refused_REFUSED_IDENTITY,
@@ -110,9 +111,9 @@
 	failClosed:    peerpb.Refused_REFUSED_LIMIT,
 }
 
-// refusedAs translates the reason that the other side gave.
-func refusedAs(refused peerpb.Refused) failure {
-	for reason, wireReason := range refusals {
+// failReasonFor translates the reason that the other side sent.
+func failReasonFor(refused peerpb.Refused) failReason {
+	for reason, wireReason := range wireRefusals {
 		if wireReason == refused && reason != failClosed {
 			return reason
 		}
--- a/peer/lazy.go
+++ b/peer/lazy.go
@@ -6,12 +6,12 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// LazyWait is the longest time that messages which nothing waits for are held
-// back, so that they go with others. A flush costs far more than a message.
+// MaxDeferTime is the longest time for which deferrable messages are held back, to
+// be sent with others: a flush costs far more than a message.
 const LazyWait = 10 * time.Millisecond
 
-// CanWait says that nothing waits for a message: acknowledgements, counts and
-// the news that a run goes on.
+// CanDefer reports whether sending a message may be deferred because nothing waits
+// for it: acknowledgements, service counts and reports that a run is in progress.
 func CanWait(message control.Message) bool {
 	switch m := message.(type) {
 	case control.ReportAck, control.ServiceReport, control.ServiceTotals:
@@ -23,7 +23,7 @@
 	}
 }
 
-func allCanWait(messages []control.Message) bool {
+func allDeferrable(messages []control.Message) bool {
 	for _, message := range messages {
 		if !CanWait(message) {
 			return false
@@ -32,20 +32,21 @@
 	return true
 }
 
-// wakeLater wakes the session's writer within LazyWait, unless another message
-// does so before. Call with mu held.
-func (l *link) wakeLater() {
-	if l.later {
+// scheduleFlush wakes the session's writer after MaxDeferTime, unless another
+// message does so earlier. The caller holds mu.
+func (l *link) scheduleFlush() {
+	if l.flushScheduled {
 		return
 	}
-	l.later = true
-	time.AfterFunc(LazyWait, l.wakeNow)
+	l.flushScheduled = true
+	time.AfterFunc(LazyWait, l.flushDeferred)
 }
 
-func (l *link) wakeNow() {
+// flushDeferred wakes the session's writer if messages are queued.
+func (l *link) flushDeferred() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.later = false
+	l.flushScheduled = false
 	if l.session != nil && len(l.queue) > 0 {
 		l.session.wake(len(l.queue))
 	}
--- a/peer/link.go
+++ b/peer/link.go
@@ -10,18 +10,18 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// ErrUnreachable says that a node has no address or could not be dialled.
+// ErrUnreachable reports that a node has no known address or could not be dialled.
 var ErrUnreachable = errors.New("node is unreachable")
 
-// retiredFor is how long an incarnation stays refused after a newer one of the
-// same node was seen.
-const retiredFor = 10 * time.Minute
+// retiredTTL is how long connections of an incarnation are refused after a newer
+// incarnation of the same node connected.
+const retiredTTL = 10 * time.Minute
 
-// maxRetired bounds the incarnations that are remembered of one node.
-const maxRetired = 64
+// maxRetiredIncarnations bounds the retired incarnations stored for one node.
+const maxRetiredIncarnations = 64
 
-// link is what a Mesh knows of one node: its address, its session if one is
-// open, and the messages that wait for it.
+// link is the state that a Mesh keeps for one node: its address, its session if
+// one is open, and the messages queued for it.
 type link struct {
 	mesh *Mesh
 	node control.NodeID
@@ -31,29 +31,32 @@
 	queue   []control.Message
 	session *session
 	dialing bool
-	// later says that the session's writer is woken within LazyWait.
-	later bool
-	// failures counts dials in a row; no dial is made before notBefore.
-	failures  int
-	notBefore time.Time
-	dials     uint64
-	// retired holds replaced incarnations until they are forgotten.
+	// flushScheduled is set while a timer will wake the session's writer within
+	// MaxDeferTime.
+	flushScheduled bool
+	// failedDials counts the failed dials in a row. No dial is made before
+	// nextDialAt.
+	failedDials int
+	nextDialAt  time.Time
+	dialCount   uint64
+	// retired maps replaced incarnations to the time until which they are refused.
 	retired map[control.Incarnation]time.Time
-	// lost is set while the last session or dial ended badly.
-	lost   bool
-	closed bool
-	// changed is closed and replaced when a dial ended or a session opened.
+	// lastEndFailed is set if the last session was lost or the last dial failed,
+	// and when an unused link is closed, so that the handler is notified.
+	lastEndFailed bool
+	closed        bool
+	// changed is closed and replaced when a dial ends or a session is installed.
 	changed chan struct{}
 
-	// delivery serialises the handler's Received and StateChanged. It is
-	// taken before mu.
-	delivery  sync.Mutex
-	announced state
+	// handlerMu serialises calls of the handler's Received and StateChanged.
+	// Lock order: handlerMu before mu.
+	handlerMu sync.Mutex
+	notified  notifiedState
 }
 
-// state is what the handler was last told of a node.
-type state struct {
-	told        bool
+// notifiedState is the state of a node that the handler was last notified of.
+type notifiedState struct {
+	set         bool
 	connected   bool
 	incarnation control.Incarnation
 }
@@ -67,32 +70,33 @@
 	}
 }
 
-// send queues messages and sees to it that a session is open or being opened.
+// send queues messages and makes sure that a session is open or being opened.
 func (l *link) send(messages []control.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if reason, ok := l.ready(); !ok {
-		l.mesh.counters.dropped(reason, len(messages))
+	if reason, ok := l.ensureSession(); !ok {
+		l.mesh.counters.countDropped(reason, len(messages))
 		return
 	}
 	free := max(0, l.mesh.options.QueueMessages-len(l.queue))
 	if len(messages) > free {
-		l.mesh.counters.dropped(dropQueueFull, len(messages)-free)
+		l.mesh.counters.countDropped(dropQueueFull, len(messages)-free)
 		messages = messages[:free]
 	}
 	l.queue = append(l.queue, messages...)
 	switch {
 	case l.session == nil:
-	case allCanWait(messages) && len(l.queue) < flushMessages:
-		l.wakeLater()
+	case allDeferrable(messages) && len(l.queue) < fullBatchMessages:
+		l.scheduleFlush()
 	default:
 		l.session.wake(len(l.queue))
 	}
 }
 
-// ready reports whether a session is open or being opened, and starts a dial if
-// that is possible. Call with mu held.
-func (l *link) ready() (dropReason, bool) {
+// ensureSession starts a dial if there is neither a session nor a dial in
+// progress. It returns the reason for dropping messages, and false, if no dial is
+// possible now. The caller holds mu.
+func (l *link) ensureSession() (dropReason, bool) {
 	switch {
 	case l.closed:
 		return dropClosed, false
@@ -100,7 +104,7 @@
 		return "", true
 	case l.address == "":
 		return dropNoAddress, false
-	case time.Now().Before(l.notBefore):
+	case time.Now().Before(l.nextDialAt):
 		return dropUnreachable, false
 	}
 	l.dialing = l.mesh.spawn(l.dial)
@@ -110,8 +114,9 @@
 	return "", true
 }
 
-// take empties the queue for a session's writer.
-func (l *link) take(s *session) []control.Message {
+// takeQueue empties the queue for a session's writer. It returns nil if the
+// session was replaced.
+func (l *link) takeQueue(s *session) []control.Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.session != s {
@@ -122,41 +127,42 @@
 	return messages
 }
 
-// setAddress sets where to dial the node; empty if it is not known. It returns
-// the session that was dialled to another address, to be ended.
-func (l *link) setAddress(address string) (moved *session) {
+// setAddress sets the address of the node; empty means unknown. If the address
+// changed, it returns the session that this side dialled to the old one, which
+// the caller ends, and pings a session that the other side dialled.
+func (l *link) setAddress(address string) (outdated *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.address == address {
 		return nil
 	}
 	l.address = address
-	l.failures = 0
-	l.notBefore = time.Time{}
+	l.failedDials = 0
+	l.nextDialAt = time.Time{}
 	if l.session == nil || address == "" {
 		return nil
 	}
 	if l.session.dialled {
 		return l.session
 	}
-	l.session.probe()
+	l.session.ping()
 	return nil
 }
 
-// install makes a connection the link's session, unless another one has
-// precedence.
-func (l *link) install(s *session) failure {
-	old, reason := l.replace(s)
+// installSession makes a connection the link's session, unless another one takes
+// precedence. It ends the session that it replaces.
+func (l *link) installSession(s *session) failReason {
+	old, reason := l.replaceSession(s)
 	if old != nil {
 		old.end(replacedReason(old, s))
 	}
 	return reason
 }
 
-// replace returns the session that the new one takes the place of, or why the
-// new one is refused. The rules are the same at both ends, so that both keep
-// the same connection; see docs/PEERS.md.
-func (l *link) replace(s *session) (old *session, reason failure) {
+// replaceSession sets the link's session and returns the one that it replaces, or
+// the reason for refusing the new one. The rules are the same at both ends, so
+// both keep the same connection; see docs/PEERS.md.
+func (l *link) replaceSession(s *session) (old *session, reason failReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	old = l.session
@@ -166,16 +172,16 @@
 	case l.isRetired(s.remote.Incarnation):
 		return nil, failStale
 	case old == nil && !s.dialled && l.dialing && l.mesh.self.Node < l.node:
-		return nil, failDuplicate // the dial under way will have precedence
+		return nil, failDuplicate // the dial in progress will take precedence
 	case old != nil && old.remote == s.remote && !s.precedes(old):
-		old.probe()
+		old.ping()
 		return nil, failDuplicate
 	case old != nil && old.remote != s.remote:
 		l.retire(old.remote.Incarnation)
 	}
 	l.session = s
-	l.failures = 0
-	l.lost = false
+	l.failedDials = 0
+	l.lastEndFailed = false
 	l.notifyChanged()
 	return old, ""
 }
@@ -187,24 +193,26 @@
 	return endDuplicate
 }
 
-// retire refuses an incarnation for a while. Call with mu held.
+// retire makes connections of an incarnation refused for retiredTTL. The caller
+// holds mu.
 func (l *link) retire(incarnation control.Incarnation) {
-	if len(l.retired) >= maxRetired {
+	if len(l.retired) >= maxRetiredIncarnations {
 		clear(l.retired)
 	}
-	l.retired[incarnation] = time.Now().Add(retiredFor)
+	l.retired[incarnation] = time.Now().Add(retiredTTL)
 }
 
-// isRetired reports whether a newer incarnation was seen. Call with mu held.
+// isRetired reports whether an incarnation was replaced by another within
+// retiredTTL. The caller holds mu.
 func (l *link) isRetired(incarnation control.Incarnation) bool {
-	l.anyRetired()
+	l.purgeRetired()
 	_, retired := l.retired[incarnation]
 	return retired
 }
 
-// anyRetired forgets what is over and reports whether something is left. Call
-// with mu held.
-func (l *link) anyRetired() bool {
+// purgeRetired deletes the retired incarnations that have expired and reports
+// whether any are left. The caller holds mu.
+func (l *link) purgeRetired() bool {
 	now := time.Now()
 	maps.DeleteFunc(l.retired, func(_ control.Incarnation, until time.Time) bool {
 		return now.After(until)
@@ -212,96 +220,99 @@
 	return len(l.retired) > 0
 }
 
-// removed takes an ended session off the link. Messages that still wait are
-// kept for the next session if a dial can be started at once.
-func (l *link) removed(s *session, reason endReason) {
+// sessionEnded removes an ended session from the link. Queued messages are kept
+// for the next session if a dial can be started at once, else dropped.
+func (l *link) sessionEnded(s *session, reason endReason) {
 	l.mu.Lock()
 	if l.session == s {
 		l.session = nil
-		l.lost = reason != endIdle && !l.dialing
+		l.lastEndFailed = reason != endIdle && !l.dialing
 		if len(l.queue) > 0 {
-			if drop, ok := l.ready(); !ok {
+			if drop, ok := l.ensureSession(); !ok {
 				l.dropQueue(drop)
 			}
 		}
 	}
 	l.mu.Unlock()
-	l.announce()
+	l.notifyHandler()
 }
 
-// dropQueue empties the queue. Call with mu held.
+// dropQueue empties the queue and counts the dropped messages. The caller holds mu.
 func (l *link) dropQueue(reason dropReason) {
-	l.mesh.counters.dropped(reason, len(l.queue))
+	l.mesh.counters.countDropped(reason, len(l.queue))
 	l.queue = nil
 }
 
-// notifyChanged wakes the calls that wait for a session. Call with mu held.
+// notifyChanged wakes the goroutines that wait for a session. The caller holds mu.
 func (l *link) notifyChanged() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// announce tells the handler the link's state if it changed. A session that
-// was closed as idle is no change.
-func (l *link) announce() {
-	l.delivery.Lock()
-	defer l.delivery.Unlock()
-	now, known := l.current()
-	if !known || now == l.announced {
+// notifyHandler calls the handler's StateChanged if the link's state changed. A
+// session that was closed because it was idle is no change. A session to a new
+// incarnation of a connected node is reported as lost, then as opened.
+func (l *link) notifyHandler() {
+	l.handlerMu.Lock()
+	defer l.handlerMu.Unlock()
+	now, known := l.currentState()
+	if !known || now == l.notified {
 		return
 	}
-	before := l.announced
-	l.announced = now
+	before := l.notified
+	l.notified = now
 	if before.connected && now.connected {
 		l.mesh.handler.StateChanged(l.node, false)
 	}
 	l.mesh.handler.StateChanged(l.node, now.connected)
 }
 
-// current is the state to announce; not known while no session is open and
-// none was lost.
-func (l *link) current() (now state, known bool) {
+// currentState returns the state to report to the handler. It is not known while
+// no session is open and the last one did not fail.
+func (l *link) currentState() (now notifiedState, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.session != nil {
-		return state{told: true, connected: true, incarnation: l.session.remote.Incarnation}, true
+		return notifiedState{set: true, connected: true, incarnation: l.session.remote.Incarnation}, true
 	}
-	return state{told: true}, l.lost
+	return notifiedState{set: true}, l.lastEndFailed
 }
 
-// deliver hands messages to the handler, if the session is still the link's.
+// deliver passes messages to the handler, or drops them if the session was
+// replaced.
 func (l *link) deliver(s *session, messages []control.Message) {
-	l.delivery.Lock()
-	defer l.delivery.Unlock()
+	l.handlerMu.Lock()
+	defer l.handlerMu.Unlock()
 	l.mu.Lock()
 	current := l.session == s
 	l.mu.Unlock()
 	if !current {
-		l.mesh.counters.dropped(dropReplaced, len(messages))
+		l.mesh.counters.countDropped(dropReplaced, len(messages))
 		return
 	}
 	l.mesh.handler.Received(l.node, s.remote.Incarnation, messages)
 }
 
-// check lets the session look at its silence and idleness. It reports whether
-// the link is of no more use; then it takes no session any more.
-func (l *link) check(now time.Time) (useless bool) {
+// check checks the session for silence and idleness. It reports whether the link
+// is unused: it has no session, no address, no dial in progress and no retired
+// incarnations. An unused link is closed.
+func (l *link) check(now time.Time) (unused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.session != nil {
 		l.session.check(now)
 		return false
 	}
-	if l.address != "" || l.dialing || l.anyRetired() {
+	if l.address != "" || l.dialing || l.purgeRetired() {
 		return false
 	}
 	l.closed = true
-	l.lost = true
-	l.mesh.spawn(l.announce)
+	l.lastEndFailed = true
+	l.mesh.spawn(l.notifyHandler)
 	return true
 }
 
-// close ends the session and refuses new ones.
+// close ends the session, drops the queue and refuses new sessions.
 func (l *link) close() {
 	l.mu.Lock()
 	l.closed = true
@@ -310,15 +321,16 @@
 	l.notifyChanged()
 	l.mu.Unlock()
 	if s != nil {
-		s.farewell(endClosed)
+		s.closeGracefully(endClosed)
 	}
 }
 
-// backOff returns a random wait that doubles with the failures in a row.
-func backOff(failures int, least, most time.Duration) time.Duration {
-	wait := least
-	for ; failures > 1 && wait < most; failures-- {
-		wait = min(wait*2, most)
+// dialBackoff returns the wait after a number of failed dials in a row. It
+// doubles with each failure up to maxWait, with a jitter of 50 % either way.
+func dialBackoff(failures int, minWait, maxWait time.Duration) time.Duration {
+	wait := minWait
+	for ; failures > 1 && wait < maxWait; failures-- {
+		wait = min(wait*2, maxWait)
 	}
 	return wait/2 + rand.N(wait)
 }
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -17,42 +17,47 @@
 	"github.com/walnutcove/walnutcove/peer/wire"
 )
 
-// ErrClosed is returned by calls on a closed Mesh.
+// ErrClosed reports that the Mesh is closed.
 var ErrClosed = errors.New("peer: closed")
 
-// checkPeriod is the longest period of looking for silent and idle sessions.
-const checkPeriod = time.Second
+// maxCheckInterval is the longest interval between two checks for silent and
+// idle sessions.
+const maxCheckInterval = time.Second
 
-// Mesh is the Transport over TCP. Sessions are opened by the first message or
-// call to a node and closed when idle.
+// Mesh implements Transport over TCP. A session is opened by the first message or
+// call to a node and closed when it is idle.
 type Mesh struct {
 	options Options
-	// started is the origin of the sessions' times, which count on the steady
-	// clock: a step of the time of day must not make every session look silent.
-	started  time.Time
-	self     wire.Origin
-	handler  Handler
-	log      *slog.Logger
-	counters counters
-	listener net.Listener
-	// ctx ends with Close. Goroutines that outlive a call are in running.
-	ctx        context.Context
-	cancel     context.CancelFunc
-	running    sync.WaitGroup
-	handshakes chan struct{}
+	// startedAt is the reference for the timestamps of the sessions, which are
+	// offsets on the monotonic clock: a step of the wall clock must not make
+	// every session look silent.
+	startedAt time.Time
+	self      wire.Origin
+	handler   Handler
+	log       *slog.Logger
+	counters  counters
+	listener  net.Listener
+	// ctx is cancelled by Close, which then waits for goroutines.
+	ctx            context.Context
+	cancel         context.CancelFunc
+	goroutines     sync.WaitGroup
+	handshakeSlots chan struct{}
 
-	// mu is taken before any link's mu. links is nil after Close.
+	// mu guards links, which is nil after Close. Lock order: mu before any
+	// link's mu.
 	mu    sync.Mutex
 	links map[control.NodeID]*link
 
-	// spawning guards closed and the start of goroutines. It is taken last.
-	spawning sync.Mutex
-	closed   bool
+	// spawnMu guards closed and the start of goroutines. It is the last in the
+	// lock order.
+	spawnMu sync.Mutex
+	closed  bool
 }
 
 var _ Transport = (*Mesh)(nil)
 
-// New starts listening. The handler may be called before New returns.
+// New starts a Mesh that listens for other nodes. The handler may be called
+// before New returns.
 func New(options Options, handler Handler) (*Mesh, error) {
 	if err := options.complete(); err != nil {
 		return nil, err
@@ -63,38 +68,38 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Mesh{
-		options:    options,
-		started:    time.Now(),
-		self:       wire.Origin{Node: options.Node, Incarnation: options.Incarnation},
-		handler:    handler,
-		log:        options.Logger,
-		counters:   newCounters(options.Metrics),
-		listener:   listener,
-		ctx:        ctx,
-		cancel:     cancel,
-		handshakes: make(chan struct{}, maxHandshakes),
-		links:      make(map[control.NodeID]*link),
+		options:        options,
+		startedAt:      time.Now(),
+		self:           wire.Origin{Node: options.Node, Incarnation: options.Incarnation},
+		handler:        handler,
+		log:            options.Logger,
+		counters:       newCounters(options.Metrics),
+		listener:       listener,
+		ctx:            ctx,
+		cancel:         cancel,
+		handshakeSlots: make(chan struct{}, maxHandshakes),
+		links:          make(map[control.NodeID]*link),
 	}
-	m.running.Go(m.accept)
-	m.running.Go(m.check)
+	m.goroutines.Go(m.acceptLoop)
+	m.goroutines.Go(m.checkLoop)
 	return m, nil
 }
 
-// age is the time since the mesh started, by the steady clock.
-func (m *Mesh) age() time.Duration { return time.Since(m.started) }
+// age returns the time since the mesh started, on the monotonic clock.
+func (m *Mesh) age() time.Duration { return time.Since(m.startedAt) }
 
-// Address is the "ip:port" that the Mesh listens on.
+// Address returns the "ip:port" that the Mesh listens on.
 func (m *Mesh) Address() string { return m.listener.Addr().String() }
 
 // Send implements Transport.
 func (m *Mesh) Send(to control.NodeID, messages ...control.Message) {
 	if to == m.self.Node {
-		m.counters.dropped(dropSelf, len(messages))
+		m.counters.countDropped(dropSelf, len(messages))
 		return
 	}
-	l := m.known(to)
+	l := m.findLink(to)
 	if l == nil {
-		m.counters.dropped(dropNoAddress, len(messages))
+		m.counters.countDropped(dropNoAddress, len(messages))
 		return
 	}
 	l.send(messages)
@@ -104,57 +109,60 @@
 func (m *Mesh) Call(ctx context.Context, to control.NodeID, method string, payload []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.options.CallTimeout)
 	defer cancel()
-	l := m.known(to)
+	l := m.findLink(to)
 	if l == nil {
-		m.counters.call(directionOut, resultUnreachable)
+		m.counters.countCall(directionOut, resultUnreachable)
 		return nil, fmt.Errorf("peer: call to %s: %w", to, ErrUnreachable)
 	}
 	answer, err := l.call(ctx, method, payload)
-	m.counters.call(directionOut, callResult(err))
+	m.counters.countCall(directionOut, callResult(err))
 	if err != nil {
 		return nil, fmt.Errorf("peer: call %s to %s: %w", method, to, err)
 	}
 	return answer, nil
 }
 
-// SetPeers implements Transport. A session that was dialled to an address that
-// changed is closed; sessions to nodes that left the list stay until idle.
+// SetPeers implements Transport. A session that this side dialled is closed if
+// the node's address changed; sessions to nodes that are no longer listed stay
+// open until they are idle.
 func (m *Mesh) SetPeers(addresses map[control.NodeID]string) {
 	for _, s := range m.setAddresses(addresses) {
 		s.end(endMoved)
 	}
 }
 
-// setAddresses returns the sessions that lead to addresses of before.
-func (m *Mesh) setAddresses(addresses map[control.NodeID]string) (moved []*session) {
+// setAddresses updates the links' addresses and returns the sessions that were
+// dialled to addresses that changed.
+func (m *Mesh) setAddresses(addresses map[control.NodeID]string) (outdated []*session) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for node, address := range addresses {
-		if node == m.self.Node || !m.mayDial(node, address) {
+		if node == m.self.Node || !m.isDialAllowed(node, address) {
 			continue
 		}
-		if l := m.linkLocked(node); l != nil {
-			moved = append(moved, l.setAddress(address))
+		if l := m.ensureLinkLocked(node); l != nil {
+			outdated = append(outdated, l.setAddress(address))
 		}
 	}
 	for node, l := range m.links {
-		if !m.mayDial(node, addresses[node]) {
-			moved = append(moved, l.setAddress(""))
+		if !m.isDialAllowed(node, addresses[node]) {
+			outdated = append(outdated, l.setAddress(""))
 		}
 	}
-	return slices.DeleteFunc(moved, func(s *session) bool { return s == nil })
+	return slices.DeleteFunc(outdated, func(s *session) bool { return s == nil })
 }
 
-// mayDial refuses plain sessions outside loopback.
-func (m *Mesh) mayDial(node control.NodeID, address string) bool {
+// isDialAllowed reports whether an address may be dialled: without TLS, only
+// loopback addresses may, unless the network is trusted.
+func (m *Mesh) isDialAllowed(node control.NodeID, address string) bool {
 	if address == "" {
 		return false
 	}
 	if m.options.TLS != nil || m.options.TrustNetwork || checkLoopback(address) == nil {
 		return true
 	}
-	m.counters.dialFailed(failPlain)
-	m.log.Warn("peer: Address refused, plain sessions need loopback.", "node", node, "address", address)
+	m.counters.countDialFailure(failPlain)
+	m.log.Warn("peer: Address rejected: sessions without TLS require a loopback address.", "node", node, "address", address)
 	return false
 }
 
@@ -170,26 +178,27 @@
 	}
 	closing.Wait()
 	m.cancel()
-	m.running.Wait()
+	m.goroutines.Wait()
 	return err
 }
 
-// known returns the link to a node, or nil.
-func (m *Mesh) known(node control.NodeID) *link {
+// findLink returns the link to a node, or nil if there is none.
+func (m *Mesh) findLink(node control.NodeID) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.links[node]
 }
 
-// link returns the link to a node and creates it if needed. It is nil after Close.
-func (m *Mesh) link(node control.NodeID) *link {
+// ensureLink returns the link to a node and creates it if needed. It returns nil
+// after Close.
+func (m *Mesh) ensureLink(node control.NodeID) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.linkLocked(node)
+	return m.ensureLinkLocked(node)
 }
 
-// linkLocked is link with mu held.
-func (m *Mesh) linkLocked(node control.NodeID) *link {
+// ensureLinkLocked is ensureLink for callers that hold mu.
+func (m *Mesh) ensureLinkLocked(node control.NodeID) *link {
 	if m.links == nil {
 		return nil
 	}
@@ -201,21 +210,23 @@
 	return l
 }
 
-// spawn runs a function that Close waits for. It reports false after Close.
+// spawn runs a function in a goroutine that Close waits for. It returns false
+// after Close.
 func (m *Mesh) spawn(function func()) bool {
-	m.spawning.Lock()
-	defer m.spawning.Unlock()
+	m.spawnMu.Lock()
+	defer m.spawnMu.Unlock()
 	if m.closed {
 		return false
 	}
-	m.running.Go(function)
+	m.goroutines.Go(function)
 	return true
 }
 
-// stopSpawning reports false if it was called before.
+// stopSpawning makes spawn start no more goroutines. It returns false if it was
+// called before.
 func (m *Mesh) stopSpawning() bool {
-	m.spawning.Lock()
-	defer m.spawning.Unlock()
+	m.spawnMu.Lock()
+	defer m.spawnMu.Unlock()
 	if m.closed {
 		return false
 	}
@@ -223,7 +234,7 @@
 	return true
 }
 
-// takeLinks returns the links and lets no new ones be made.
+// takeLinks removes and returns all links. No links can be created afterwards.
 func (m *Mesh) takeLinks() map[control.NodeID]*link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -232,9 +243,9 @@
 	return links
 }
 
-// check looks for silent and idle sessions, until Close.
-func (m *Mesh) check() {
-	period := min(checkPeriod, m.options.KeepAliveAfter/2, m.options.IdleAfter/2)
+// checkLoop checks for silent and idle sessions until Close.
+func (m *Mesh) checkLoop() {
+	period := min(maxCheckInterval, m.options.KeepAliveAfter/2, m.options.IdleAfter/2)
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -247,7 +258,7 @@
 	}
 }
 
-// checkLinks checks the sessions and forgets the links that are of no more use.
+// checkLinks checks the sessions and removes unused links.
 func (m *Mesh) checkLinks(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -258,7 +269,7 @@
 	}
 }
 
-// sessionCount counts the open sessions.
+// sessionCount returns the number of open sessions.
 func (m *Mesh) sessionCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -271,8 +282,9 @@
 	return count
 }
 
-// muxConfig is the same at both ends. Keep-alives are sent by session.check,
-// which leaves busy sessions alone.
+// muxConfig returns the yamux configuration, which is the same at both ends.
+// Yamux's keep-alives are off: session.check sends pings, and only on sessions
+// that received nothing for a while.
 func (m *Mesh) muxConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.EnableKeepAlive = false
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -15,13 +15,13 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// TestMain fails on goroutines that are left behind.
+// TestMain fails if goroutines are leaked.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // testTimeout bounds every wait for a condition.
 const testTimeout = 20 * time.Second
 
-// recorder is a Handler that keeps what it was told.
+// recorder is a Handler that records messages and state changes.
 type recorder struct {
 	mu       sync.Mutex
 	messages map[control.NodeID][]control.Message
@@ -74,7 +74,7 @@
 	*recorder
 }
 
-// start makes a node on loopback. Its options may be changed first.
+// start starts a node on loopback, with its options changed by the functions given.
 func start(t testing.TB, name control.NodeID, incarnation control.Incarnation, change ...func(*Options)) node {
 	t.Helper()
 	r := &recorder{}
@@ -83,7 +83,7 @@
 	return n
 }
 
-// startWith makes a node with another handler.
+// startWith is start with a handler of the caller's.
 func startWith(t testing.TB, handler Handler, name control.NodeID, incarnation control.Incarnation, change ...func(*Options)) node {
 	t.Helper()
 	options := Options{
@@ -104,8 +104,8 @@
 	return node{Mesh: mesh}
 }
 
-// introduce tells all nodes the addresses of all.
-func introduce(nodes ...node) {
+// setAllPeers sets the addresses of all nodes as the peers of each.
+func setAllPeers(nodes ...node) {
 	addresses := make(map[control.NodeID]string)
 	for _, n := range nodes {
 		addresses[n.self.Node] = n.Address()
@@ -121,7 +121,7 @@
 	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -133,7 +133,7 @@
 
 func TestSendKeepsOrder(t *testing.T) {
 	a, b := start(t, "a", 1), start(t, "b", 2)
-	introduce(a, b)
+	setAllPeers(a, b)
 	const count = 2000
 	for i := range uint64(count) {
 		a.Send("b", heartbeat(i))
@@ -148,7 +148,7 @@
 
 func TestBothSendAtOnce(t *testing.T) {
 	a, b := start(t, "a", 1), start(t, "b", 2)
-	introduce(a, b)
+	setAllPeers(a, b)
 	a.Send("b", heartbeat(1))
 	b.Send("a", heartbeat(2))
 	eventually(t, "both messages", func() bool { return len(b.received("a")) == 1 && len(a.received("b")) == 1 })
@@ -159,7 +159,7 @@
 
 func TestCall(t *testing.T) {
 	a, b := start(t, "a", 1), start(t, "b", 2)
-	introduce(a, b)
+	setAllPeers(a, b)
 	answer, err := a.Call(context.Background(), "b", "echo", []byte("hello"))
 	if err != nil || string(answer) != "echo hello" {
 		t.Fatalf("answer %q, error %v", answer, err)
@@ -169,7 +169,7 @@
 	}
 }
 
-// count reads a counter.
-func (n node) count(name string) int {
+// counterValue returns the value of a counter.
+func (n node) counterValue(name string) int {
 	return int(n.options.Metrics.GetOrCreateCounter(name).Get())
 }
--- a/peer/muxconn.go
+++ b/peer/muxconn.go
@@ -5,40 +5,40 @@
 	"net"
 )
 
-// The parts of a yamux header that muxConn looks at; see the specification of
-// yamux.
+// Layout of the yamux header, as far as muxConn reads it; see the yamux
+// specification. maxKeptFrameBytes bounds the buffer kept between frames.
 const (
-	muxHeaderBytes  = 12
-	muxTypeAt       = 1
-	muxLengthAt     = 8
-	muxTypeData     = 0
-	joinedKeepBytes = 16 << 10
+	muxHeaderBytes    = 12
+	muxTypeOffset     = 1
+	muxLengthOffset   = 8
+	muxTypeData       = 0
+	maxKeptFrameBytes = 16 << 10
 )
 
-// muxConn carries a yamux session. Yamux writes the header of a data frame and
-// its body apart, which would make two packets, and two records of TLS, of
-// each batch: muxConn joins them. Its methods are called as yamux calls them,
-// with one Write at a time.
+// muxConn is the connection below a yamux session. Yamux writes the header and
+// the body of a data frame separately, which would make two packets, and two TLS
+// records, of each batch. muxConn joins them into one write. Like yamux, the
+// caller must make one Write at a time.
 type muxConn struct {
 	net.Conn
-	raw net.Conn
-	// held is a header whose body follows.
-	held []byte
+	raw net.Conn // the TCP connection, below TLS
+	// pendingHeader is a header that is held back until its body is written.
+	pendingHeader []byte
 }
 
 // Write implements io.Writer.
 func (c *muxConn) Write(data []byte) (int, error) {
-	if len(c.held) == 0 && announcesBody(data) {
-		c.held = append(c.held, data...)
+	if len(c.pendingHeader) == 0 && isDataHeader(data) {
+		c.pendingHeader = append(c.pendingHeader, data...)
 		return len(data), nil
 	}
-	if len(c.held) == 0 {
+	if len(c.pendingHeader) == 0 {
 		return c.Conn.Write(data)
 	}
-	joined := append(c.held, data...)
-	c.held = joined[:0]
-	if cap(joined) > joinedKeepBytes {
-		c.held = nil
+	joined := append(c.pendingHeader, data...)
+	c.pendingHeader = joined[:0]
+	if cap(joined) > maxKeptFrameBytes {
+		c.pendingHeader = nil
 	}
 	if _, err := c.Conn.Write(joined); err != nil {
 		return 0, err
@@ -46,13 +46,13 @@
 	return len(data), nil
 }
 
-// announcesBody reports whether a write is the header of a data frame.
-func announcesBody(data []byte) bool {
+// isDataHeader reports whether a write is the header of a data frame with a body.
+func isDataHeader(data []byte) bool {
 	return len(data) == muxHeaderBytes &&
-		data[muxTypeAt] == muxTypeData &&
-		binary.BigEndian.Uint32(data[muxLengthAt:]) > 0
+		data[muxTypeOffset] == muxTypeData &&
+		binary.BigEndian.Uint32(data[muxLengthOffset:]) > 0
 }
 
-// Close closes the TCP connection at once, without a TLS farewell, which could
-// block.
+// Close closes the TCP connection at once, without a TLS close_notify alert,
+// whose write could block.
 func (c *muxConn) Close() error { return c.raw.Close() }
--- a/peer/muxconn_test.go
+++ b/peer/muxconn_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// writeRecorder is a connection that keeps what each Write was given.
+// writeRecorder is a connection that records the data of each Write.
 type writeRecorder struct {
 	net.Conn
 	writes []string
@@ -23,7 +23,7 @@
 		data         = "\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x04"
 		ping         = "\x00\x02\x00\x01\x00\x00\x00\x00\x00\x00\x00\x07"
 		windowUpdate = "\x00\x01\x00\x00\x00\x00\x00\x01\x00\x00\x10\x00"
-		// bodyLikeHeader is a body as long as a header.
+		// bodyLikeHeader is a body with the length and layout of a header.
 		bodyLikeHeader = "\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x01"
 	)
 	recorder := &writeRecorder{}
@@ -39,18 +39,18 @@
 	}
 }
 
-func TestBackOffIsBounded(t *testing.T) {
-	const least, most = 50 * time.Millisecond, 2 * time.Second
+func TestDialBackoffIsBounded(t *testing.T) {
+	const minWait, maxWait = 50 * time.Millisecond, 2 * time.Second
 	for _, test := range []struct {
 		failures  int
 		low, high time.Duration
 	}{
-		{1, least / 2, least * 3 / 2},
-		{3, least * 2, least * 6},
-		{1 << 40, most / 2, most * 3 / 2},
+		{1, minWait / 2, minWait * 3 / 2},
+		{3, minWait * 2, minWait * 6},
+		{1 << 40, maxWait / 2, maxWait * 3 / 2},
 	} {
 		for range 100 {
-			if wait := backOff(test.failures, least, most); wait < test.low || wait > test.high {
+			if wait := dialBackoff(test.failures, minWait, maxWait); wait < test.low || wait > test.high {
 				t.Errorf("after %d failures: %s", test.failures, wait)
 			}
 		}
--- a/peer/options.go
+++ b/peer/options.go
@@ -19,73 +19,78 @@
 	// Node and Incarnation identify this process. Required.
 	Node        control.NodeID
 	Incarnation control.Incarnation
-	// ListenAddress is the "ip:port" for the other nodes. Required; port 0
-	// picks a free port, see Mesh.Address.
+	// ListenAddress is the "ip:port" that accepts sessions from other nodes.
+	// Required; port 0 picks a free port, see Mesh.Address.
 	ListenAddress string
-	// TLS is the configuration that tlsfiles loads. With nil, sessions are
-	// plain, and every address must be on loopback.
+	// TLS is the configuration returned by tlsfiles.Load. If nil, sessions are
+	// not encrypted, and every address must be on loopback.
 	TLS *tls.Config
-	// TrustNetwork allows plain sessions on any address: whoever reaches the
-	// port is taken for a router.
+	// TrustNetwork allows sessions without TLS on any address: whoever can
+	// connect to the port is accepted as a router.
 	TrustNetwork bool
 	// Logger defaults to slog.Default().
 	Logger *slog.Logger
-	// Metrics takes the counters. Default: the process's default set.
+	// Metrics receives the counters. Default: the process's default set.
 	Metrics *metrics.Set
 
-	// QueueMessages bounds the messages that wait for one node. Default 4096.
+	// MaxQueuedMessages bounds the messages queued for one node. Default 4096.
 	QueueMessages int
-	// FlushEvery is the mean time between two writes to one node under load,
-	// and the longest wait of a message for more. A few writes may follow each
-	// other at once. Default 1 ms.
+	// FlushInterval is the mean time between two writes to one node under load,
+	// and the longest time that a message waits to be batched with others.
+	// Short bursts of writes are not delayed. Default 1 ms.
 	FlushEvery time.Duration
 	// DialTimeout bounds connecting, the TLS handshake and the hello. Default 2 s.
 	DialTimeout time.Duration
-	// WriteTimeout bounds a write and the answer to a ping. Default 3 s.
+	// WriteTimeout bounds a write and the wait for the answer to a ping. Default 3 s.
 	WriteTimeout time.Duration
-	// KeepAliveAfter is the silence after which a node is pinged. Default 5 s.
+	// KeepAliveAfter is the time without received data after which a node is
+	// pinged. Default 5 s.
 	KeepAliveAfter time.Duration
-	// IdleAfter is the time without a message or call after which a session
+	// IdleTimeout is the time without a message or call after which a session
 	// is closed. Default 60 s.
 	IdleAfter time.Duration
-	// RetryMin and RetryMax bound the back-off between dials. Defaults 50 ms and 2 s.
+	// RetryMin and RetryMax bound the back-off between failed dials, before
+	// jitter. Defaults 50 ms and 2 s.
 	RetryMin time.Duration
 	RetryMax time.Duration
 	// CallTimeout bounds a Call whose context has no earlier deadline. Default 30 s.
 	CallTimeout time.Duration
 	// MaxCallBytes bounds a call's request and its answer. Default 16 MiB.
 	MaxCallBytes int
-	// MaxCalls bounds the calls that one node may have open here. Default 16.
+	// MaxCalls bounds the concurrent calls from one node. Default 16.
 	MaxCalls int
-	// MaxSessions bounds the sessions. Default 1024.
+	// MaxSessions bounds the open sessions with other nodes. Default 1024.
 	MaxSessions int
 }
 
 const (
-	defaultQueueMessages  = 4096
-	defaultFlushEvery     = time.Millisecond
-	defaultDialTimeout    = 2 * time.Second
-	defaultWriteTimeout   = 3 * time.Second
-	defaultKeepAliveAfter = 5 * time.Second
-	defaultIdleAfter      = time.Minute
-	defaultRetryMin       = 50 * time.Millisecond
-	defaultRetryMax       = 2 * time.Second
-	defaultCallTimeout    = 30 * time.Second
-	defaultMaxCallBytes   = 16 << 20
-	defaultMaxCalls       = 16
-	defaultMaxSessions    = 1024
+	defaultMaxQueuedMessages = 4096
+	defaultFlushInterval     = time.Millisecond
+	defaultDialTimeout       = 2 * time.Second
+	defaultWriteTimeout      = 3 * time.Second
+	defaultKeepAliveAfter    = 5 * time.Second
+	defaultIdleTimeout       = time.Minute
+	defaultRetryMin          = 50 * time.Millisecond
+	defaultRetryMax          = 2 * time.Second
+	defaultCallTimeout       = 30 * time.Second
+	defaultMaxCallBytes      = 16 << 20
+	defaultMaxCalls          = 16
+	defaultMaxSessions       = 1024
 )
 
 var (
-	// ErrNotLoopback says that a plain session was asked for outside loopback.
-	ErrNotLoopback = errors.New("plain sessions need a loopback address")
-	// ErrWeakTLS says that a TLS configuration does not verify both sides.
+	// ErrNotLoopback is returned if TLS is off and the address is not loopback.
+	ErrNotLoopback = errors.New("sessions without TLS require a loopback address")
+	// ErrWeakTLS is returned if a TLS configuration allows versions before 1.3,
+	// lacks a certificate or does not verify both sides.
 	ErrWeakTLS = errors.New("TLS must be version 1.3 and verify both sides")
 )
 
-// Check says what New would refuse, but for an address that is in use.
+// Validate returns the error that New would return for these options, except
+// for an address that is in use.
 func (o Options) Check() error { return o.complete() }
 
+// complete validates the options and sets the defaults.
 func (o *Options) complete() error {
 	if o.Node == "" || o.Incarnation == 0 {
 		return errors.New("peer: node and incarnation are required")
@@ -99,12 +104,12 @@
 	if o.Metrics == nil {
 		o.Metrics = metrics.GetDefaultSet()
 	}
-	o.QueueMessages = orDefault(o.QueueMessages, defaultQueueMessages)
-	o.FlushEvery = orDefault(o.FlushEvery, defaultFlushEvery)
+	o.QueueMessages = orDefault(o.QueueMessages, defaultMaxQueuedMessages)
+	o.FlushEvery = orDefault(o.FlushEvery, defaultFlushInterval)
 	o.DialTimeout = orDefault(o.DialTimeout, defaultDialTimeout)
 	o.WriteTimeout = orDefault(o.WriteTimeout, defaultWriteTimeout)
 	o.KeepAliveAfter = orDefault(o.KeepAliveAfter, defaultKeepAliveAfter)
-	o.IdleAfter = orDefault(o.IdleAfter, defaultIdleAfter)
+	o.IdleAfter = orDefault(o.IdleAfter, defaultIdleTimeout)
 	o.RetryMin = orDefault(o.RetryMin, defaultRetryMin)
 	o.RetryMax = orDefault(o.RetryMax, defaultRetryMax)
 	o.CallTimeout = orDefault(o.CallTimeout, defaultCallTimeout)
@@ -114,8 +119,9 @@
 	return nil
 }
 
-// checkSecurity refuses plain sessions outside loopback, and a TLS
-// configuration that would let in a node without a certificate.
+// checkSecurity rejects sessions without TLS outside loopback, a TLS
+// configuration that would accept a node without a certificate, and a
+// certificate that is not for this node.
 func (o *Options) checkSecurity() error {
 	if o.TLS == nil && o.TrustNetwork {
 		return nil
@@ -131,8 +137,8 @@
 		return ErrWeakTLS
 	}
 	leaf := o.TLS.Certificates[0].Leaf
-	if leaf == nil || !names(leaf, o.Node) {
-		return fmt.Errorf("certificate of node %q: %w", o.Node, errIdentity)
+	if leaf == nil || !isCertificateFor(leaf, o.Node) {
+		return fmt.Errorf("certificate of node %q: %w", o.Node, errWrongCertificate)
 	}
 	return nil
 }
@@ -144,7 +150,8 @@
 	return value
 }
 
-// checkLoopback accepts "ip:port" with a loopback IP number only.
+// checkLoopback accepts only an "ip:port" whose host is a loopback IP address;
+// host names are rejected.
 func checkLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/peer/raw_test.go
+++ b/peer/raw_test.go
@@ -15,7 +15,8 @@
 	"github.com/walnutcove/walnutcove/peer/wire"
 )
 
-// rawConn is a connection whose other side the test plays by hand.
+// rawConn is a connection on which the test speaks the protocol itself, in place of
+// a Mesh.
 type rawConn struct{ net.Conn }
 
 type rawListener struct{ net.Listener }
@@ -80,7 +81,7 @@
 	}
 }
 
-// control opens the stream of the batches.
+// control opens the stream for control messages.
 func (c rawConn) control(t testing.TB) *yamux.Stream {
 	t.Helper()
 	config := yamux.DefaultConfig()
@@ -97,8 +98,9 @@
 	return stream
 }
 
-// TestBadHellos: a connection with a bad hello is closed and counted.
-func TestBadHellos(t *testing.T) {
+// TestInvalidHellos checks that a connection with an invalid hello is closed and
+// counted.
+func TestInvalidHellos(t *testing.T) {
 	a := start(t, "a", 1)
 	good := rawHello("b", 2, "a")
 	otherVersion := rawHello("b", 2, "a")
@@ -116,11 +118,11 @@
 		{"wrong-node", rawHello("a", 2, "a")},
 	} {
 		name := `walnut_peer_refusals_total{reason="` + test.reason + `"}`
-		before := a.count(name)
+		before := a.counterValue(name)
 		if err := writeHello(dialRaw(t, a.Address()), test.hello); err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, name, func() bool { return a.count(name) == before+1 })
+		eventually(t, name, func() bool { return a.counterValue(name) == before+1 })
 	}
 	if _, err := dialRaw(t, a.Address()).Write([]byte("GET / HTTP/1.1\r\n\r\n")); err != nil {
 		t.Fatal(err)
@@ -130,8 +132,8 @@
 	}
 }
 
-// TestStaleIncarnation: the session of a new incarnation ends that of the old
-// one, which is then refused.
+// TestStaleIncarnation checks that the session of a new incarnation ends the old
+// incarnation's session, and that the old incarnation is refused afterwards.
 func TestStaleIncarnation(t *testing.T) {
 	a := start(t, "a", 1)
 	old := dialRaw(t, a.Address())
@@ -145,7 +147,7 @@
 	if changes := a.changes(); changes[1].connected || !changes[2].connected {
 		t.Errorf("a was told %v", changes)
 	}
-	if got := a.count(`walnut_peer_sessions_ended_total{reason="restarted"}`); got != 1 {
+	if got := a.counterValue(`walnut_peer_sessions_ended_total{reason="restarted"}`); got != 1 {
 		t.Errorf("%d sessions ended by a restart", got)
 	}
 	stale := dialRaw(t, a.Address()).hello(t, rawHello("b", 5, "a"))
@@ -157,10 +159,11 @@
 	}
 }
 
-// TestBadFrames: a bad frame ends its session only.
-func TestBadFrames(t *testing.T) {
+// TestInvalidFrames checks that an invalid frame ends only the session that carried
+// it.
+func TestInvalidFrames(t *testing.T) {
 	a, c := start(t, "a", 1), start(t, "c", 3)
-	introduce(a, c)
+	setAllPeers(a, c)
 	c.Send("a", heartbeat(1))
 	eventually(t, "c's message", func() bool { return len(a.received("c")) == 1 })
 	undefined := &peerpb.Frame{Entries: []*peerpb.Entry{
@@ -182,9 +185,9 @@
 		conn := dialRaw(t, a.Address())
 		conn.hello(t, rawHello("b", uint64(100+incarnation), "a"))
 		name := `walnut_peer_sessions_ended_total{reason="` + test.reason + `"}`
-		before := a.count(name)
-		_, _ = conn.control(t).Write([]byte(test.bytes)) // may fail as a ends the session
-		eventually(t, name, func() bool { return a.count(name) == before+1 })
+		before := a.counterValue(name)
+		_, _ = conn.control(t).Write([]byte(test.bytes)) // may fail because a ends the session
+		eventually(t, name, func() bool { return a.counterValue(name) == before+1 })
 	}
 	notYamux := dialRaw(t, a.Address())
 	notYamux.hello(t, rawHello("d", 9, "a"))
@@ -192,11 +195,11 @@
 		t.Fatal(err)
 	}
 	eventually(t, "the end of the session that is not yamux", func() bool {
-		return a.count(`walnut_peer_sessions_ended_total{reason="lost"}`) == 1
+		return a.counterValue(`walnut_peer_sessions_ended_total{reason="lost"}`) == 1
 	})
 	c.Send("a", heartbeat(2))
 	eventually(t, "c's second message", func() bool { return len(a.received("c")) == 2 })
-	if got := c.count(`walnut_peer_sessions_opened_total{role="dialled"}`); got != 1 {
+	if got := c.counterValue(`walnut_peer_sessions_opened_total{role="dialled"}`); got != 1 {
 		t.Errorf("c dialled %d times", got)
 	}
 	if got := a.received("b"); len(got) != 0 {
@@ -204,7 +207,8 @@
 	}
 }
 
-// TestTooManyStreams: a node that opens streams without end loses its session.
+// TestTooManyStreams checks that the session of a node that opens streams without
+// limit is ended.
 func TestTooManyStreams(t *testing.T) {
 	a := start(t, "a", 1)
 	conn := dialRaw(t, a.Address())
@@ -216,12 +220,13 @@
 		}
 	}
 	eventually(t, "the end of the session", func() bool {
-		return a.count(`walnut_peer_sessions_ended_total{reason="streams"}`) == 1
+		return a.counterValue(`walnut_peer_sessions_ended_total{reason="streams"}`) == 1
 	})
 }
 
-// TestFrozenNode: a node that takes no more bytes is noticed by the writer.
-func TestFrozenNode(t *testing.T) {
+// TestWriteToUnresponsiveNodeTimesOut checks that a write ends the session to a node
+// that stops reading.
+func TestWriteToUnresponsiveNodeTimesOut(t *testing.T) {
 	a := start(t, "a", 1, func(o *Options) {
 		o.WriteTimeout = 200 * time.Millisecond
 		o.KeepAliveAfter = testTimeout
@@ -234,33 +239,34 @@
 		for range 1000 {
 			a.Send("b", heartbeat(1))
 		}
-		return a.count(`walnut_peer_sessions_ended_total{reason="stalled"}`) == 1
+		return a.counterValue(`walnut_peer_sessions_ended_total{reason="stalled"}`) == 1
 	})
 }
 
-// TestSilentConnection: a connection without a hello is closed.
-func TestSilentConnection(t *testing.T) {
+// TestConnectionWithoutHelloIsClosed checks that an accepted connection is closed if
+// no hello arrives in time.
+func TestConnectionWithoutHelloIsClosed(t *testing.T) {
 	a := start(t, "a", 1, func(o *Options) { o.DialTimeout = 100 * time.Millisecond })
 	conn := dialRaw(t, a.Address())
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
 		t.Error("a sent something")
 	}
 	eventually(t, "the refusal", func() bool {
-		return a.count(`walnut_peer_refusals_total{reason="hello"}`) == 1
+		return a.counterValue(`walnut_peer_refusals_total{reason="hello"}`) == 1
 	})
 }
 
-// TestUnlistedNodeIsForgotten: a node that is not listed and has no session
-// leaves nothing behind.
-func TestUnlistedNodeIsForgotten(t *testing.T) {
+// TestUnlistedNodeIsRemoved checks that no link is kept for a node that is not listed
+// and has no session.
+func TestUnlistedNodeIsRemoved(t *testing.T) {
 	a := start(t, "a", 1, func(o *Options) { o.KeepAliveAfter = 50 * time.Millisecond })
 	conn := dialRaw(t, a.Address())
 	conn.hello(t, rawHello("b", 5, "a"))
 	conn.control(t)
-	eventually(t, "the session", func() bool { return lastState(a) })
+	eventually(t, "the session", func() bool { return isConnected(a) })
 	conn.Close()
-	eventually(t, "the node to be forgotten", func() bool { return a.known("b") == nil })
-	if lastState(a) {
+	eventually(t, "the node to be forgotten", func() bool { return a.findLink("b") == nil })
+	if isConnected(a) {
 		t.Errorf("a was told %v", a.changes())
 	}
 }
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -17,11 +17,11 @@
 	"github.com/walnutcove/walnutcove/peer/peerpb"
 )
 
-// maxStreams bounds the streams of a session, with those that wait to be
-// closed by the other side.
+// maxStreams bounds the streams of a session, including those that the other side
+// has not closed yet.
 const maxStreams = 512
 
-// serveCalls answers the other side's calls until the session's end.
+// serveCalls answers the other side's calls until the session ends.
 func (s *session) serveCalls() {
 	for {
 		stream, err := s.mux.AcceptStream()
@@ -39,33 +39,34 @@
 	}
 }
 
-// serveCall answers one call, or refuses it if too many are open.
+// serveCall answers one call, or refuses it if Options.MaxCalls are open.
 func (s *session) serveCall(stream *yamux.Stream) {
 	defer stream.Close()
 	ctx, cancel := context.WithTimeout(s.ctx, s.mesh.options.CallTimeout)
 	defer cancel()
-	stop := interrupt(ctx, stream)
+	stop := interruptOnDone(ctx, stream)
 	defer stop()
 	select {
-	case s.calls <- struct{}{}:
-		defer func() { <-s.calls }()
+	case s.callSlots <- struct{}{}:
+		defer func() { <-s.callSlots }()
 	default:
-		s.mesh.counters.call(directionIn, resultBusy)
+		s.mesh.counters.countCall(directionIn, resultBusy)
 		_ = writeMessage(stream, &peerpb.CallAnswer{Busy: true})
 		return
 	}
 	s.openCalls.Add(1)
 	defer s.openCalls.Add(-1)
-	s.used()
-	s.mesh.counters.call(directionIn, callResult(s.answer(ctx, stream)))
+	s.markUsed()
+	s.mesh.counters.countCall(directionIn, callResult(s.answer(ctx, stream)))
 }
 
-// answer reads a call's request, has the handler answer it, and writes the answer.
+// answer reads the request of a call, passes it to the handler and writes the
+// answer.
 func (s *session) answer(ctx context.Context, stream *yamux.Stream) error {
 	request := &peerpb.CallRequest{}
 	err := readMessage(stream, s.mesh.options.MaxCallBytes, request)
 	if err != nil && !errors.Is(err, ErrCallTooLarge) {
-		return callError(ctx, err)
+		return wrapCallError(ctx, err)
 	}
 	answer := &peerpb.CallAnswer{}
 	if err == nil {
@@ -78,13 +79,13 @@
 		answer = &peerpb.CallAnswer{Error: err.Error()}
 	}
 	if writeErr := writeMessage(stream, answer); writeErr != nil {
-		return callError(ctx, writeErr)
+		return wrapCallError(ctx, writeErr)
 	}
 	return err
 }
 
-// handle calls the handler. Its context ends when the asking side gives up,
-// which closes the stream.
+// handle calls the handler. The handler's context ends when the calling side gives
+// up and closes the stream.
 func (s *session) handle(ctx context.Context, stream *yamux.Stream, request *peerpb.CallRequest) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.GetTimeLeft())*time.Microsecond)
 	defer cancel()
@@ -98,7 +99,7 @@
 	return s.mesh.handler.Called(ctx, s.remote.Node, request.GetMethod(), request.GetPayload())
 }
 
-// writeMessage writes a message behind its length.
+// writeMessage writes a message prefixed with its length.
 func writeMessage(stream *yamux.Stream, message proto.Message) error {
 	var buffer bytes.Buffer
 	if _, err := protodelim.MarshalTo(&buffer, message); err != nil {
@@ -108,15 +109,15 @@
 	return err
 }
 
-// readMessage reads a message behind its length. Memory grows with what
-// arrives, not with the length that is announced. The rest of a message that
-// is too large is skipped, so that the other side can read the answer.
+// readMessage reads a message prefixed with its length. Memory grows with the bytes
+// received, not with the length in the prefix. A message that is too large is
+// read and discarded, so that the other side can read the answer.
 func readMessage(stream io.Reader, limit int, message proto.Message) error {
 	length, err := binary.ReadUvarint(byteReader{stream})
 	if err != nil {
 		return err
 	}
-	if length > uint64(limit+callOverheadBytes) {
+	if length > uint64(limit+maxCallOverheadBytes) {
 		_, err := io.CopyN(io.Discard, stream, int64(min(length, math.MaxInt64)))
 		return cmp.Or(err, ErrCallTooLarge)
 	}
--- a/peer/tls_test.go
+++ b/peer/tls_test.go
@@ -38,7 +38,7 @@
 	keys := makeKeys(t, "a", "b")
 	a := start(t, "a", 1, withKeys(loadKeys(t, keys, "a")))
 	b := start(t, "b", 2, withKeys(loadKeys(t, keys, "b")))
-	introduce(a, b)
+	setAllPeers(a, b)
 	if answer, err := a.Call(context.Background(), "b", "echo", []byte("x")); err != nil || string(answer) != "echo x" {
 		t.Fatalf("answer %q, error %v", answer, err)
 	}
@@ -46,25 +46,25 @@
 	eventually(t, "message over TLS", func() bool { return len(a.received("b")) == 1 })
 }
 
-// TestNameOfAnotherNode: a node with a good certificate can't pass for another,
-// neither dialling nor answering.
-func TestNameOfAnotherNode(t *testing.T) {
+// TestCertificateOfAnotherNodeIsRejected checks that a node with a valid certificate
+// can't impersonate another node, whether it dials or accepts.
+func TestCertificateOfAnotherNodeIsRejected(t *testing.T) {
 	keys := makeKeys(t, "a", "b", "c")
 	a := start(t, "a", 1, withKeys(loadKeys(t, keys, "a")))
 	c := start(t, "c", 3, withKeys(loadKeys(t, keys, "c")))
-	c.self.Node = "b" // c lies from here on
+	c.self.Node = "b" // from here on c claims to be b
 	c.SetPeers(map[control.NodeID]string{"a": a.Address()})
 	if _, err := c.Call(context.Background(), "a", "echo", nil); !errors.Is(err, ErrUnreachable) {
 		t.Errorf("c called as b: %v", err)
 	}
-	if got := a.count(`walnut_peer_refusals_total{reason="identity"}`); got == 0 {
+	if got := a.counterValue(`walnut_peer_refusals_total{reason="identity"}`); got == 0 {
 		t.Error("a refused nothing")
 	}
 	a.SetPeers(map[control.NodeID]string{"b": c.Address()})
 	if _, err := a.Call(context.Background(), "b", "echo", nil); !errors.Is(err, ErrUnreachable) {
 		t.Errorf("a took c for b: %v", err)
 	}
-	if got := a.count(`walnut_peer_dial_failures_total{reason="identity"}`); got == 0 {
+	if got := a.counterValue(`walnut_peer_dial_failures_total{reason="identity"}`); got == 0 {
 		t.Error("a dialled c as b")
 	}
 	eventually(t, "a to hear that b is down", func() bool {
@@ -73,35 +73,35 @@
 	})
 }
 
-func TestOtherAuthorityIsRefused(t *testing.T) {
+func TestOtherCertificateAuthorityIsRejected(t *testing.T) {
 	ours, theirs := makeKeys(t, "a"), makeKeys(t, "b")
 	a := start(t, "a", 1, withKeys(loadKeys(t, ours, "a")))
 	b := start(t, "b", 2, withKeys(loadKeys(t, theirs, "b")))
-	introduce(a, b)
+	setAllPeers(a, b)
 	if _, err := a.Call(context.Background(), "b", "echo", nil); !errors.Is(err, ErrUnreachable) {
 		t.Errorf("a called b: %v", err)
 	}
-	// a side that does not check the other's chain is refused by the other
-	lax := loadKeys(t, theirs, "b")
-	lax.VerifyConnection = func(tls.ConnectionState) error { return nil }
-	c := start(t, "b", 3, withKeys(lax))
+	// A node that skips its own verification is still rejected by the other side.
+	skipsVerification := loadKeys(t, theirs, "b")
+	skipsVerification.VerifyConnection = func(tls.ConnectionState) error { return nil }
+	c := start(t, "b", 3, withKeys(skipsVerification))
 	c.SetPeers(map[control.NodeID]string{"a": a.Address()})
 	if _, err := c.Call(context.Background(), "a", "echo", nil); !errors.Is(err, ErrUnreachable) {
 		t.Errorf("b called a: %v", err)
 	}
-	if got := c.count(`walnut_peer_dial_failures_total{reason="hello"}`); got == 0 {
+	if got := c.counterValue(`walnut_peer_dial_failures_total{reason="hello"}`); got == 0 {
 		t.Error("the refused dial is not counted")
 	}
 	eventually(t, "a to count the refusal", func() bool {
-		return a.count(`walnut_peer_refusals_total{reason="tls"}`) > 0
+		return a.counterValue(`walnut_peer_refusals_total{reason="tls"}`) > 0
 	})
 }
 
-func TestPlainAndTLSDoNotMix(t *testing.T) {
+func TestSessionsWithAndWithoutTLSDoNotMix(t *testing.T) {
 	keys := makeKeys(t, "a")
 	a := start(t, "a", 1, withKeys(loadKeys(t, keys, "a")))
 	b := start(t, "b", 2)
-	introduce(a, b)
+	setAllPeers(a, b)
 	if _, err := b.Call(context.Background(), "a", "echo", nil); !errors.Is(err, ErrUnreachable) {
 		t.Errorf("plain node called a: %v", err)
 	}
@@ -110,25 +110,25 @@
 	}
 }
 
-func TestSecurityOfOptions(t *testing.T) {
+func TestInsecureOptionsAreRejected(t *testing.T) {
 	keys := makeKeys(t, "a")
 	weak := loadKeys(t, keys, "a")
 	weak.ClientAuth = tls.RequestClientCert
 	loopback := Options{Node: "a", Incarnation: 1, ListenAddress: "127.0.0.1:0"}
-	open := loopback
-	open.ListenAddress = "0.0.0.0:0"
-	lenient := loopback
-	lenient.TLS = weak
-	other := loopback
-	other.Node = "b"
-	other.TLS = loadKeys(t, keys, "a")
+	notLoopback := loopback
+	notLoopback.ListenAddress = "0.0.0.0:0"
+	clientsNotVerified := loopback
+	clientsNotVerified.TLS = weak
+	wrongCertificate := loopback
+	wrongCertificate.Node = "b"
+	wrongCertificate.TLS = loadKeys(t, keys, "a")
 	for name, test := range map[string]struct {
 		options Options
 		want    error
 	}{
-		"plain on all addresses": {open, ErrNotLoopback},
-		"clients not verified":   {lenient, ErrWeakTLS},
-		"another's certificate":  {other, errIdentity},
+		"plain on all addresses": {notLoopback, ErrNotLoopback},
+		"clients not verified":   {clientsNotVerified, ErrWeakTLS},
+		"another's certificate":  {wrongCertificate, errWrongCertificate},
 	} {
 		mesh, err := New(test.options, &recorder{})
 		if !errors.Is(err, test.want) {
@@ -140,14 +140,14 @@
 	}
 }
 
-func TestPlainAddressOutsideLoopback(t *testing.T) {
+func TestAddressOutsideLoopbackNeedsTLS(t *testing.T) {
 	a := start(t, "a", 1)
 	a.SetPeers(map[control.NodeID]string{"b": "192.0.2.1:99", "c": "localhost:99"})
-	if got := a.count(`walnut_peer_dial_failures_total{reason="plain-not-loopback"}`); got != 2 {
+	if got := a.counterValue(`walnut_peer_dial_failures_total{reason="plain-not-loopback"}`); got != 2 {
 		t.Errorf("%d addresses refused", got)
 	}
 	a.Send("b", heartbeat(1))
-	if got := a.count(`walnut_peer_dropped_total{reason="no-address"}`); got != 1 {
+	if got := a.counterValue(`walnut_peer_dropped_total{reason="no-address"}`); got != 1 {
 		t.Errorf("%d messages dropped", got)
 	}
 }
