--- a/peer/wire/bench_test.go
+++ b/peer/wire/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/walnutcove/walnutcove/peer/peerpb"
 )
 
-// BenchmarkTicket encodes and decodes tickets of 16 workspaces in batches.
+// BenchmarkTicket encodes and decodes batches of tickets of 16 workspaces.
 func BenchmarkTicket(b *testing.B) {
 	const batch = 32
 	var tickets []control.Message
@@ -24,7 +24,7 @@
 			TimeLeft:  30 * time.Second,
 		})
 	}
-	p := newPipe()
+	p := newCodecPair()
 	for b.Loop() {
 		frame, _, err := p.Frame(tickets)
 		if err != nil {
@@ -49,12 +49,12 @@
 // tables are full.
 func BenchmarkFullTables(b *testing.B) {
 	before := memoryInUse()
-	var pipes []pipe
+	var pipes []codecPair
 	for range b.N {
-		p := newPipe()
+		p := newCodecPair()
 		for i := range 3 * nameSlots {
 			workspace := fmt.Sprintf("parish-of-st-anne-%05d", i)
-			if _, err := p.carry([]control.Message{control.Ticket{Workspace: workspace}}); err != nil {
+			if _, err := p.roundTrip([]control.Message{control.Ticket{Workspace: workspace}}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/peer/wire/codec.go
+++ b/peer/wire/codec.go
@@ -7,18 +7,18 @@
 	"github.com/walnutcove/walnutcove/peer/peerpb"
 )
 
-// A new message kind needs: a message and an Entry field in peer.proto, a line
-// in KindOf, encode and decode below, and its two functions in codec_*.go.
-// TestEveryKindHasCodec fails until it has them.
+// A new message kind needs a message and an Entry field in peer.proto, a line in
+// each of Kinds, KindOf, encode and decode below, and its encode and decode
+// methods in a codec_*.go file. TestEveryKindHasCodec fails until all are there.
 
-// Kinds are the kinds of all entries.
+// Kinds lists the kinds of all entries.
 var Kinds = []Kind{
 	KindDefinition, "ticket", "grant", "report", "report-ack", "refusal", "cancel-ticket", "waiting",
 	"heartbeat", "service-report", "service-totals", "suspect-notice", "quarantine-notice", "unread-notice",
 	"leaving-notice",
 }
 
-// KindOf names the kind of a message, for counters; "unknown" if it has no codec.
+// KindOf returns the kind of a message, or "unknown" if it has no codec.
 func KindOf(message control.Message) Kind {
 	switch message.(type) {
 	case control.Ticket:
@@ -54,89 +54,89 @@
 	}
 }
 
-// encode builds the entry of a message. Definitions that it needs are
-// appended to the frame before.
+// encode builds the entry of a message, after appending the definitions that the
+// entry refers to to the frame.
 func (e *Encoder) encode(message control.Message) (*peerpb.Entry, error) {
 	switch m := message.(type) {
 	case control.Ticket:
-		return e.ticket(m)
+		return e.encodeTicket(m)
 	case control.Grant:
-		return e.grant(m)
+		return e.encodeGrant(m)
 	case control.Report:
-		return e.report(m)
+		return e.encodeReport(m)
 	case control.ReportAck:
-		return e.reportAck(m)
+		return e.encodeReportAck(m)
 	case control.Refusal:
-		return e.refusal(m)
+		return e.encodeRefusal(m)
 	case control.CancelTicket:
-		return e.cancelTicket(m)
+		return e.encodeCancelTicket(m)
 	case control.Waiting:
-		return e.waiting(m)
+		return e.encodeWaiting(m)
 	case control.Heartbeat:
-		return e.heartbeat(m)
+		return e.encodeHeartbeat(m)
 	case control.ServiceReport:
-		return e.serviceReport(m)
+		return e.encodeServiceReport(m)
 	case control.ServiceTotals:
-		return e.serviceTotals(m)
+		return e.encodeServiceTotals(m)
 	case control.SuspectNotice:
-		return e.suspectNotice(m)
+		return e.encodeSuspectNotice(m)
 	case control.QuarantineNotice:
-		return e.quarantineNotice(m)
+		return e.encodeQuarantineNotice(m)
 	case control.UnreadNotice:
-		return e.unreadNotice(m)
+		return e.encodeUnreadNotice(m)
 	case control.LeavingNotice:
-		return e.leavingNotice(m)
+		return e.encodeLeavingNotice(m)
 	default:
 		return nil, fmt.Errorf("%w: %T", ErrUnknownKind, message)
 	}
 }
 
-// decode reads the message of an entry.
+// decode returns the message of an entry that is not a definition.
 func (d *Decoder) decode(entry *peerpb.Entry) (control.Message, error) {
 	switch kind := entry.Kind.(type) {
 	case *peerpb.Entry_Ticket:
-		return d.ticket(kind.Ticket)
+		return d.decodeTicket(kind.Ticket)
 	case *peerpb.Entry_Grant:
-		return d.grant(kind.Grant)
+		return d.decodeGrant(kind.Grant)
 	case *peerpb.Entry_Report:
-		return d.report(kind.Report)
+		return d.decodeReport(kind.Report)
 	case *peerpb.Entry_ReportAck:
-		return d.reportAck(kind.ReportAck)
+		return d.decodeReportAck(kind.ReportAck)
 	case *peerpb.Entry_Refusal:
-		return d.refusal(kind.Refusal)
+		return d.decodeRefusal(kind.Refusal)
 	case *peerpb.Entry_CancelTicket:
-		return d.cancelTicket(kind.CancelTicket)
+		return d.decodeCancelTicket(kind.CancelTicket)
 	case *peerpb.Entry_Waiting:
-		return d.waiting(kind.Waiting)
+		return d.decodeWaiting(kind.Waiting)
 	case *peerpb.Entry_Heartbeat:
-		return d.heartbeat(kind.Heartbeat)
+		return d.decodeHeartbeat(kind.Heartbeat)
 	case *peerpb.Entry_ServiceReport:
-		return d.serviceReport(kind.ServiceReport)
+		return d.decodeServiceReport(kind.ServiceReport)
 	case *peerpb.Entry_ServiceTotals:
-		return d.serviceTotals(kind.ServiceTotals)
+		return d.decodeServiceTotals(kind.ServiceTotals)
 	case *peerpb.Entry_SuspectNotice:
-		return d.suspectNotice(kind.SuspectNotice)
+		return d.decodeSuspectNotice(kind.SuspectNotice)
 	case *peerpb.Entry_QuarantineNotice:
-		return d.quarantineNotice(kind.QuarantineNotice)
+		return d.decodeQuarantineNotice(kind.QuarantineNotice)
 	case *peerpb.Entry_UnreadNotice:
-		return d.unreadNotice(kind.UnreadNotice)
+		return d.decodeUnreadNotice(kind.UnreadNotice)
 	case *peerpb.Entry_LeavingNotice:
-		return d.leavingNotice(kind.LeavingNotice)
+		return d.decodeLeavingNotice(kind.LeavingNotice)
 	default:
 		return nil, fmt.Errorf("%w: entry %T", ErrUnknownKind, kind)
 	}
 }
 
-// ticketID is shared by the messages that name a ticket.
-func (e *Encoder) ticketID(id control.TicketID) (*peerpb.TicketID, error) {
-	origin, err := e.origin(id.Node, id.Incarnation)
+// encodeTicketID encodes the ticket ID of messages that hold it as a submessage.
+func (e *Encoder) encodeTicketID(id control.TicketID) (*peerpb.TicketID, error) {
+	origin, err := e.originRef(id.Node, id.Incarnation)
 	if err != nil {
 		return nil, err
 	}
 	return &peerpb.TicketID{Origin: origin, Request: uint64(id.Request), Attempt: id.Attempt}, nil
 }
 
-func (d *Decoder) ticketID(p *peerpb.TicketID) (control.TicketID, error) {
+func (d *Decoder) decodeTicketID(p *peerpb.TicketID) (control.TicketID, error) {
 	origin, err := d.origin(p.GetOrigin())
 	if err != nil {
 		return control.TicketID{}, err
@@ -150,8 +150,9 @@
 	return id, nil
 }
 
-// grantID decodes the parts of a grant's identity.
-func (d *Decoder) grantID(scheduler uint32, seq uint64) (control.GrantID, error) {
+// decodeGrantID decodes a grant ID from the reference of its scheduler's origin
+// and its sequence number.
+func (d *Decoder) decodeGrantID(scheduler uint32, seq uint64) (control.GrantID, error) {
 	origin, err := d.origin(scheduler)
 	if err != nil {
 		return control.GrantID{}, err
--- a/peer/wire/codec_member.go
+++ b/peer/wire/codec_member.go
@@ -10,7 +10,7 @@
 	"github.com/walnutcove/walnutcove/peer/peerpb"
 )
 
-func (e *Encoder) heartbeat(m control.Heartbeat) (*peerpb.Entry, error) {
+func (e *Encoder) encodeHeartbeat(m control.Heartbeat) (*peerpb.Entry, error) {
 	p := &peerpb.Heartbeat{
 		ConfigVersion:   m.ConfigVersion,
 		ConfigRevision:  uint64(m.ConfigRevision),
@@ -24,7 +24,7 @@
 	return &peerpb.Entry{Kind: &peerpb.Entry_Heartbeat{Heartbeat: p}}, nil
 }
 
-func (d *Decoder) heartbeat(p *peerpb.Heartbeat) (control.Message, error) {
+func (d *Decoder) decodeHeartbeat(p *peerpb.Heartbeat) (control.Message, error) {
 	m := control.Heartbeat{
 		Incarnation:   d.sender.Incarnation,
 		ConfigVersion: p.GetConfigVersion(),
@@ -40,8 +40,8 @@
 	return m, nil
 }
 
-func (e *Encoder) suspectNotice(m control.SuspectNotice) (*peerpb.Entry, error) {
-	origin, err := e.origin(m.Node, m.Incarnation)
+func (e *Encoder) encodeSuspectNotice(m control.SuspectNotice) (*peerpb.Entry, error) {
+	origin, err := e.originRef(m.Node, m.Incarnation)
 	if err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 	return &peerpb.Entry{Kind: &peerpb.Entry_SuspectNotice{SuspectNotice: p}}, nil
 }
 
-func (d *Decoder) suspectNotice(p *peerpb.SuspectNotice) (control.Message, error) {
+func (d *Decoder) decodeSuspectNotice(p *peerpb.SuspectNotice) (control.Message, error) {
 	origin, err := d.origin(p.GetOrigin())
 	if err != nil {
 		return nil, err
@@ -57,60 +57,60 @@
 	return control.SuspectNotice{Node: origin.Node, Incarnation: origin.Incarnation}, nil
 }
 
-func (e *Encoder) serviceReport(m control.ServiceReport) (*peerpb.Entry, error) {
-	counts, err := e.serviceCounts(m.Counts)
+func (e *Encoder) encodeServiceReport(m control.ServiceReport) (*peerpb.Entry, error) {
+	counts, err := e.encodeServiceCounts(m.Counts)
 	if err != nil {
 		return nil, err
 	}
 	return &peerpb.Entry{Kind: &peerpb.Entry_ServiceReport{ServiceReport: counts}}, nil
 }
 
-func (d *Decoder) serviceReport(p *peerpb.ServiceCounts) (control.Message, error) {
-	counts, err := d.serviceCounts(p)
+func (d *Decoder) decodeServiceReport(p *peerpb.ServiceCounts) (control.Message, error) {
+	counts, err := d.decodeServiceCounts(p)
 	if err != nil {
 		return nil, err
 	}
 	return control.ServiceReport{Counts: counts}, nil
 }
 
-func (e *Encoder) serviceTotals(m control.ServiceTotals) (*peerpb.Entry, error) {
-	counts, err := e.serviceCounts(m.Counts)
+func (e *Encoder) encodeServiceTotals(m control.ServiceTotals) (*peerpb.Entry, error) {
+	counts, err := e.encodeServiceCounts(m.Counts)
 	if err != nil {
 		return nil, err
 	}
 	return &peerpb.Entry{Kind: &peerpb.Entry_ServiceTotals{ServiceTotals: counts}}, nil
 }
 
-func (d *Decoder) serviceTotals(p *peerpb.ServiceCounts) (control.Message, error) {
-	counts, err := d.serviceCounts(p)
+func (d *Decoder) decodeServiceTotals(p *peerpb.ServiceCounts) (control.Message, error) {
+	counts, err := d.decodeServiceCounts(p)
 	if err != nil {
 		return nil, err
 	}
 	return control.ServiceTotals{Counts: counts}, nil
 }
 
-func (e *Encoder) serviceCounts(counts []control.ServiceCount) (*peerpb.ServiceCounts, error) {
-	if err := checkList(len(counts)); err != nil {
+func (e *Encoder) encodeServiceCounts(counts []control.ServiceCount) (*peerpb.ServiceCounts, error) {
+	if err := checkListLength(len(counts)); err != nil {
 		return nil, err
 	}
 	p := &peerpb.ServiceCounts{}
 	for _, count := range counts {
-		workspace, err := e.name(count.Workspace)
+		workspace, err := e.nameRef(count.Workspace)
 		if err != nil {
 			return nil, err
 		}
 		p.Workspace = append(p.Workspace, workspace)
-		p.Own = append(p.Own, micros(count.Own))
-		p.Total = append(p.Total, micros(count.Total))
-		p.Pending = append(p.Pending, micros(count.Pending))
+		p.Own = append(p.Own, toMicros(count.Own))
+		p.Total = append(p.Total, toMicros(count.Total))
+		p.Pending = append(p.Pending, toMicros(count.Pending))
 		p.Waiting = append(p.Waiting, uint32(count.Waiting))
 	}
 	return p, nil
 }
 
-func (d *Decoder) serviceCounts(p *peerpb.ServiceCounts) ([]control.ServiceCount, error) {
+func (d *Decoder) decodeServiceCounts(p *peerpb.ServiceCounts) ([]control.ServiceCount, error) {
 	length := len(p.GetWorkspace())
-	if err := checkList(length); err != nil {
+	if err := checkListLength(length); err != nil {
 		return nil, err
 	}
 	if len(p.GetOwn()) != length || len(p.GetTotal()) != length ||
--- a/peer/wire/codec_queue.go
+++ b/peer/wire/codec_queue.go
@@ -10,12 +10,12 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-func (e *Encoder) ticket(m control.Ticket) (*peerpb.Entry, error) {
-	origin, errOrigin := e.origin(m.ID.Node, m.ID.Incarnation)
-	shard, errShard := e.shard(m.Shard)
-	workspace, errWorkspace := e.name(m.Workspace)
-	excluded, errExcluded := e.nameList(m.Excluded)
-	regions, errRegions := e.nameList(m.AllowedRegions.Regions)
+func (e *Encoder) encodeTicket(m control.Ticket) (*peerpb.Entry, error) {
+	origin, errOrigin := e.originRef(m.ID.Node, m.ID.Incarnation)
+	shard, errShard := e.shardRef(m.Shard)
+	workspace, errWorkspace := e.nameRef(m.Workspace)
+	excluded, errExcluded := e.nameRefs(m.Excluded)
+	regions, errRegions := e.nameRefs(m.AllowedRegions.Regions)
 	if err := errors.Join(errOrigin, errShard, errWorkspace, errExcluded, errRegions); err != nil {
 		return nil, err
 	}
@@ -25,13 +25,13 @@
 		Attempt:     m.ID.Attempt,
 		Shard:       shard,
 		Workspace:   workspace,
-		CostHint:    micros(m.CostHint),
-		TimeLeft:    micros(m.TimeLeft),
+		CostHint:    toMicros(m.CostHint),
+		TimeLeft:    toMicros(m.TimeLeft),
 		PrefixHash:  m.PrefixHash,
 		Fingerprint: m.Fingerprint,
 		Excluded:    excluded,
 		Quiet:       m.Quiet,
-		Objective:   micros(m.Objective),
+		Objective:   toMicros(m.Objective),
 		Again:       m.Again,
 		HomesBound:  m.AllowedRegions.Restricted,
 		Home:        regions,
@@ -41,7 +41,7 @@
 	return &peerpb.Entry{Kind: &peerpb.Entry_Ticket{Ticket: p}}, nil
 }
 
-func (d *Decoder) ticket(p *peerpb.Ticket) (control.Message, error) {
+func (d *Decoder) decodeTicket(p *peerpb.Ticket) (control.Message, error) {
 	origin, errOrigin := d.origin(p.GetOrigin())
 	shard, errShard := d.shard(p.GetShard())
 	workspace, errWorkspace := d.name(p.GetWorkspace())
@@ -76,6 +76,7 @@
 	}, nil
 }
 
+// encodeParts returns the IDs and the lengths in tokens of prompt parts.
 func encodeParts(parts []control.PromptPart) (ids []uint64, tokens []uint32) {
 	for _, part := range parts {
 		ids = append(ids, part.ID)
@@ -84,21 +85,21 @@
 	return ids, tokens
 }
 
-// withWork is a message that holds the work of a request.
-type withWork interface {
+// workMessage is a message with the fields of control.Work.
+type workMessage interface {
 	GetPartId() []uint64
 	GetPartTokens() []uint32
 	GetPromptTokens() uint32
 	GetOutputTokens() uint32
 }
 
-func decodeWork(p withWork) (control.Work, error) {
+func decodeWork(p workMessage) (control.Work, error) {
 	work := control.Work{PromptTokens: int(p.GetPromptTokens()), OutputTokens: int(p.GetOutputTokens())}
 	ids, tokens := p.GetPartId(), p.GetPartTokens()
 	if len(ids) != len(tokens) {
 		return work, fmt.Errorf("%w: parts of unequal length", ErrMalformed)
 	}
-	if err := checkList(len(ids)); err != nil {
+	if err := checkListLength(len(ids)); err != nil {
 		return work, err
 	}
 	for i, id := range ids {
@@ -107,10 +108,10 @@
 	return work, nil
 }
 
-func (e *Encoder) grant(m control.Grant) (*peerpb.Entry, error) {
-	scheduler, errScheduler := e.origin(m.ID.Scheduler, m.ID.Incarnation)
-	origin, errOrigin := e.origin(m.Ticket.Node, m.Ticket.Incarnation)
-	target, errTarget := e.name(m.Target)
+func (e *Encoder) encodeGrant(m control.Grant) (*peerpb.Entry, error) {
+	scheduler, errScheduler := e.originRef(m.ID.Scheduler, m.ID.Incarnation)
+	origin, errOrigin := e.originRef(m.Ticket.Node, m.Ticket.Incarnation)
+	target, errTarget := e.nameRef(m.Target)
 	err := errors.Join(errScheduler, errOrigin, errTarget)
 	if err != nil {
 		return nil, err
@@ -123,19 +124,19 @@
 		Attempt:      m.Ticket.Attempt,
 		Target:       target,
 		Spare:        int64(m.Spare),
-		Start:        micros(m.Start),
+		Start:        toMicros(m.Start),
 		Reads:        uint32(m.Reads),
 	}
 	if m.FetchFrom != "" {
-		if p.FetchFrom, err = e.name(m.FetchFrom); err != nil {
+		if p.FetchFrom, err = e.nameRef(m.FetchFrom); err != nil {
 			return nil, err
 		}
 	}
 	return &peerpb.Entry{Kind: &peerpb.Entry_Grant{Grant: p}}, nil
 }
 
-func (d *Decoder) grant(p *peerpb.Grant) (control.Message, error) {
-	id, errID := d.grantID(p.GetScheduler(), p.GetSeq())
+func (d *Decoder) decodeGrant(p *peerpb.Grant) (control.Message, error) {
+	id, errID := d.decodeGrantID(p.GetScheduler(), p.GetSeq())
 	origin, errOrigin := d.origin(p.GetTicketOrigin())
 	target, errTarget := d.name(p.GetTarget())
 	fetchFrom := ""
@@ -163,9 +164,9 @@
 	}, nil
 }
 
-func (e *Encoder) refusal(m control.Refusal) (*peerpb.Entry, error) {
-	ticket, errTicket := e.ticketID(m.Ticket)
-	shard, errShard := e.shard(m.Shard)
+func (e *Encoder) encodeRefusal(m control.Refusal) (*peerpb.Entry, error) {
+	ticket, errTicket := e.encodeTicketID(m.Ticket)
+	shard, errShard := e.shardRef(m.Shard)
 	if err := errors.Join(errTicket, errShard); err != nil {
 		return nil, err
 	}
@@ -173,15 +174,15 @@
 		Ticket:     ticket,
 		Shard:      shard,
 		Code:       int64(m.Code),
-		RetryAfter: micros(m.RetryAfter),
+		RetryAfter: toMicros(m.RetryAfter),
 		Excess:     m.Excess,
 		Ahead:      uint32(m.Ahead),
 	}
 	return &peerpb.Entry{Kind: &peerpb.Entry_Refusal{Refusal: p}}, nil
 }
 
-func (d *Decoder) refusal(p *peerpb.Refusal) (control.Message, error) {
-	ticket, errTicket := d.ticketID(p.GetTicket())
+func (d *Decoder) decodeRefusal(p *peerpb.Refusal) (control.Message, error) {
+	ticket, errTicket := d.decodeTicketID(p.GetTicket())
 	shard, errShard := d.shard(p.GetShard())
 	if err := errors.Join(errTicket, errShard); err != nil {
 		return nil, err
@@ -196,9 +197,9 @@
 	}, nil
 }
 
-func (e *Encoder) cancelTicket(m control.CancelTicket) (*peerpb.Entry, error) {
-	ticket, errTicket := e.ticketID(m.Ticket)
-	shard, errShard := e.shard(m.Shard)
+func (e *Encoder) encodeCancelTicket(m control.CancelTicket) (*peerpb.Entry, error) {
+	ticket, errTicket := e.encodeTicketID(m.Ticket)
+	shard, errShard := e.shardRef(m.Shard)
 	if err := errors.Join(errTicket, errShard); err != nil {
 		return nil, err
 	}
@@ -206,8 +207,8 @@
 	return &peerpb.Entry{Kind: &peerpb.Entry_CancelTicket{CancelTicket: p}}, nil
 }
 
-func (d *Decoder) cancelTicket(p *peerpb.CancelTicket) (control.Message, error) {
-	ticket, errTicket := d.ticketID(p.GetTicket())
+func (d *Decoder) decodeCancelTicket(p *peerpb.CancelTicket) (control.Message, error) {
+	ticket, errTicket := d.decodeTicketID(p.GetTicket())
 	shard, errShard := d.shard(p.GetShard())
 	if err := errors.Join(errTicket, errShard); err != nil {
 		return nil, err
@@ -215,9 +216,9 @@
 	return control.CancelTicket{Ticket: ticket, Shard: shard}, nil
 }
 
-func (e *Encoder) unreadNotice(m control.UnreadNotice) (*peerpb.Entry, error) {
-	shard, errShard := e.shard(m.Shard)
-	workspace, errWorkspace := e.name(m.Workspace)
+func (e *Encoder) encodeUnreadNotice(m control.UnreadNotice) (*peerpb.Entry, error) {
+	shard, errShard := e.shardRef(m.Shard)
+	workspace, errWorkspace := e.nameRef(m.Workspace)
 	if err := errors.Join(errShard, errWorkspace); err != nil {
 		return nil, err
 	}
@@ -225,7 +226,7 @@
 	return &peerpb.Entry{Kind: &peerpb.Entry_UnreadNotice{UnreadNotice: p}}, nil
 }
 
-func (d *Decoder) unreadNotice(p *peerpb.UnreadNotice) (control.Message, error) {
+func (d *Decoder) decodeUnreadNotice(p *peerpb.UnreadNotice) (control.Message, error) {
 	shard, errShard := d.shard(p.GetShard())
 	workspace, errWorkspace := d.name(p.GetWorkspace())
 	if err := errors.Join(errShard, errWorkspace); err != nil {
@@ -234,8 +235,8 @@
 	return control.UnreadNotice{Shard: shard, Workspace: workspace, Count: int(p.GetCount())}, nil
 }
 
-func (e *Encoder) leavingNotice(m control.LeavingNotice) (*peerpb.Entry, error) {
-	target, err := e.name(m.Target)
+func (e *Encoder) encodeLeavingNotice(m control.LeavingNotice) (*peerpb.Entry, error) {
+	target, err := e.nameRef(m.Target)
 	if err != nil {
 		return nil, err
 	}
@@ -243,7 +244,7 @@
 	return &peerpb.Entry{Kind: &peerpb.Entry_LeavingNotice{LeavingNotice: p}}, nil
 }
 
-func (d *Decoder) leavingNotice(p *peerpb.LeavingNotice) (control.Message, error) {
+func (d *Decoder) decodeLeavingNotice(p *peerpb.LeavingNotice) (control.Message, error) {
 	target, err := d.name(p.GetTarget())
 	if err != nil {
 		return nil, err
@@ -251,9 +252,9 @@
 	return control.LeavingNotice{Target: target, Start: p.GetStart()}, nil
 }
 
-func (e *Encoder) waiting(m control.Waiting) (*peerpb.Entry, error) {
-	ticket, errTicket := e.ticketID(m.Ticket)
-	shard, errShard := e.shard(m.Shard)
+func (e *Encoder) encodeWaiting(m control.Waiting) (*peerpb.Entry, error) {
+	ticket, errTicket := e.encodeTicketID(m.Ticket)
+	shard, errShard := e.shardRef(m.Shard)
 	if err := errors.Join(errTicket, errShard); err != nil {
 		return nil, err
 	}
@@ -261,8 +262,8 @@
 	return &peerpb.Entry{Kind: &peerpb.Entry_Waiting{Waiting: p}}, nil
 }
 
-func (d *Decoder) waiting(p *peerpb.Waiting) (control.Message, error) {
-	ticket, errTicket := d.ticketID(p.GetTicket())
+func (d *Decoder) decodeWaiting(p *peerpb.Waiting) (control.Message, error) {
+	ticket, errTicket := d.decodeTicketID(p.GetTicket())
 	shard, errShard := d.shard(p.GetShard())
 	if err := errors.Join(errTicket, errShard); err != nil {
 		return nil, err
--- a/peer/wire/codec_run.go
+++ b/peer/wire/codec_run.go
@@ -7,12 +7,12 @@
 	"github.com/walnutcove/walnutcove/peer/peerpb"
 )
 
-func (e *Encoder) report(m control.Report) (*peerpb.Entry, error) {
-	scheduler, errScheduler := e.origin(m.Grant.Scheduler, m.Grant.Incarnation)
-	origin, errOrigin := e.origin(m.Ticket.Node, m.Ticket.Incarnation)
-	shard, errShard := e.shard(m.Shard)
-	workspace, errWorkspace := e.name(m.Workspace)
-	target, errTarget := e.name(m.Target)
+func (e *Encoder) encodeReport(m control.Report) (*peerpb.Entry, error) {
+	scheduler, errScheduler := e.originRef(m.Grant.Scheduler, m.Grant.Incarnation)
+	origin, errOrigin := e.originRef(m.Ticket.Node, m.Ticket.Incarnation)
+	shard, errShard := e.shardRef(m.Shard)
+	workspace, errWorkspace := e.nameRef(m.Workspace)
+	target, errTarget := e.nameRef(m.Target)
 	if err := errors.Join(errScheduler, errOrigin, errShard, errWorkspace, errTarget); err != nil {
 		return nil, err
 	}
@@ -27,7 +27,7 @@
 		Target:       target,
 		Phase:        int64(m.Phase),
 		Outcome:      int64(m.Outcome),
-		Service:      micros(m.Service),
+		Service:      toMicros(m.Service),
 		Fingerprint:  m.Fingerprint,
 		PromptTokens: uint32(m.Work.PromptTokens),
 		OutputTokens: uint32(m.Work.OutputTokens),
@@ -38,8 +38,8 @@
 	return &peerpb.Entry{Kind: &peerpb.Entry_Report{Report: p}}, nil
 }
 
-func (d *Decoder) report(p *peerpb.Report) (control.Message, error) {
-	grant, errGrant := d.grantID(p.GetScheduler(), p.GetSeq())
+func (d *Decoder) decodeReport(p *peerpb.Report) (control.Message, error) {
+	grant, errGrant := d.decodeGrantID(p.GetScheduler(), p.GetSeq())
 	origin, errOrigin := d.origin(p.GetTicketOrigin())
 	shard, errShard := d.shard(p.GetShard())
 	workspace, errWorkspace := d.name(p.GetWorkspace())
@@ -72,8 +72,8 @@
 	}, nil
 }
 
-func (e *Encoder) reportAck(m control.ReportAck) (*peerpb.Entry, error) {
-	scheduler, err := e.origin(m.Grant.Scheduler, m.Grant.Incarnation)
+func (e *Encoder) encodeReportAck(m control.ReportAck) (*peerpb.Entry, error) {
+	scheduler, err := e.originRef(m.Grant.Scheduler, m.Grant.Incarnation)
 	if err != nil {
 		return nil, err
 	}
@@ -81,37 +81,37 @@
 	return &peerpb.Entry{Kind: &peerpb.Entry_ReportAck{ReportAck: p}}, nil
 }
 
-func (d *Decoder) reportAck(p *peerpb.ReportAck) (control.Message, error) {
-	grant, err := d.grantID(p.GetScheduler(), p.GetSeq())
+func (d *Decoder) decodeReportAck(p *peerpb.ReportAck) (control.Message, error) {
+	grant, err := d.decodeGrantID(p.GetScheduler(), p.GetSeq())
 	if err != nil {
 		return nil, err
 	}
 	return control.ReportAck{Grant: grant}, nil
 }
 
-func (e *Encoder) quarantineNotice(m control.QuarantineNotice) (*peerpb.Entry, error) {
-	crashes, err := e.nameList(m.Crashes)
+func (e *Encoder) encodeQuarantineNotice(m control.QuarantineNotice) (*peerpb.Entry, error) {
+	crashes, err := e.nameRefs(m.Crashes)
 	if err != nil {
 		return nil, err
 	}
-	if err := checkList(len(m.Running)); err != nil {
+	if err := checkListLength(len(m.Running)); err != nil {
 		return nil, err
 	}
 	p := &peerpb.QuarantineNotice{
 		Fingerprint: m.Fingerprint,
 		Crashes:     crashes,
 		Running:     m.Running,
-		Age:         micros(m.Age),
+		Age:         toMicros(m.Age),
 	}
 	return &peerpb.Entry{Kind: &peerpb.Entry_QuarantineNotice{QuarantineNotice: p}}, nil
 }
 
-func (d *Decoder) quarantineNotice(p *peerpb.QuarantineNotice) (control.Message, error) {
+func (d *Decoder) decodeQuarantineNotice(p *peerpb.QuarantineNotice) (control.Message, error) {
 	crashes, err := d.nameList(p.GetCrashes())
 	if err != nil {
 		return nil, err
 	}
-	if err := checkList(len(p.GetRunning())); err != nil {
+	if err := checkListLength(len(p.GetRunning())); err != nil {
 		return nil, err
 	}
 	return control.QuarantineNotice{
--- a/peer/wire/decoder.go
+++ b/peer/wire/decoder.go
@@ -9,8 +9,8 @@
 	"github.com/walnutcove/walnutcove/peer/peerpb"
 )
 
-// Decoder reads the frames of one direction of a session. It is not safe for
-// concurrent use. After an error it must not be used again.
+// Decoder decodes the frames of one direction of a session. It is not safe for
+// concurrent use, and must not be used after an error.
 type Decoder struct {
 	sender   Origin
 	receiver Origin
@@ -20,7 +20,7 @@
 	shards   decodingTable[control.ShardID]
 }
 
-// NewDecoder starts with empty tables. The observer may be nil.
+// NewDecoder returns a decoder with empty tables. The observer may be nil.
 func NewDecoder(sender, receiver Origin, observe Observer) *Decoder {
 	if observe == nil {
 		observe = func(Kind, int) {}
@@ -35,11 +35,11 @@
 	}
 }
 
-// Messages decodes the messages of a frame in order.
+// DecodeFrame returns the messages of a frame in order and stores its definitions.
 func (d *Decoder) Messages(frame *peerpb.Frame) ([]control.Message, error) {
 	messages := make([]control.Message, 0, len(frame.Entries))
 	for _, entry := range frame.Entries {
-		if definition(entry) {
+		if isDefinition(entry) {
 			if err := d.define(entry); err != nil {
 				return nil, err
 			}
@@ -56,7 +56,7 @@
 	return messages, nil
 }
 
-// define stores the value of a definition entry.
+// define stores the value of a definition entry in its table.
 func (d *Decoder) define(entry *peerpb.Entry) error {
 	switch kind := entry.Kind.(type) {
 	case *peerpb.Entry_Name:
@@ -109,7 +109,7 @@
 }
 
 func (d *Decoder) nameList(refs []uint32) ([]string, error) {
-	if err := checkList(len(refs)); err != nil {
+	if err := checkListLength(len(refs)); err != nil {
 		return nil, err
 	}
 	var names []string
--- a/peer/wire/encoder.go
+++ b/peer/wire/encoder.go
@@ -9,32 +9,33 @@
 	"github.com/walnutcove/walnutcove/peer/peerpb"
 )
 
-// References below these values have fixed meanings.
+// References below the first*Ref values have fixed meanings; the others are slot
+// numbers offset by these values.
 const (
-	// refNone is the empty name and the zero shard.
+	// refNone refers to the empty name and the zero shard.
 	refNone       = 0
 	firstNameRef  = 1
 	firstShardRef = 1
-	// refSender and refReceiver are the session's two ends.
+	// refSender and refReceiver refer to the two ends of the session.
 	refSender      = 0
 	refReceiver    = 1
 	firstOriginRef = 2
 )
 
-// Encoder builds the frames of one direction of a session. It is not safe for
+// Encoder encodes the frames of one direction of a session. It is not safe for
 // concurrent use.
 type Encoder struct {
-	sender   Origin
-	receiver Origin
-	observe  Observer
-	names    *encodingTable[string]
-	origins  *encodingTable[Origin]
-	shards   *encodingTable[control.ShardID]
-	frame    *peerpb.Frame
-	bytes    int
+	sender     Origin
+	receiver   Origin
+	observe    Observer
+	names      *encodingTable[string]
+	origins    *encodingTable[Origin]
+	shards     *encodingTable[control.ShardID]
+	frame      *peerpb.Frame
+	frameBytes int
 }
 
-// NewEncoder starts with empty tables. The observer may be nil.
+// NewEncoder returns an encoder with empty tables. The observer may be nil.
 func NewEncoder(sender, receiver Origin, observe Observer) *Encoder {
 	if observe == nil {
 		observe = func(Kind, int) {}
@@ -49,20 +50,22 @@
 	}
 }
 
-// Frame encodes messages from the front of a list until the frame is full. It
-// returns the frame, to be sent in any case, and the count of messages taken.
-// With an error the last message taken can't be encoded and is left out.
+// EncodeFrame encodes messages from the front of a list until the frame is full.
+// It returns the frame and the number of messages taken from the list. On an error
+// the last of these could not be encoded and is left out; the frame must be sent
+// all the same, since it may hold definitions.
 func (e *Encoder) Frame(messages []control.Message) (frame *peerpb.Frame, taken int, err error) {
 	e.frame = &peerpb.Frame{}
-	e.bytes = 0
-	for taken < len(messages) && e.bytes < frameTargetBytes && err == nil {
-		err = e.message(messages[taken])
+	e.frameBytes = 0
+	for taken < len(messages) && e.frameBytes < fullFrameBytes && err == nil {
+		err = e.appendMessage(messages[taken])
 		taken++
 	}
 	return e.frame, taken, err
 }
 
-func (e *Encoder) message(message control.Message) error {
+// appendMessage encodes a message and adds its entry to the frame.
+func (e *Encoder) appendMessage(message control.Message) error {
 	entry, err := e.encode(message)
 	if err != nil {
 		return err
@@ -71,15 +74,16 @@
 	return nil
 }
 
+// append adds an entry to the frame and passes its size to the observer.
 func (e *Encoder) append(entry *peerpb.Entry, kind Kind) {
 	e.frame.Entries = append(e.frame.Entries, entry)
 	size := proto.Size(entry)
-	e.bytes += size
+	e.frameBytes += size
 	e.observe(kind, size)
 }
 
-// name returns the reference of a name and defines it if needed.
-func (e *Encoder) name(name string) (uint32, error) {
+// nameRef returns the reference of a name, which it defines if needed.
+func (e *Encoder) nameRef(name string) (uint32, error) {
 	if name == "" {
 		return refNone, nil
 	}
@@ -94,13 +98,13 @@
 	return uint32(slot + firstNameRef), nil
 }
 
-func (e *Encoder) nameList(names []string) ([]uint32, error) {
-	if err := checkList(len(names)); err != nil {
+func (e *Encoder) nameRefs(names []string) ([]uint32, error) {
+	if err := checkListLength(len(names)); err != nil {
 		return nil, err
 	}
 	var refs []uint32
 	for _, name := range names {
-		ref, err := e.name(name)
+		ref, err := e.nameRef(name)
 		if err != nil {
 			return nil, err
 		}
@@ -109,8 +113,8 @@
 	return refs, nil
 }
 
-// origin returns the reference of an origin and defines it if needed.
-func (e *Encoder) origin(node control.NodeID, incarnation control.Incarnation) (uint32, error) {
+// originRef returns the reference of an origin, which it defines if needed.
+func (e *Encoder) originRef(node control.NodeID, incarnation control.Incarnation) (uint32, error) {
 	origin := Origin{Node: node, Incarnation: incarnation}
 	switch origin {
 	case e.sender:
@@ -122,7 +126,7 @@
 	if ok {
 		return uint32(slot + firstOriginRef), nil
 	}
-	name, err := e.name(string(node))
+	name, err := e.nameRef(string(node))
 	if err != nil {
 		return 0, err
 	}
@@ -132,8 +136,8 @@
 	return uint32(slot + firstOriginRef), nil
 }
 
-// shard returns the reference of a shard and defines it if needed.
-func (e *Encoder) shard(shard control.ShardID) (uint32, error) {
+// shardRef returns the reference of a shard, which it defines if needed.
+func (e *Encoder) shardRef(shard control.ShardID) (uint32, error) {
 	if shard == (control.ShardID{}) {
 		return refNone, nil
 	}
@@ -141,11 +145,11 @@
 	if ok {
 		return uint32(slot + firstShardRef), nil
 	}
-	pool, err := e.name(shard.Pool)
+	pool, err := e.nameRef(shard.Pool)
 	if err != nil {
 		return 0, err
 	}
-	dataCentre, err := e.name(shard.DataCentre)
+	dataCentre, err := e.nameRef(shard.DataCentre)
 	if err != nil {
 		return 0, err
 	}
--- a/peer/wire/table.go
+++ b/peer/wire/table.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// Sizes of the tables. The margin is the most slots of a table that a single
-// message can use: a slot that close to eviction is not referred to any more.
+// Sizes of the tables, in slots. A margin is the largest number of slots of a table
+// that a single message can use: a slot that is closer to eviction than that is no
+// longer referred to, since the message's own definitions could evict it.
 const (
 	nameSlots    = 512
 	nameMargin   = MaxListItems + 20
@@ -13,7 +14,7 @@
 	shardMargin  = 4
 )
 
-// encodingTable is the sender's half of a table.
+// encodingTable is the sender's copy of a table.
 type encodingTable[K comparable] struct {
 	size   int
 	margin int
@@ -36,7 +37,7 @@
 	return slot, untilEviction >= t.margin
 }
 
-// define gives a value the next slot.
+// define assigns a value to the next slot and evicts the slot's previous value.
 func (t *encodingTable[K]) define(value K) (slot int) {
 	slot = t.next
 	if slot == len(t.slots) {
@@ -50,7 +51,8 @@
 	return slot
 }
 
-// evict forgets the value in a slot, unless it was defined again elsewhere.
+// evict removes the value in a slot from the index, unless the value was defined
+// again in another slot.
 func (t *encodingTable[K]) evict(slot int) {
 	old := t.slots[slot]
 	if t.index[old] == slot {
@@ -58,14 +60,14 @@
 	}
 }
 
-// decodingTable is the receiver's half of a table.
+// decodingTable is the receiver's copy of a table.
 type decodingTable[K any] struct {
 	size  int
 	slots []K
 	next  int
 }
 
-// define puts a value into the next slot.
+// define stores a value in the next slot.
 func (t *decodingTable[K]) define(value K) {
 	if t.next == len(t.slots) {
 		t.slots = append(t.slots, value)
--- a/peer/wire/wire_test.go
+++ b/peer/wire/wire_test.go
@@ -26,8 +26,8 @@
 	nodeB = Origin{Node: "b", Incarnation: 22}
 )
 
-// kinds holds one value of every message kind.
-var kinds = []control.Message{
+// zeroMessages holds the zero value of every message kind.
+var zeroMessages = []control.Message{
 	control.Ticket{},
 	control.Grant{},
 	control.Report{},
@@ -44,18 +44,18 @@
 	control.LeavingNotice{},
 }
 
-// pipe is an encoder and the decoder at the other end.
-type pipe struct {
+// codecPair is an encoder and the decoder at the other end of the session.
+type codecPair struct {
 	*Encoder
 	*Decoder
 }
 
-func newPipe() pipe {
-	return pipe{NewEncoder(nodeA, nodeB, nil), NewDecoder(nodeA, nodeB, nil)}
+func newCodecPair() codecPair {
+	return codecPair{NewEncoder(nodeA, nodeB, nil), NewDecoder(nodeA, nodeB, nil)}
 }
 
-// carry encodes messages to bytes and decodes them.
-func (p pipe) carry(messages []control.Message) ([]control.Message, error) {
+// roundTrip encodes messages to bytes and decodes them.
+func (p codecPair) roundTrip(messages []control.Message) ([]control.Message, error) {
 	var arrived []control.Message
 	for len(messages) > 0 {
 		frame, taken, err := p.Frame(messages)
@@ -83,18 +83,18 @@
 	return arrived, nil
 }
 
-// fill sets every field to a value of its own; durations are whole microseconds.
-func fill(value reflect.Value, next *int64) {
+// fillValue sets every field to a different value; durations are whole microseconds.
+func fillValue(value reflect.Value, next *int64) {
 	*next++
 	switch value.Kind() {
 	case reflect.Struct:
 		for i := range value.NumField() {
-			fill(value.Field(i), next)
+			fillValue(value.Field(i), next)
 		}
 	case reflect.Slice:
 		value.Set(reflect.MakeSlice(value.Type(), 3, 3))
 		for i := range value.Len() {
-			fill(value.Index(i), next)
+			fillValue(value.Index(i), next)
 		}
 	case reflect.String:
 		value.SetString(fmt.Sprintf("name-%d", *next))
@@ -113,20 +113,20 @@
 	}
 }
 
-func filled(message control.Message, seed int64) control.Message {
+func filledMessage(message control.Message, seed int64) control.Message {
 	value := reflect.New(reflect.TypeOf(message)).Elem()
-	fill(value, &seed)
+	fillValue(value, &seed)
 	return value.Interface().(control.Message)
 }
 
-// TestEveryKindHasCodec fails for a message of package control that is not in
-// kinds or can't be carried whole.
+// TestEveryKindHasCodec fails for a message type of package control that is not in
+// zeroMessages or does not survive encoding and decoding unchanged.
 func TestEveryKindHasCodec(t *testing.T) {
 	listed := make(map[string]bool)
-	for _, message := range kinds {
+	for _, message := range zeroMessages {
 		listed[reflect.TypeOf(message).Name()] = true
-		want := filled(message, 1)
-		got, err := newPipe().carry([]control.Message{want})
+		want := filledMessage(message, 1)
+		got, err := newCodecPair().roundTrip([]control.Message{want})
 		if err != nil {
 			t.Errorf("%T: %v", message, err)
 			continue
@@ -138,19 +138,20 @@
 			t.Errorf("%T has no name for counters", message)
 		}
 	}
-	declared := declaredKinds(t)
+	declared := declaredMessageTypes(t)
 	for _, name := range declared {
 		if !listed[name] {
 			t.Errorf("control.%s has no codec", name)
 		}
 	}
-	if len(declared) != len(kinds) {
-		t.Errorf("%d kinds declared, %d listed", len(declared), len(kinds))
+	if len(declared) != len(zeroMessages) {
+		t.Errorf("%d kinds declared, %d listed", len(declared), len(zeroMessages))
 	}
 }
 
-// declaredKinds reads the message types from the source of package control.
-func declaredKinds(t *testing.T) []string {
+// declaredMessageTypes returns the names of the message types declared in the
+// source of package control.
+func declaredMessageTypes(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("../../control/*.go")
 	if err != nil {
@@ -180,29 +181,29 @@
 	return names
 }
 
-func TestZeroValuesAreCarried(t *testing.T) {
-	got, err := newPipe().carry(kinds)
+func TestZeroValuesRoundTrip(t *testing.T) {
+	got, err := newCodecPair().roundTrip(zeroMessages)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(got, kinds) {
+	if !reflect.DeepEqual(got, zeroMessages) {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// TestTablesStayInStep sends more distinct names, shards and origins than the
-// tables hold, in random order, with repeats.
-func TestTablesStayInStep(t *testing.T) {
+// TestTablesStayInSync encodes and decodes more distinct names, shards and origins
+// than the tables hold, in random order, with repeats.
+func TestTablesStayInSync(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPipe()
+		p := newCodecPair()
 		for range rapid.IntRange(1, 8).Draw(t, "batches") {
 			var batch []control.Message
 			for range rapid.IntRange(1, 200).Draw(t, "messages") {
 				seed := rapid.Int64Range(1, 20000).Draw(t, "seed")
-				kind := rapid.SampledFrom(kinds).Draw(t, "kind")
-				batch = append(batch, filled(kind, seed))
+				kind := rapid.SampledFrom(zeroMessages).Draw(t, "kind")
+				batch = append(batch, filledMessage(kind, seed))
 			}
-			got, err := p.carry(batch)
+			got, err := p.roundTrip(batch)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -219,7 +220,7 @@
 		count := control.ServiceCount{Workspace: fmt.Sprintf("workspace-%d", i), Own: time.Second}
 		report.Counts = append(report.Counts, count)
 	}
-	got, err := newPipe().carry(Split([]control.Message{report}))
+	got, err := newCodecPair().roundTrip(Split([]control.Message{report}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -240,7 +241,7 @@
 		control.Ticket{Excluded: many},
 		control.ServiceTotals{Counts: make([]control.ServiceCount, MaxListItems+1)},
 	} {
-		p := newPipe()
+		p := newCodecPair()
 		frame, taken, err := p.Frame([]control.Message{message, heartbeat})
 		if !errors.Is(err, ErrTooLarge) || taken != 1 {
 			t.Errorf("%T: taken %d, error %v", message, taken, err)
@@ -248,7 +249,7 @@
 		if _, err := p.Messages(frame); err != nil {
 			t.Errorf("%T: the frame before the error: %v", message, err)
 		}
-		if got, err := p.carry([]control.Message{heartbeat}); err != nil || len(got) != 1 {
+		if got, err := p.roundTrip([]control.Message{heartbeat}); err != nil || len(got) != 1 {
 			t.Errorf("%T: the message after the error: %v, %v", message, got, err)
 		}
 	}
@@ -256,7 +257,7 @@
 
 var heartbeat = control.Heartbeat{Incarnation: nodeA.Incarnation, ConfigVersion: 7}
 
-func TestBadFramesAreRefused(t *testing.T) {
+func TestInvalidFramesAreRejected(t *testing.T) {
 	entries := map[string]*peerpb.Entry{
 		"empty entry":       {},
 		"undefined name":    {Kind: &peerpb.Entry_Grant{Grant: &peerpb.Grant{Target: 1}}},
@@ -273,18 +274,18 @@
 	}
 	for name, entry := range entries {
 		frame := &peerpb.Frame{Entries: []*peerpb.Entry{entry}}
-		if got, err := newPipe().Messages(frame); err == nil {
+		if got, err := newCodecPair().Messages(frame); err == nil {
 			t.Errorf("%s: decoded as %v", name, got)
 		}
 	}
 }
 
-// FuzzFrame decodes arbitrary bytes: no panic, and what decodes is encoded and
-// decoded again to the same.
+// FuzzFrame decodes arbitrary bytes. Decoding must not panic, and messages that were
+// decoded must be the same after encoding and decoding them again.
 func FuzzFrame(f *testing.F) {
 	var all []control.Message
-	for i, message := range kinds {
-		all = append(all, filled(message, int64(i)))
+	for i, message := range zeroMessages {
+		all = append(all, filledMessage(message, int64(i)))
 	}
 	frame, _, err := NewEncoder(nodeA, nodeB, nil).Frame(all)
 	if err != nil {
@@ -301,12 +302,12 @@
 		if proto.Unmarshal(data, frame) != nil {
 			return
 		}
-		p := newPipe()
+		p := newCodecPair()
 		messages, err := p.Messages(frame)
 		if err != nil {
 			return
 		}
-		again, err := newPipe().carry(messages)
+		again, err := newCodecPair().roundTrip(messages)
 		if err != nil {
 			t.Fatal(err)
 		}
