--- a/peer/testkeys/testkeys.go
+++ b/peer/testkeys/testkeys.go
@@ -1,6 +1,6 @@
-// Package testkeys makes a certificate authority and node certificates for
-// trials and tests. The authority's key is never written to disk: to add a
-// node, make all keys again.
+// Package testkeys creates a certificate authority and node certificates for trial
+// deployments and tests. The authority's key is never written to disk, so adding a
+// node means creating all keys again.
 package testkeys
 
 import (
@@ -20,29 +20,30 @@
 )
 
 const (
-	// CAFile is the name of the authority's certificate in the directory.
+	// CAFile is the file name of the authority's certificate.
 	CAFile = "ca.pem"
 	// DefaultLifetime is how long the certificates are valid.
 	DefaultLifetime = 30 * 24 * time.Hour
-	// clockSkew is how long before now the certificates become valid.
-	clockSkew     = time.Hour
-	serialBits    = 127
-	keyFileMode   = 0o600
-	certFileMode  = 0o644
-	directoryMode = 0o700
+	// clockSkew backdates the start of the certificates' validity, for nodes
+	// whose clock is behind.
+	clockSkew        = time.Hour
+	serialNumberBits = 127
+	keyFileMode      = 0o600
+	certFileMode     = 0o644
+	directoryMode    = 0o700
 )
 
-// ErrBadName says that a node's name can't be used as a file name.
-var ErrBadName = errors.New("node name can't be a file name")
+// ErrBadName reports that a node's name can't be used as a file name.
+var ErrBadName = errors.New("node name is not usable as a file name")
 
-// Files are the paths of one node's keys.
+// Files are the paths of one node's certificate, key and CA certificate.
 type Files struct {
 	CertFile string
 	KeyFile  string
 	CAFile   string
 }
 
-// FilesOf returns where Make puts the keys of a node.
+// FilesOf returns the paths of the files that Make writes for a node.
 func FilesOf(directory, node string) Files {
 	return Files{
 		CertFile: filepath.Join(directory, node+".pem"),
@@ -51,9 +52,9 @@
 	}
 }
 
-// Make creates the directory if needed and writes a new authority's
-// certificate, and a certificate and key for each node. Files that are there
-// are overwritten. A lifetime of zero means DefaultLifetime.
+// Make writes the certificate of a new authority, and a certificate and key for each
+// node, into a directory, which it creates if needed. Existing files are
+// overwritten. A lifetime of zero means DefaultLifetime.
 func Make(directory string, lifetime time.Duration, nodes ...string) error {
 	for _, node := range nodes {
 		if node == "" || node == "ca" || node != filepath.Base(node) || strings.HasPrefix(node, ".") {
@@ -108,7 +109,7 @@
 	return &authority{key: key, certificate: certificate}, err
 }
 
-// issue writes a node's certificate and key.
+// issue creates and writes a node's certificate and key.
 func (a *authority) issue(files Files, node string, lifetime time.Duration) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -135,7 +136,7 @@
 }
 
 func newTemplate(commonName string, lifetime time.Duration) (*x509.Certificate, error) {
-	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
+	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialNumberBits))
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +149,7 @@
 	}, nil
 }
 
-func writePEM(path, kind string, der []byte, mode os.FileMode) error {
-	encoded := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
+func writePEM(path, blockType string, der []byte, mode os.FileMode) error {
+	encoded := pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 	return os.WriteFile(path, encoded, mode)
 }
--- a/peer/testkeys/testkeys_test.go
+++ b/peer/testkeys/testkeys_test.go
@@ -24,8 +24,8 @@
 		if leaf.Subject.CommonName != node {
 			t.Errorf("certificate of %s is for %s", node, leaf.Subject.CommonName)
 		}
-		if left := time.Until(leaf.NotAfter); left > time.Hour || left < 50*time.Minute {
-			t.Errorf("certificate is valid for %s", left)
+		if validFor := time.Until(leaf.NotAfter); validFor > time.Hour || validFor < 50*time.Minute {
+			t.Errorf("certificate is valid for %s", validFor)
 		}
 		info, err := os.Stat(files.KeyFile)
 		if err != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestMakeRefusesNames(t *testing.T) {
+func TestMakeRejectsUnusableNames(t *testing.T) {
 	for _, name := range []string{"", "ca", "..", "../a", "a/b", ".hidden"} {
 		if err := Make(t.TempDir(), 0, name); !errors.Is(err, ErrBadName) {
 			t.Errorf("name %q: error %v", name, err)
--- a/peer/tlsfiles/tlsfiles.go
+++ b/peer/tlsfiles/tlsfiles.go
@@ -1,5 +1,5 @@
-// Package tlsfiles loads the certificate, key and CA that the sessions between
-// routers use. Both sides present a certificate and verify the other's.
+// Package tlsfiles loads the certificate, key and CA certificates for the sessions
+// between routers. Both sides present a certificate and verify the other's.
 package tlsfiles
 
 import (
@@ -11,16 +11,17 @@
 )
 
 var (
-	// ErrIncomplete says that some of the three files are not named.
-	ErrIncomplete = errors.New("cert_file, key_file and ca_file go together")
-	// ErrNoCertificate says that the CA file or the other side has none.
+	// ErrIncomplete is returned if only some of the three files are set.
+	ErrIncomplete = errors.New("cert_file, key_file and ca_file must be set together")
+	// ErrNoCertificate reports that the CA file holds no certificate or that the
+	// other side presented none.
 	ErrNoCertificate = errors.New("no certificate")
 )
 
-// Load reads PEM files into a configuration for both ends of a session. It
-// returns nil if no file is named. A node's certificate must be usable as a
-// client's and as a server's, and the CA file may hold several certificates,
-// as during the change from one CA to the next.
+// Load returns a TLS configuration for both ends of a session, read from PEM files.
+// It returns nil if no file is set. The certificate must be valid for client and
+// server authentication. The CA file may hold several certificates, for example
+// while one CA is replaced by another.
 func Load(certFile, keyFile, caFile string) (*tls.Config, error) {
 	if certFile == "" && keyFile == "" && caFile == "" {
 		return nil, nil
@@ -51,9 +52,10 @@
 	return roots, nil
 }
 
-// newConfig verifies chains itself in place of the library's client check,
-// which wants an IP number or DNS name in the certificate. Package peer
-// compares the certificate with the node's name.
+// newConfig returns a configuration that verifies certificate chains in
+// VerifyConnection. The standard library's check on the client side is off, since
+// it requires the server's IP address or DNS name in the certificate; package peer
+// compares the certificate with the node's name instead.
 func newConfig(certificate tls.Certificate, roots *x509.CertPool) *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -66,7 +68,8 @@
 	}
 }
 
-// verify checks the other side's chain for both roles.
+// verify checks that the other side's chain is valid for client and for server
+// authentication.
 func verify(state tls.ConnectionState, roots *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
 		return ErrNoCertificate
--- a/peer/tlsfiles/tlsfiles_test.go
+++ b/peer/tlsfiles/tlsfiles_test.go
@@ -10,7 +10,7 @@
 	"github.com/walnutcove/walnutcove/peer/tlsfiles"
 )
 
-func TestLoadRefusesBadFiles(t *testing.T) {
+func TestLoadRejectsInvalidFiles(t *testing.T) {
 	directory := t.TempDir()
 	if err := testkeys.Make(directory, 0, "a", "b"); err != nil {
 		t.Fatal(err)
