--- a/orders/fleet_test.go
+++ b/orders/fleet_test.go
@@ -22,11 +22,11 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// testTimeout bounds every wait for a condition; no verdict depends on it.
+// testTimeout bounds every wait for a condition. No check depends on its value.
 const testTimeout = 30 * time.Second
 
-// TestMain fails if goroutines are left behind. The two passed over are
-// fasthttp's own: its clock never ends, its cleaner ends within 10 s.
+// TestMain fails if goroutines are leaked. The two that are ignored belong to
+// fasthttp: its clock never ends, and its worker cleaner ends within 10 s.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
@@ -34,7 +34,7 @@
 	)
 }
 
-// fleet is a table of versions, a weight store and stand-in engines.
+// fleet is a table of configuration versions, a weight store and stand-in engines.
 type fleet struct {
 	t        *testing.T
 	versions *configstore.Store
@@ -45,7 +45,8 @@
 	newest   *config.Snapshot
 }
 
-// newFleet declares the engines without a state, as version 1.
+// newFleet starts engines and declares them as targets, without a declared state, in
+// version 1.
 func newFleet(t *testing.T, engines ...engine.Options) *fleet {
 	t.Helper()
 	backing := memory.New(memory.Options{})
@@ -73,15 +74,15 @@
 			Pool: "draft", DataCentre: "ikeja", Address: address, Slots: 1, ChecksFencing: options.ChecksFencing,
 		}
 	}
-	f.patch(map[string]any{
+	f.submitPatch(map[string]any{
 		"pools":   map[string]any{"draft": map[string]any{"kind": "engine", "models": []string{"small"}}},
 		"targets": declared,
 	})
 	return f
 }
 
-// patch makes the next version and returns it.
-func (f *fleet) patch(changes any) *config.Snapshot {
+// submitPatch creates the next version and returns it.
+func (f *fleet) submitPatch(changes any) *config.Snapshot {
 	f.t.Helper()
 	encoded, err := json.Marshal(changes)
 	if err != nil {
@@ -99,25 +100,25 @@
 	return f.newest
 }
 
-// declare gives every engine a state, as the next version.
-func (f *fleet) declare(role string, models ...string) *config.Snapshot {
+// declareStates declares the same state for every engine, in the next version.
+func (f *fleet) declareStates(role string, models ...string) *config.Snapshot {
 	f.t.Helper()
 	targets := make(map[string]any)
 	for _, name := range f.names {
 		targets[name] = map[string]any{"role": role, "load_models": models}
 	}
-	return f.patch(map[string]any{"targets": targets})
+	return f.submitPatch(map[string]any{"targets": targets})
 }
 
-// reconciler is one router's part that gives orders.
+// reconciler is the reconciler of one router, with its metrics.
 type reconciler struct {
 	*orders.Reconciler
 	set *metrics.Set
 }
 
-// router starts a reconciler at a version, for every engine. edit may change
+// startRouter starts a reconciler with a version, for every engine. edit may change
 // its options; it may be nil.
-func (f *fleet) router(snapshot *config.Snapshot, edit func(*orders.Options)) reconciler {
+func (f *fleet) startRouter(snapshot *config.Snapshot, edit func(*orders.Options)) reconciler {
 	f.t.Helper()
 	set := metrics.NewSet()
 	options := orders.Options{
@@ -129,7 +130,7 @@
 		MaxBackoff: 50 * time.Millisecond,
 		Metrics:    set,
 	}
-	// Not the times under test: a busy machine must not let them pass.
+	// Most tests do not test these timeouts: they must not expire on a busy machine.
 	options.ConfirmHolds = testTimeout
 	options.Timeout = testTimeout / 3
 	if edit != nil {
@@ -142,7 +143,7 @@
 	return r
 }
 
-// refusals returns a router's count of one reason.
+// refusals returns the router's refusal counter for one reason.
 func (r reconciler) refusals(reason orders.Reason) uint64 {
 	return r.set.GetOrCreateCounter(fmt.Sprintf("walnut_orders_refusals_total{reason=%q}", string(reason))).Get()
 }
@@ -157,15 +158,16 @@
 	}
 }
 
-// has says whether an engine is in a state.
-func has(e *engine.Engine, role string, models ...string) bool {
+// isInState reports whether an engine has a role and exactly these models loaded.
+func isInState(e *engine.Engine, role string, models ...string) bool {
 	state := e.Orders()
 	slices.Sort(state.Models)
 	return state.Role == role && slices.Equal(state.Models, models)
 }
 
-// taken returns the fencing numbers of the orders that an engine took, in turn.
-func taken(e *engine.Engine) []uint64 {
+// acceptedFences returns the fencing numbers of the orders that an engine accepted,
+// in order.
+func acceptedFences(e *engine.Engine) []uint64 {
 	var fences []uint64
 	for _, entry := range e.Journal().Entries() {
 		if entry.Event == journal.Order && entry.Outcome == journal.Accepted {
@@ -175,33 +177,33 @@
 	return fences
 }
 
-// hook runs a function once, at a call that a test waits for.
-type hook struct {
+// onceHook runs a function at the first of the calls that a test intercepts.
+type onceHook struct {
 	once sync.Once
 	call func()
 }
 
-func (h *hook) run() { h.once.Do(h.call) }
+func (h *onceHook) run() { h.once.Do(h.call) }
 
-// clock is a clock that a test moves on.
-type clock struct {
-	mu    sync.Mutex
-	moved time.Duration
+// movableClock is a clock that a test can advance.
+type movableClock struct {
+	mu     sync.Mutex
+	offset time.Duration
 }
 
-func (c *clock) now() time.Time {
+func (c *movableClock) now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Add(c.moved)
+	return time.Now().Add(c.offset)
 }
 
-func (c *clock) move(d time.Duration) {
+func (c *movableClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.moved += d
+	c.offset += d
 }
 
-// hookedVersions runs a hook after its read number at, from 1, was answered.
+// hookedVersions runs after[n] when the n-th read, counted from 1, has been answered.
 type hookedVersions struct {
 	orders.Versions
 	mu    sync.Mutex
@@ -221,22 +223,22 @@
 	return entry, err
 }
 
-// outVersions is a table that can be out.
-type outVersions struct {
+// switchableVersions is a table that a test can make unavailable.
+type switchableVersions struct {
 	orders.Versions
-	mu  sync.Mutex
-	out bool
+	mu          sync.Mutex
+	unavailable bool
 }
 
-func (v *outVersions) set(out bool) {
+func (v *switchableVersions) setUnavailable(out bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.out = out
+	v.unavailable = out
 }
 
-func (v *outVersions) Entry(ctx context.Context, version config.Version) (config.Entry, error) {
+func (v *switchableVersions) Entry(ctx context.Context, version config.Version) (config.Entry, error) {
 	v.mu.Lock()
-	out := v.out
+	out := v.unavailable
 	v.mu.Unlock()
 	if out {
 		return config.Entry{}, store.ErrUnavailable
@@ -244,10 +246,10 @@
 	return v.Versions.Entry(ctx, version)
 }
 
-// hookedWeights runs a hook before a permit is asked for.
+// hookedWeights runs a hook before a permit is requested.
 type hookedWeights struct {
 	store.Weights
-	hook *hook
+	hook *onceHook
 }
 
 func (w hookedWeights) RequestFetch(ctx context.Context, fetch store.WeightFetch) (store.WeightPermit, error) {
@@ -258,7 +260,7 @@
 // hookedClient runs a hook before an order is sent.
 type hookedClient struct {
 	orders.Client
-	hook *hook
+	hook *onceHook
 }
 
 func (c hookedClient) GiveOrder(ctx context.Context, address string, order targets.Order, fence uint64) error {
@@ -266,9 +268,9 @@
 	return c.Client.GiveOrder(ctx, address, order, fence)
 }
 
-// outOfOrder returns an old fencing number taken after a newer one; zero if
-// there is none.
-func outOfOrder(fences []uint64) uint64 {
+// firstOutOfOrder returns the first fencing number that is lower than the one before
+// it; zero if there is none.
+func firstOutOfOrder(fences []uint64) uint64 {
 	for i := 1; i < len(fences); i++ {
 		if fences[i] < fences[i-1] {
 			return fences[i]
@@ -277,8 +279,8 @@
 	return 0
 }
 
-// orderByHand gives an order past every reconciler.
-func (f *fleet) orderByHand(n int, order targets.Order, fence uint64) {
+// giveOrderDirectly sends an order to an engine without a reconciler.
+func (f *fleet) giveOrderDirectly(n int, order targets.Order, fence uint64) {
 	f.t.Helper()
 	address := f.newest.Declarations.Targets[f.names[n]].Address
 	if err := f.client.GiveOrder(context.Background(), address, order, fence); err != nil {
--- a/orders/head.go
+++ b/orders/head.go
@@ -17,64 +17,65 @@
 	Entry(ctx context.Context, version config.Version) (config.Entry, error)
 }
 
-// errNewerVersion says that the table holds a newer version than the one here.
+// errNewerVersion reports that the table holds a newer version than this router.
 var errNewerVersion = errors.New("orders: the table holds a newer version")
 
-// head confirms that a version is the newest in the table. One read at a time
-// serves all targets, and holds for a while.
-type head struct {
+// versionConfirmer confirms that a version is the newest in the table. One read at
+// a time serves all targets, and its result is reused until it expires.
+type versionConfirmer struct {
 	versions Versions
 	now      func() time.Time
-	// holds is how long a confirmation holds from the start of its read.
-	holds time.Duration
-	// margin is what must be left of a confirmation for it to be used again.
-	margin time.Duration
+	// ttl is how long a confirmation is valid, from the start of its read.
+	ttl time.Duration
+	// minLeft is the remaining validity that a confirmation must have to be reused.
+	minLeft time.Duration
 
-	// reading is taken by the goroutine that reads; it guards the rest.
-	reading   chan struct{}
-	version   config.Version
-	confirmed time.Time
-	// passed is the highest version known not to be the newest.
-	passed config.Version
+	// readSlot is a semaphore held by the goroutine that reads the table. It guards
+	// the fields below.
+	readSlot         chan struct{}
+	confirmedVersion config.Version
+	confirmedAt      time.Time
+	// superseded is the highest version known not to be the newest.
+	superseded config.Version
 }
 
-func newHead(versions Versions, now func() time.Time, holds, margin time.Duration) *head {
-	return &head{versions: versions, now: now, holds: holds, margin: margin, reading: make(chan struct{}, 1)}
+func newVersionConfirmer(versions Versions, now func() time.Time, ttl, minLeft time.Duration) *versionConfirmer {
+	return &versionConfirmer{versions: versions, now: now, ttl: ttl, minLeft: minLeft, readSlot: make(chan struct{}, 1)}
 }
 
-// confirm returns until when version is taken for the newest. The error is
-// errNewerVersion if it is not, and any other if the table could not be read in
-// time to be of use.
-func (h *head) confirm(ctx context.Context, version config.Version) (time.Time, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.holds-h.margin)
+// confirm returns the time until which version counts as the newest. The error is
+// errNewerVersion if a newer one exists, and another error if the table could not
+// be read early enough for the confirmation to be usable.
+func (h *versionConfirmer) confirm(ctx context.Context, version config.Version) (time.Time, error) {
+	ctx, cancel := context.WithTimeout(ctx, h.ttl-h.minLeft)
 	defer cancel()
 	select {
-	case h.reading <- struct{}{}:
+	case h.readSlot <- struct{}{}:
 	case <-ctx.Done():
 		return time.Time{}, ctx.Err()
 	}
-	defer func() { <-h.reading }()
-	if version <= h.passed {
+	defer func() { <-h.readSlot }()
+	if version <= h.superseded {
 		return time.Time{}, errNewerVersion
 	}
-	until := h.confirmed.Add(h.holds)
-	if h.version == version && until.Sub(h.now()) >= h.margin {
+	until := h.confirmedAt.Add(h.ttl)
+	if h.confirmedVersion == version && until.Sub(h.now()) >= h.minLeft {
 		return until, nil
 	}
 	started := h.now()
-	if err := h.read(ctx, version); err != nil {
+	if err := h.checkNewest(ctx, version); err != nil {
 		if errors.Is(err, errNewerVersion) {
-			h.passed = version
+			h.superseded = version
 		}
 		return time.Time{}, err
 	}
-	h.version = version
-	h.confirmed = started
-	return started.Add(h.holds), nil
+	h.confirmedVersion = version
+	h.confirmedAt = started
+	return started.Add(h.ttl), nil
 }
 
-// read returns nil if the table has no version after the given one.
-func (h *head) read(ctx context.Context, version config.Version) error {
+// checkNewest returns nil if the table has no version after the given one.
+func (h *versionConfirmer) checkNewest(ctx context.Context, version config.Version) error {
 	_, err := h.versions.Entry(ctx, version+1)
 	var unknown *store.UnknownVersionError
 	switch {
--- a/orders/options.go
+++ b/orders/options.go
@@ -11,7 +11,7 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// Defaults of Options.
+// Defaults for the fields of Options.
 const (
 	DefaultEvery        = 2 * time.Second
 	DefaultSoon         = 250 * time.Millisecond
@@ -21,45 +21,50 @@
 	DefaultWorkers      = 32
 )
 
-// everyJitter is the part of a pause by which it varies either way.
-const everyJitter = 0.25
+// intervalJitterRatio is the fraction of a pause by which jitter shortens or
+// lengthens it at most.
+const intervalJitterRatio = 0.25
 
-// Client gives orders to targets. *targets.HTTPClient is one.
+// Client reads the order state of targets and sends them orders.
+// *targets.HTTPClient implements it.
 type Client interface {
-	// OrderState asks the target at address ("ip:port") what its orders led to.
+	// OrderState returns the state of the target at address ("ip:port"): its models,
+	// its role and the highest fencing number that it has seen.
 	OrderState(ctx context.Context, address string) (targets.OrderState, error)
 	// GiveOrder sends an order with a fencing number. The error is a
-	// *targets.FencedError if the target refused the number.
+	// *targets.FencedError if the target rejected the number as outdated.
 	GiveOrder(ctx context.Context, address string, order targets.Order, fence uint64) error
 }
 
 // Options configure a Reconciler. Zero values take the stated defaults.
 type Options struct {
-	// Client calls targets. Required.
+	// Client sends the requests to targets. Required.
 	Client Client
-	// Versions reads the configuration's table. Required.
+	// Versions reads the configuration versions. Required.
 	Versions Versions
-	// Weights gives permits to load. Required.
+	// Weights grants permits to load models. Required.
 	Weights store.Weights
-	// Every is the pause between two looks at a target in its declared state,
-	// or at one that loads. Default 2 s.
+	// CheckInterval is the pause between two checks of a target that is in its
+	// declared state or is loading. Default 2 s.
 	Every time.Duration
-	// Soon is the pause after an order, the first pause after a failure, and
-	// the time over which the first looks are spread. Default 250 ms.
+	// RecheckDelay is the pause after an order, the first pause after a failure,
+	// and the time over which the first checks of targets are spread.
+	// Default 250 ms.
 	Soon time.Duration
 	// MaxBackoff bounds the pause after failures in a row. Default 30 s.
 	MaxBackoff time.Duration
-	// ConfirmHolds is how long after the start of a read of the table an order
-	// may still be sent to a target that ignores fencing numbers. Default 1 s.
+	// ConfirmationTTL is the time after the start of a read of the table within
+	// which an order may be sent to a target that ignores fencing numbers.
+	// Default 1 s.
 	ConfirmHolds time.Duration
-	// Timeout bounds each call to a target. It is at most half of
-	// ConfirmHolds. Default 400 ms.
+	// Timeout bounds each call to a target or to the weight store. It is at most
+	// half of ConfirmationTTL. Default 400 ms.
 	Timeout time.Duration
-	// Workers bounds the targets looked at at once. Default 32.
+	// Workers bounds the targets that are checked concurrently. Default 32.
 	Workers int
-	// Now is the clock of confirmations. Default time.Now.
+	// Now is the clock for confirmations and permits. Default time.Now.
 	Now func() time.Time
-	// Log takes the messages. Default slog.Default().
+	// Log receives the log lines. Default slog.Default().
 	Log *slog.Logger
 	// Metrics receives the counters. Default: a set of the reconciler's own.
 	Metrics *metrics.Set
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -13,15 +13,15 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-func TestTargetIsBroughtIntoItsDeclaredState(t *testing.T) {
+func TestTargetReachesDeclaredState(t *testing.T) {
 	f := newFleet(t, engine.Options{LoadTime: 10 * time.Millisecond})
 	e := f.engines[0]
-	r := f.router(f.declare("prefill", "a", "b@2/tone"), nil)
-	eventually(t, "first state", func() bool { return has(e, "prefill", "a", "b@2/tone") })
-	r.SetConfig(f.declare("decode", "b@2/tone", "c"))
-	eventually(t, "next state", func() bool { return has(e, "decode", "b@2/tone", "c") })
+	r := f.startRouter(f.declareStates("prefill", "a", "b@2/tone"), nil)
+	eventually(t, "first state", func() bool { return isInState(e, "prefill", "a", "b@2/tone") })
+	r.SetConfig(f.declareStates("decode", "b@2/tone", "c"))
+	eventually(t, "next state", func() bool { return isInState(e, "decode", "b@2/tone", "c") })
 	e.CrashNow()
-	eventually(t, "state after a crash", func() bool { return has(e, "decode", "b@2/tone", "c") })
+	eventually(t, "state after a crash", func() bool { return isInState(e, "decode", "b@2/tone", "c") })
 	eventually(t, "settled", func() bool { return r.States()[f.names[0]] == "" })
 	loads := 0
 	for _, entry := range e.Journal().Entries() {
@@ -34,22 +34,23 @@
 	}
 }
 
-// An old router read the target's state before the new one gave its order, and
-// sends after it. The target refuses the number.
-func TestCheckingTargetRefusesARouterThatIsBehind(t *testing.T) {
+// A router with an outdated version reads the target's state before, and sends its
+// order after, a router with the newest version sends one. The target must reject the
+// outdated fencing number.
+func TestFencingTargetRejectsOutdatedRouter(t *testing.T) {
 	f := newFleet(t, engine.Options{ChecksFencing: true})
 	e := f.engines[0]
-	f.orderByHand(0, targets.Order{Role: "idle"}, 1) // so that it remembers a number
-	old := f.declare("prefill", "a")
-	newest := f.declare("decode", "b")
-	overtake := &hook{call: func() {
-		f.router(newest, nil)
-		eventually(t, "newest state", func() bool { return has(e, "decode", "b") })
+	f.giveOrderDirectly(0, targets.Order{Role: "idle"}, 1) // so that it has stored a number
+	old := f.declareStates("prefill", "a")
+	newest := f.declareStates("decode", "b")
+	newerRouterOrders := &onceHook{call: func() {
+		f.startRouter(newest, nil)
+		eventually(t, "newest state", func() bool { return isInState(e, "decode", "b") })
 	}}
-	behind := f.router(old, func(o *orders.Options) { o.Client = hookedClient{f.client, overtake} })
-	eventually(t, "the old router was refused", func() bool { return behind.refusals(orders.ReasonFenced) > 0 })
-	eventually(t, "the old router knows", func() bool { return behind.refusals(orders.ReasonBehind) > 1 })
-	if fences := taken(e); outOfOrder(fences) != 0 {
+	outdated := f.startRouter(old, func(o *orders.Options) { o.Client = hookedClient{f.client, newerRouterOrders} })
+	eventually(t, "the outdated router is rejected", func() bool { return outdated.refusals(orders.ReasonFenced) > 0 })
+	eventually(t, "the outdated router sees the higher fencing number", func() bool { return outdated.refusals(orders.ReasonBehind) > 1 })
+	if fences := acceptedFences(e); firstOutOfOrder(fences) != 0 {
 		t.Errorf("orders taken with numbers %v", fences)
 	}
 	refused := 0
@@ -58,162 +59,165 @@
 			refused++
 		}
 	}
-	if refused != 1 || !has(e, "decode", "b") {
+	if refused != 1 || !isInState(e, "decode", "b") {
 		t.Errorf("%d orders refused, state %+v", refused, e.Orders())
 	}
 }
 
-// The table holds a newer version than the only router that looks.
-func TestIgnoringTargetGetsNoOrderOfARouterThatIsBehind(t *testing.T) {
-	for _, checks := range []bool{false, true} { // one that checks remembers no number yet
+// The table holds a newer version than the only router, which must not send an order
+// to a target that would accept it.
+func TestOutdatedRouterSendsNoOrderWithoutFencing(t *testing.T) {
+	for _, checks := range []bool{false, true} { // the target that checks has not stored a number yet
 		f := newFleet(t, engine.Options{ChecksFencing: checks})
-		old := f.declare("prefill", "a")
-		newest := f.declare("decode", "b")
-		r := f.router(old, nil)
+		old := f.declareStates("prefill", "a")
+		newest := f.declareStates("decode", "b")
+		r := f.startRouter(old, nil)
 		eventually(t, "refusals", func() bool { return r.refusals(orders.ReasonNewerVersion) > 2 })
-		if fences := taken(f.engines[0]); len(fences) != 0 {
+		if fences := acceptedFences(f.engines[0]); len(fences) != 0 {
 			t.Errorf("checks %v: orders taken with numbers %v", checks, fences)
 		}
 		r.SetConfig(newest)
-		eventually(t, "newest state", func() bool { return has(f.engines[0], "decode", "b") })
+		eventually(t, "newest state", func() bool { return isInState(f.engines[0], "decode", "b") })
 	}
 }
 
-// A router stands still at the worst moments, wakes with its old version, and
-// gives no order to a target that ignores fencing numbers.
-func TestThawedRouterGivesNoOldOrder(t *testing.T) {
-	freezes := map[string]func(o *orders.Options, c *clock, freeze func()){
-		"before the permit": func(o *orders.Options, _ *clock, freeze func()) {
-			o.Weights = hookedWeights{o.Weights, &hook{call: freeze}}
+// A router process is paused right before or right after a check and resumes with an
+// outdated version. It must not send an order to a target that ignores fencing
+// numbers.
+func TestResumedRouterSendsNoOutdatedOrder(t *testing.T) {
+	pausePoints := map[string]func(o *orders.Options, c *movableClock, pause func()){
+		"before the permit": func(o *orders.Options, _ *movableClock, pause func()) {
+			o.Weights = hookedWeights{o.Weights, &onceHook{call: pause}}
 		},
-		"after the last confirmation": func(o *orders.Options, c *clock, freeze func()) {
-			// The first confirmation has lapsed by the second, which is read anew.
-			lapse := func() { c.move(2 * o.ConfirmHolds) }
-			o.Versions = &hookedVersions{Versions: o.Versions, after: map[int]func(){1: lapse, 2: freeze}}
+		"after the last confirmation": func(o *orders.Options, c *movableClock, pause func()) {
+			// The first confirmation expires before the second, which must read again.
+			expireConfirmation := func() { c.advance(2 * o.ConfirmHolds) }
+			o.Versions = &hookedVersions{Versions: o.Versions, after: map[int]func(){1: expireConfirmation, 2: pause}}
 		},
 	}
-	for name, arrange := range freezes {
+	for name, arrange := range pausePoints {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, engine.Options{})
 			e := f.engines[0]
-			old := f.declare("prefill", "a")
-			frozen := &clock{}
-			thawed := make(chan struct{})
-			freeze := func() {
-				f.router(f.declare("decode", "b"), nil)
-				eventually(t, "newest state", func() bool { return has(e, "decode", "b") })
-				frozen.move(time.Hour)
-				close(thawed)
+			outdated := f.declareStates("prefill", "a")
+			pausedClock := &movableClock{}
+			resumed := make(chan struct{})
+			pause := func() {
+				f.startRouter(f.declareStates("decode", "b"), nil)
+				eventually(t, "newest state", func() bool { return isInState(e, "decode", "b") })
+				pausedClock.advance(time.Hour)
+				close(resumed)
 			}
-			r := f.router(old, func(o *orders.Options) {
-				o.Now = frozen.now
-				arrange(o, frozen, freeze)
+			r := f.startRouter(outdated, func(o *orders.Options) {
+				o.Now = pausedClock.now
+				arrange(o, pausedClock, pause)
 			})
 			select {
-			case <-thawed:
+			case <-resumed:
 			case <-time.After(testTimeout):
-				t.Fatal("the router did not come to the point where it freezes")
+				t.Fatal("the router did not reach the point where it is paused")
 			}
-			eventually(t, "refusals after the thaw", func() bool {
+			eventually(t, "refusals after the router resumed", func() bool {
 				return r.refusals(orders.ReasonExpired)+r.refusals(orders.ReasonNewerVersion) > 0
 			})
-			eventually(t, "the thawed router knows", func() bool { return r.refusals(orders.ReasonBehind) > 1 })
-			if fences := taken(e); slices.Contains(fences, uint64(old.Version)) {
+			eventually(t, "the resumed router sees the higher fencing number", func() bool { return r.refusals(orders.ReasonBehind) > 1 })
+			if fences := acceptedFences(e); slices.Contains(fences, uint64(outdated.Version)) {
 				t.Errorf("orders taken with numbers %v", fences)
 			}
 		})
 	}
 }
 
-// What no check can stop: an old order that was written in time and taken late
-// by a target that ignores fencing numbers.
-func TestLateOldOrderIsMended(t *testing.T) {
+// No check can prevent that a target that ignores fencing numbers applies an outdated
+// order late, if the order was sent in time. The next check must correct its effect.
+func TestLateOutdatedOrderIsCorrected(t *testing.T) {
 	f := newFleet(t, engine.Options{})
 	e := f.engines[0]
-	old := f.declare("prefill", "a")
-	newest := f.declare("decode", "b")
-	r := f.router(newest, nil)
-	eventually(t, "newest state", func() bool { return has(e, "decode", "b") })
+	old := f.declareStates("prefill", "a")
+	newest := f.declareStates("decode", "b")
+	r := f.startRouter(newest, nil)
+	eventually(t, "newest state", func() bool { return isInState(e, "decode", "b") })
 	eventually(t, "settled", func() bool { return r.States()[f.names[0]] == "" })
-	f.orderByHand(0, targets.Order{LoadModel: "a", KeepModels: []string{"a"}, Role: "prefill"}, uint64(old.Version))
-	eventually(t, "mended", func() bool { return has(e, "decode", "b") })
-	fences := taken(e)
-	if outOfOrder(fences) != uint64(old.Version) || fences[len(fences)-1] != uint64(newest.Version) {
+	f.giveOrderDirectly(0, targets.Order{LoadModel: "a", KeepModels: []string{"a"}, Role: "prefill"}, uint64(old.Version))
+	eventually(t, "state is corrected", func() bool { return isInState(e, "decode", "b") })
+	fences := acceptedFences(e)
+	if firstOutOfOrder(fences) != uint64(old.Version) || fences[len(fences)-1] != uint64(newest.Version) {
 		t.Errorf("orders taken with numbers %v", fences)
 	}
 }
 
-// While the table is out, only a target that checks, and remembers a number, is
-// given orders.
+// While the table is unavailable, only a target that checks fencing numbers, and has
+// stored one, must be sent orders.
 func TestTableOutage(t *testing.T) {
 	f := newFleet(t, engine.Options{}, engine.Options{ChecksFencing: true}, engine.Options{ChecksFencing: true})
 	ignoring, checking, fresh := f.engines[0], f.engines[1], f.engines[2]
-	f.orderByHand(1, targets.Order{Role: "idle"}, 1)
-	snapshot := f.declare("decode", "a")
-	table := &outVersions{Versions: f.versions, out: true}
-	r := f.router(snapshot, func(o *orders.Options) { o.Versions = table })
-	eventually(t, "checking target", func() bool { return has(checking, "decode", "a") })
+	f.giveOrderDirectly(1, targets.Order{Role: "idle"}, 1)
+	snapshot := f.declareStates("decode", "a")
+	table := &switchableVersions{Versions: f.versions, unavailable: true}
+	r := f.startRouter(snapshot, func(o *orders.Options) { o.Versions = table })
+	eventually(t, "checking target", func() bool { return isInState(checking, "decode", "a") })
 	eventually(t, "refusals", func() bool { return r.refusals(orders.ReasonUnconfirmed) > 4 })
-	if fences := append(taken(ignoring), taken(fresh)...); len(fences) != 0 {
+	if fences := append(acceptedFences(ignoring), acceptedFences(fresh)...); len(fences) != 0 {
 		t.Errorf("orders taken during the outage with numbers %v", fences)
 	}
-	table.set(false)
-	eventually(t, "the others", func() bool { return has(ignoring, "decode", "a") && has(fresh, "decode", "a") })
+	table.setUnavailable(false)
+	eventually(t, "the others", func() bool { return isInState(ignoring, "decode", "a") && isInState(fresh, "decode", "a") })
 }
 
-// A change of the whole fleet loads at most as many models at once as the
-// weight store permits, though two routers give orders for each target.
-func TestLoadsKeepToThePermits(t *testing.T) {
+// A change of the whole fleet must not load more models at the same time than the
+// weight store permits, although two routers send orders to each target.
+func TestConcurrentLoadsStayWithinPermits(t *testing.T) {
 	options := make([]engine.Options, 6)
 	for n := range options {
 		options[n].LoadTime = 100 * time.Millisecond
 	}
 	f := newFleet(t, options...)
-	snapshot := f.declare("", "a", "b")
-	first, second := f.router(snapshot, quickPermits), f.router(snapshot, quickPermits)
+	snapshot := f.declareStates("", "a", "b")
+	first, second := f.startRouter(snapshot, withShortPermitRetry), f.startRouter(snapshot, withShortPermitRetry)
 	eventually(t, "all loaded", func() bool {
-		return !slices.ContainsFunc(f.engines, func(e *engine.Engine) bool { return !has(e, "", "a", "b") })
+		return !slices.ContainsFunc(f.engines, func(e *engine.Engine) bool { return !isInState(e, "", "a", "b") })
 	})
 	eventually(t, "all permits are back", func() bool {
 		rate, err := f.weights.WeightsRate(t.Context())
 		return err == nil && rate.Fetches == 0
 	})
-	if most := mostLoadsAtOnce(f.engines); most != 2 {
-		t.Errorf("%d loads at once, the store permits 2", most)
+	if maxLoads := maxConcurrentLoads(f.engines); maxLoads != 2 {
+		t.Errorf("%d loads at once, the store permits 2", maxLoads)
 	}
 	if first.refusals(orders.ReasonPermitDenied)+second.refusals(orders.ReasonPermitDenied) == 0 {
 		t.Error("no permit was denied")
 	}
 }
 
-// quickPermits shortens the pause after a denied permit.
-func quickPermits(o *orders.Options) { o.Weights = impatientWeights{o.Weights} }
+// withShortPermitRetry shortens the pause after a denied permit.
+func withShortPermitRetry(o *orders.Options) { o.Weights = shortRetryWeights{o.Weights} }
 
-// impatientWeights names a short pause with each denial.
-type impatientWeights struct{ store.Weights }
+// shortRetryWeights returns a shortened retry time with each denial.
+type shortRetryWeights struct{ store.Weights }
 
-func (w impatientWeights) RequestFetch(ctx context.Context, fetch store.WeightFetch) (store.WeightPermit, error) {
+func (w shortRetryWeights) RequestFetch(ctx context.Context, fetch store.WeightFetch) (store.WeightPermit, error) {
 	permit, err := w.Weights.RequestFetch(ctx, fetch)
 	permit.RetryAfter /= 100
 	return permit, err
 }
 
-// mostLoadsAtOnce merges the engines' journals.
-func mostLoadsAtOnce(engines []*engine.Engine) int {
+// maxConcurrentLoads returns the largest number of loads in progress at the same
+// time, from the engines' journals.
+func maxConcurrentLoads(engines []*engine.Engine) int {
 	var entries []journal.Entry
 	for _, e := range engines {
 		entries = append(entries, e.Journal().Entries()...)
 	}
 	slices.SortStableFunc(entries, func(a, b journal.Entry) int { return a.Wall.Compare(b.Wall) })
-	most, now := 0, 0
+	maxLoads, current := 0, 0
 	for _, entry := range entries {
 		switch entry.Event {
 		case journal.LoadStarted:
-			now++
+			current++
 		case journal.LoadEnded:
-			now--
+			current--
 		}
-		most = max(most, now)
+		maxLoads = max(maxLoads, current)
 	}
-	return most
+	return maxLoads
 }
--- a/orders/pass.go
+++ b/orders/pass.go
@@ -11,51 +11,52 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// pass is one look at one target, and one order at most. It works by one
-// version from its beginning to its end.
+// pass is one check of one target, which sends at most one order. It uses the same
+// configuration version throughout.
 type pass struct {
 	r        *Reconciler
-	entry    *entry
+	target   *targetState
 	snapshot *config.Snapshot
 	declared config.Target
 }
 
-// verdict is how a pass ended.
-type verdict struct {
+// passResult is the result of a pass.
+type passResult struct {
 	// reason is empty if the target is in its declared state.
 	reason Reason
 	err    error
-	// wait is the pause until the next pass. Zero: by the number of failures.
-	wait time.Duration
-	// version is the one that the pass worked by.
+	// nextIn is the pause until the next pass. Zero means a back-off by the number
+	// of failures in a row.
+	nextIn time.Duration
+	// version is the configuration version that the pass used.
 	version config.Version
 }
 
-func (p *pass) do() {
-	v := p.run()
-	v.version = p.snapshot.Version
-	p.r.ended(p.entry, v)
+func (p *pass) execute() {
+	result := p.reconcile()
+	result.version = p.snapshot.Version
+	p.r.passEnded(p.target, result)
 }
 
-func (p *pass) run() verdict {
+func (p *pass) reconcile() passResult {
 	state, err := p.readState()
 	if err != nil {
-		return verdict{reason: ReasonStateUnread, err: err}
+		return passResult{reason: ReasonStateUnread, err: err}
 	}
 	plan := planFor(p.declared, state)
-	p.settlePermit(plan, state)
-	if !plan.needed {
-		p.entry.givenAt = 0
+	p.updatePermit(plan, state)
+	if !plan.hasOrder {
+		p.target.lastOrderVersion = 0
 	}
 	switch {
-	case plan.settled():
-		return verdict{wait: p.r.options.Every}
-	case !plan.needed:
-		return verdict{reason: ReasonLoading, wait: p.r.options.Every}
+	case plan.isSettled():
+		return passResult{nextIn: p.r.options.Every}
+	case !plan.hasOrder:
+		return passResult{reason: ReasonLoading, nextIn: p.r.options.Every}
 	case state.Fence > uint64(p.snapshot.Version):
-		return verdict{reason: ReasonBehind, err: &targets.FencedError{Highest: state.Fence}}
+		return passResult{reason: ReasonBehind, err: &targets.FencedError{Highest: state.Fence}}
 	}
-	return p.give(plan.order, state)
+	return p.giveOrder(plan.order, state)
 }
 
 func (p *pass) readState() (targets.OrderState, error) {
@@ -64,103 +65,104 @@
 	return p.r.options.Client.OrderState(ctx, p.declared.Address)
 }
 
-// settlePermit keeps the permit of a model that is being loaded, also if
-// another router asked for it, and gives back one that is no longer of use.
-func (p *pass) settlePermit(plan plan, state targets.OrderState) {
+// updatePermit renews the permit of a model that is being loaded, even if another
+// router requested it, and returns a permit that is no longer needed.
+func (p *pass) updatePermit(plan plan, state targets.OrderState) {
 	ctx, cancel := context.WithTimeout(p.r.ctx, p.r.options.Timeout)
 	defer cancel()
 	if plan.loading != "" {
-		// Loading goes on without an answer too; the next pass asks again.
-		permit, err := p.r.permits.renew(ctx, p.entry.name, plan.loading)
+		// An error does not stop the loading; the next pass renews the permit again.
+		permit, err := p.r.permits.request(ctx, p.target.name, plan.loading)
 		if err == nil && permit.Granted {
-			p.entry.permit = plan.loading
+			p.target.permitModel = plan.loading
 		}
 	}
-	held := p.entry.permit
-	if held == "" || held == plan.order.LoadModel || slices.Contains(state.Loading, held) {
+	heldModel := p.target.permitModel
+	if heldModel == "" || heldModel == plan.order.LoadModel || slices.Contains(state.Loading, heldModel) {
 		return
 	}
-	p.finishPermit(ctx)
+	p.returnPermit(ctx)
 }
 
-// finishPermit gives the permit held back. If that fails, the next pass does it
-// again, and the permit ends by itself in the end.
-func (p *pass) finishPermit(ctx context.Context) {
-	if p.entry.permit == "" {
+// returnPermit returns the permit that is held, if any. If that fails, the next
+// pass tries again; a permit that is never returned expires.
+func (p *pass) returnPermit(ctx context.Context) {
+	if p.target.permitModel == "" {
 		return
 	}
-	if err := p.r.permits.finish(ctx, p.entry.name, p.entry.permit); err == nil {
-		p.entry.permit = ""
+	if err := p.r.permits.release(ctx, p.target.name, p.target.permitModel); err == nil {
+		p.target.permitModel = ""
 	}
 }
 
-// give gives an order. The permit comes after a first confirmation, so that
-// none is held while the table is out, and may outlast it; so the version is
-// confirmed again right before the order is sent.
-func (p *pass) give(order targets.Order, state targets.OrderState) verdict {
-	if _, v, ok := p.allowedUntil(state); !ok {
-		return v
-	}
-	if v, ok := p.takePermit(order.LoadModel); !ok {
-		return v
-	}
-	until, v, ok := p.allowedUntil(state)
+// giveOrder sends an order, after requesting a permit if a model must be loaded.
+// The version is confirmed before the permit is requested, so that no permit is
+// held while the table is unavailable, and again right before the order is sent,
+// since the first confirmation may expire while the permit is requested.
+func (p *pass) giveOrder(order targets.Order, state targets.OrderState) passResult {
+	if _, result, ok := p.sendDeadline(state); !ok {
+		return result
+	}
+	if result, ok := p.takePermit(order.LoadModel); !ok {
+		return result
+	}
+	deadline, result, ok := p.sendDeadline(state)
 	if ok {
-		v = p.send(order, until)
+		result = p.sendOrder(order, deadline)
 	}
-	if v.reason != ReasonOrdered && v.reason != ReasonNotTaken && v.reason != ReasonTargetFailed {
+	if result.reason != ReasonOrdered && result.reason != ReasonNotTaken && result.reason != ReasonTargetFailed {
 		ctx, cancel := context.WithTimeout(p.r.ctx, p.r.options.Timeout)
 		defer cancel()
-		p.finishPermit(ctx) // The order was surely not taken.
+		p.returnPermit(ctx) // The target can't have accepted the order.
 	}
-	return v
+	return result
 }
 
-// allowedUntil returns until when an order may be sent. A target that checks
-// fencing numbers, and remembers one, refuses an old order itself. For any
-// other the version must have been read as the newest a moment ago.
-func (p *pass) allowedUntil(state targets.OrderState) (time.Time, verdict, bool) {
+// sendDeadline returns the time until which an order may be sent. A target that
+// checks fencing numbers, and has stored one, rejects an outdated order itself. For
+// any other target, a recent read must confirm that the version is the newest.
+func (p *pass) sendDeadline(state targets.OrderState) (time.Time, passResult, bool) {
 	if p.declared.ChecksFencing && state.Fence > 0 {
-		return p.r.options.Now().Add(p.r.options.Timeout), verdict{}, true
+		return p.r.options.Now().Add(p.r.options.Timeout), passResult{}, true
 	}
-	until, err := p.r.head.confirm(p.r.ctx, p.snapshot.Version)
+	until, err := p.r.confirmer.confirm(p.r.ctx, p.snapshot.Version)
 	switch {
 	case errors.Is(err, errNewerVersion):
-		return time.Time{}, verdict{reason: ReasonNewerVersion, err: err}, false
+		return time.Time{}, passResult{reason: ReasonNewerVersion, err: err}, false
 	case err != nil:
-		return time.Time{}, verdict{reason: ReasonUnconfirmed, err: err}, false
+		return time.Time{}, passResult{reason: ReasonUnconfirmed, err: err}, false
 	}
-	return until, verdict{}, true
+	return until, passResult{}, true
 }
 
-// takePermit takes a permit to load the model, if there is one to load.
-func (p *pass) takePermit(model string) (verdict, bool) {
+// takePermit requests a permit to load the model, unless model is empty.
+func (p *pass) takePermit(model string) (passResult, bool) {
 	if model == "" {
-		return verdict{}, true
+		return passResult{}, true
 	}
 	ctx, cancel := context.WithTimeout(p.r.ctx, p.r.options.Timeout)
 	defer cancel()
-	granted, wait, err := p.r.permits.take(ctx, p.entry.name, model)
+	granted, wait, err := p.r.permits.take(ctx, p.target.name, model)
 	switch {
 	case err != nil:
-		p.entry.permit = model // It may have been granted.
-		return verdict{reason: ReasonPermitUnavailable, err: err}, false
+		p.target.permitModel = model // The store may have granted it all the same.
+		return passResult{reason: ReasonPermitUnavailable, err: err}, false
 	case !granted:
-		return verdict{reason: ReasonPermitDenied, wait: wait}, false
+		return passResult{reason: ReasonPermitDenied, nextIn: wait}, false
 	}
-	p.entry.permit = model
-	return verdict{}, true
+	p.target.permitModel = model
+	return passResult{}, true
 }
 
-// send sends the order unless the time for it has passed, as after a pause of
-// the whole process, or the version is no longer in force here.
-func (p *pass) send(order targets.Order, until time.Time) verdict {
-	if !p.r.inForce(p) {
-		return verdict{reason: ReasonNewerVersion, wait: p.r.options.Soon}
+// sendOrder sends the order unless its deadline has passed, for example because the
+// whole process was paused, or the pass's version is no longer in force here.
+func (p *pass) sendOrder(order targets.Order, deadline time.Time) passResult {
+	if !p.r.isCurrent(p) {
+		return passResult{reason: ReasonNewerVersion, nextIn: p.r.options.Soon}
 	}
-	left := until.Sub(p.r.options.Now())
+	left := deadline.Sub(p.r.options.Now())
 	if left <= 0 {
-		return verdict{reason: ReasonExpired}
+		return passResult{reason: ReasonExpired}
 	}
 	ctx, cancel := context.WithTimeout(p.r.ctx, min(left, p.r.options.Timeout))
 	defer cancel()
@@ -169,23 +171,24 @@
 	var fenced *targets.FencedError
 	switch {
 	case errors.As(err, &fenced):
-		return verdict{reason: ReasonFenced, err: err}
+		return passResult{reason: ReasonFenced, err: err}
 	case err != nil:
-		return verdict{reason: ReasonTargetFailed, err: err}
+		return passResult{reason: ReasonTargetFailed, err: err}
 	}
-	return p.taken(order)
+	return p.orderAccepted(order)
 }
 
-// taken takes in that the target took the order. The same order twice is a
-// failure of the target, and the pauses grow.
-func (p *pass) taken(order targets.Order) verdict {
-	same := p.entry.givenAt == p.snapshot.Version && reflect.DeepEqual(p.entry.given, order)
-	p.entry.given = order
-	p.entry.givenAt = p.snapshot.Version
+// orderAccepted records that the target accepted the order. If the same order of
+// the same version was accepted before, the target has failed to apply it, and the
+// pauses grow.
+func (p *pass) orderAccepted(order targets.Order) passResult {
+	same := p.target.lastOrderVersion == p.snapshot.Version && reflect.DeepEqual(p.target.lastOrder, order)
+	p.target.lastOrder = order
+	p.target.lastOrderVersion = p.snapshot.Version
 	if same {
-		return verdict{reason: ReasonNotTaken}
+		return passResult{reason: ReasonNotTaken}
 	}
-	p.r.options.Log.Info("orders: Order given.", "target", p.entry.name, "version", uint64(p.snapshot.Version),
+	p.r.options.Log.Info("orders: Order accepted by the target.", "target", p.target.name, "version", uint64(p.snapshot.Version),
 		"load_model", order.LoadModel, "keep_models", order.KeepModels, "role", order.Role)
-	return verdict{reason: ReasonOrdered, wait: p.r.options.Soon}
+	return passResult{reason: ReasonOrdered, nextIn: p.r.options.Soon}
 }
--- a/orders/permits.go
+++ b/orders/permits.go
@@ -10,86 +10,88 @@
 )
 
 const (
-	// permitPrefix begins the ids of the fetches that this package asks for.
+	// permitPrefix is the prefix of the fetch IDs of this package.
 	permitPrefix = "orders/"
-	// defaultRetryAfter is the pause after a denial that names none.
+	// defaultRetryAfter is the pause after a denial without a retry time.
 	defaultRetryAfter = time.Second
-	// maxDenialDoublings bounds how far denials in a row lengthen the pause.
+	// maxDenialDoublings bounds how often denials in a row double the pause.
 	maxDenialDoublings = 3
 )
 
-// permits asks the platform's weight store for permits to load. After a denial
-// the whole router waits, longer with each, so that a change of the whole fleet
-// overruns neither the weight store nor its front.
-type permits struct {
+// permitClient requests permits to load models from the platform's weight store.
+// After a denial the whole router pauses its requests, longer with each denial in a
+// row, so that a change of the whole fleet overloads neither the weight store nor
+// the front end before it.
+type permitClient struct {
 	weights store.Weights
 	now     func() time.Time
 	random  func() float64
-	// asking is taken by the goroutine that asks for a new permit, so that one
-	// denial is enough for all that wait.
-	asking chan struct{}
+	// askSlot is a semaphore held by the goroutine that requests a new permit, so
+	// that one denial applies to all goroutines that wait for it.
+	askSlot chan struct{}
 
-	mu      sync.Mutex
-	denials int
-	// closedUntil is until when no new permit is asked for.
-	closedUntil time.Time
+	mu           sync.Mutex
+	denialsInRow int
+	// nextAskAt is the time before which no new permit is requested.
+	nextAskAt time.Time
 }
 
-func newPermits(weights store.Weights, now func() time.Time) *permits {
-	return &permits{weights: weights, now: now, random: rand.Float64, asking: make(chan struct{}, 1)}
+func newPermitClient(weights store.Weights, now func() time.Time) *permitClient {
+	return &permitClient{weights: weights, now: now, random: rand.Float64, askSlot: make(chan struct{}, 1)}
 }
 
-// permitID names the fetch of a model by a target. It is the same at every
-// router, so that two that schedule one target share its permit, and the next
-// scheduler takes over the permit of the one before.
+// permitID returns the fetch ID for loading a model on a target. It is the same on
+// every router, so that two routers that schedule the same target share its permit,
+// and a new scheduler takes over the permit of the previous one.
 func permitID(targetName, model string) string {
 	return permitPrefix + targetName + "/" + model
 }
 
-// take asks for a permit. If it is not granted, wait says when to ask again.
-func (p *permits) take(ctx context.Context, targetName, model string) (granted bool, wait time.Duration, err error) {
+// take requests a permit. If it is denied, wait is the time until the next request.
+func (p *permitClient) take(ctx context.Context, targetName, model string) (granted bool, wait time.Duration, err error) {
 	select {
-	case p.asking <- struct{}{}:
-		defer func() { <-p.asking }()
+	case p.askSlot <- struct{}{}:
+		defer func() { <-p.askSlot }()
 	case <-ctx.Done():
 		return false, 0, ctx.Err()
 	}
-	if wait := p.closedFor(); wait > 0 {
+	if wait := p.nextAskIn(); wait > 0 {
 		return false, wait, nil
 	}
-	permit, err := p.renew(ctx, targetName, model)
+	permit, err := p.request(ctx, targetName, model)
 	if err != nil {
 		return false, 0, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if permit.Granted {
-		p.denials = 0
+		p.denialsInRow = 0
 		return true, 0, nil
 	}
-	wait = p.pause(permit.RetryAfter)
-	p.closedUntil = p.now().Add(wait)
-	p.denials = min(p.denials+1, maxDenialDoublings)
+	wait = p.denialPause(permit.RetryAfter)
+	p.nextAskAt = p.now().Add(wait)
+	p.denialsInRow = min(p.denialsInRow+1, maxDenialDoublings)
 	return false, wait, nil
 }
 
-func (p *permits) closedFor() time.Duration {
+func (p *permitClient) nextAskIn() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.closedUntil.Sub(p.now())
+	return p.nextAskAt.Sub(p.now())
 }
 
-// pause doubles with each denial and is jittered by half. p.mu is held.
-func (p *permits) pause(retryAfter time.Duration) time.Duration {
+// denialPause returns the pause after a denial. It doubles with each denial in a
+// row, with a jitter of 50 % either way. The caller holds p.mu.
+func (p *permitClient) denialPause(retryAfter time.Duration) time.Duration {
 	if retryAfter <= 0 {
 		retryAfter = defaultRetryAfter
 	}
-	return time.Duration(float64(retryAfter<<p.denials) * (0.5 + p.random()))
+	return time.Duration(float64(retryAfter<<p.denialsInRow) * (0.5 + p.random()))
 }
 
-// renew asks for a permit whatever was denied before. For a model that the
-// target loads already, this keeps its permit or takes it over.
-func (p *permits) renew(ctx context.Context, targetName, model string) (store.WeightPermit, error) {
+// request requests a permit regardless of earlier denials. For a model that the
+// target is already loading, this renews its permit or takes it over.
+func (p *permitClient) request(ctx context.Context, targetName, model string) (store.WeightPermit, error) {
 	return p.weights.RequestFetch(ctx, store.WeightFetch{
 		ID:       permitID(targetName, model),
 		Artifact: model,
@@ -97,7 +99,7 @@
 	})
 }
 
-// finish gives a permit back.
-func (p *permits) finish(ctx context.Context, targetName, model string) error {
+// release returns a permit to the weight store.
+func (p *permitClient) release(ctx context.Context, targetName, model string) error {
 	return p.weights.FinishFetch(ctx, permitID(targetName, model))
 }
--- a/orders/permits_test.go
+++ b/orders/permits_test.go
@@ -10,26 +10,26 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// denying is a weight store that counts what it is asked and denies it.
-type denying struct {
+// denyingWeights is a weight store that counts and denies all requests.
+type denyingWeights struct {
 	store.Weights
-	mu    sync.Mutex
-	asked int
+	mu       sync.Mutex
+	requests int
 }
 
-func (d *denying) RequestFetch(context.Context, store.WeightFetch) (store.WeightPermit, error) {
+func (d *denyingWeights) RequestFetch(context.Context, store.WeightFetch) (store.WeightPermit, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.asked++
+	d.requests++
 	return store.WeightPermit{RetryAfter: time.Second}, nil
 }
 
-// However many targets wait, a router asks once for each pause, and the pauses
-// double up to a bound.
-func TestDeniedRouterAsksOnceEachPause(t *testing.T) {
-	store := &denying{}
+// However many targets wait for a permit, a router must send one request per pause,
+// and the pauses must double up to a bound.
+func TestDeniedRouterAsksOncePerPause(t *testing.T) {
+	store := &denyingWeights{}
 	now := time.Unix(1000, 0)
-	p := newPermits(store, func() time.Time { return now })
+	p := newPermitClient(store, func() time.Time { return now })
 	p.random = func() float64 { return 0.5 }
 	for round, want := range []time.Duration{1, 2, 4, 8, 8} {
 		var all sync.WaitGroup
@@ -42,8 +42,8 @@
 			})
 		}
 		all.Wait()
-		if store.asked != round+1 {
-			t.Fatalf("asked %d times in %d pauses", store.asked, round+1)
+		if store.requests != round+1 {
+			t.Fatalf("asked %d times in %d pauses", store.requests, round+1)
 		}
 		now = now.Add(want * time.Second)
 	}
--- a/orders/plan.go
+++ b/orders/plan.go
@@ -7,24 +7,24 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// plan is what has to be done to bring a target nearer to its declared state.
+// plan is the next step that brings a target closer to its declared state.
 type plan struct {
-	// order is to be given, unless it is empty.
+	// order is the order to send if hasOrder is set.
 	order targets.Order
-	// needed says that order is not empty.
-	needed bool
-	// loading is a declared model that the target loads already; empty if none.
+	// hasOrder reports whether an order must be sent.
+	hasOrder bool
+	// loading is a declared model that the target is loading now; empty if none.
 	loading string
 }
 
-// settled says that the target is in its declared state.
-func (p plan) settled() bool { return !p.needed && p.loading == "" }
+// isSettled reports whether the target is in its declared state.
+func (p plan) isSettled() bool { return !p.hasOrder && p.loading == "" }
 
-// planFor compares what is declared with what the target reports. A target
-// loads one model at a time, so it never holds one permit of the weight store
-// while it waits for another. Every order names the whole set of models that
-// may stay: orders planned from an old report then do no harm, since all orders
-// of one version keep the same models and role.
+// planFor compares the declared state with the state that the target reports. A
+// target loads one model at a time, so it never holds one permit of the weight store
+// while it waits for another. Every order lists all models that may stay loaded, so
+// an order planned from an outdated report does no harm: all orders of one version
+// keep the same models and set the same role.
 func planFor(declared config.Target, state targets.OrderState) plan {
 	var p plan
 	missing := ""
@@ -41,12 +41,13 @@
 		p.order.LoadModel = missing
 	}
 	wrongRole := declared.Role != "" && declared.Role != state.Role
-	p.needed = p.order.LoadModel != "" || wrongRole || hasOthers(declared.LoadModels, state)
+	p.hasOrder = p.order.LoadModel != "" || wrongRole || hasUnwantedModels(declared.LoadModels, state)
 	return p
 }
 
-// hasOthers says whether the target holds a model that it shall not have.
-func hasOthers(keep []string, state targets.OrderState) bool {
+// hasUnwantedModels reports whether the target has loaded, or is loading, a model
+// that is not to be kept. An empty list of models to keep means any.
+func hasUnwantedModels(keep []string, state targets.OrderState) bool {
 	if len(keep) == 0 {
 		return false
 	}
--- a/orders/plan_test.go
+++ b/orders/plan_test.go
@@ -10,10 +10,10 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// engine takes orders as docs/TARGETS.md says.
-type engine struct{ state targets.OrderState }
+// simulatedEngine applies orders as docs/TARGETS.md specifies.
+type simulatedEngine struct{ state targets.OrderState }
 
-func (e *engine) take(o targets.Order) {
+func (e *simulatedEngine) applyOrder(o targets.Order) {
 	unwanted := func(model string) bool { return !slices.Contains(o.KeepModels, model) }
 	if len(o.KeepModels) > 0 {
 		e.state.Models = slices.DeleteFunc(slices.Clone(e.state.Models), unwanted)
@@ -28,27 +28,27 @@
 	}
 }
 
-func (e *engine) loaded() {
+func (e *simulatedEngine) finishLoading() {
 	e.state.Models = append(slices.Clone(e.state.Models), e.state.Loading...)
 	e.state.Loading = nil
 }
 
-var genModels = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 0, 4, rapid.ID[string])
+var modelsGenerator = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 0, 4, rapid.ID[string])
 
-// Orders of one version that were planned from any old state, and are taken
-// late, doubled or out of turn, never undo each other; then a few looks lead to
-// the declared state.
+// Orders of one version that were planned from any earlier state, and are applied
+// late, twice or out of order, must never undo each other; after that a few checks
+// must lead to the declared state.
 func TestOrdersOfOneVersionCommute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		declared := config.Target{LoadModels: genModels.Draw(t, "declared"), Role: rapid.SampledFrom([]string{"", "x"}).Draw(t, "role")}
-		e := &engine{targets.OrderState{Models: genModels.Draw(t, "at first"), Role: "y"}}
+		declared := config.Target{LoadModels: modelsGenerator.Draw(t, "declared"), Role: rapid.SampledFrom([]string{"", "x"}).Draw(t, "role")}
+		e := &simulatedEngine{targets.OrderState{Models: modelsGenerator.Draw(t, "at first"), Role: "y"}}
 		seen := []targets.OrderState{e.state}
 		for range rapid.IntRange(0, 12).Draw(t, "steps") {
 			before := e.state
 			if rapid.Bool().Draw(t, "loading ends") {
-				e.loaded()
+				e.finishLoading()
 			} else {
-				e.take(planFor(declared, rapid.SampledFrom(seen).Draw(t, "old state")).order)
+				e.applyOrder(planFor(declared, rapid.SampledFrom(seen).Draw(t, "old state")).order)
 			}
 			for _, model := range before.Models {
 				if slices.Contains(declared.LoadModels, model) && !slices.Contains(e.state.Models, model) {
@@ -58,12 +58,12 @@
 			seen = append(seen, e.state)
 		}
 		for range len(declared.LoadModels) + 2 {
-			if p := planFor(declared, e.state); p.needed {
-				e.take(p.order)
+			if p := planFor(declared, e.state); p.hasOrder {
+				e.applyOrder(p.order)
 			}
-			e.loaded()
+			e.finishLoading()
 		}
-		if p := planFor(declared, e.state); !p.settled() {
+		if p := planFor(declared, e.state); !p.isSettled() {
 			t.Fatalf("state %+v, plan %+v", e.state, p)
 		}
 	})
--- a/orders/reason.go
+++ b/orders/reason.go
@@ -6,47 +6,48 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Reason is why a target is not in its declared state. It is the label of
-// walnut_orders_refusals_total, but for ReasonPending, ReasonLoading and
-// ReasonOrdered, which are no refusals.
+// Reason is the reason why a target is not in its declared state. It is the "reason"
+// label of walnut_orders_refusals_total, except for ReasonPending, ReasonLoading and
+// ReasonOrdered, which are not refusals.
 type Reason string
 
-// The reasons.
+// Values of Reason.
 const (
-	// ReasonPending: the target was not looked at yet.
+	// ReasonPending: the target has not been checked yet.
 	ReasonPending Reason = "pending"
-	// ReasonOrdered: an order was taken; the next look tells what it did.
+	// ReasonOrdered: the target accepted an order; the next check shows its effect.
 	ReasonOrdered Reason = "ordered"
-	// ReasonLoading: the target loads a model.
+	// ReasonLoading: the target is loading a model.
 	ReasonLoading Reason = "loading"
 	// ReasonStateUnread: the target's state could not be read.
 	ReasonStateUnread Reason = "state_unread"
-	// ReasonFenced: the target refused the order's fencing number as old.
+	// ReasonFenced: the target rejected the order's fencing number as outdated.
 	ReasonFenced Reason = "fenced"
-	// ReasonBehind: the target has seen a higher fencing number than the
-	// version here, so no order was sent.
+	// ReasonBehind: the target has seen a fencing number higher than this router's
+	// version, so no order was sent.
 	ReasonBehind Reason = "behind"
-	// ReasonNewerVersion: the table holds a newer version than the one here,
-	// so no order was sent.
+	// ReasonNewerVersion: the table holds a newer version than this router, or this
+	// router's version or targets changed during the check, so no order was sent.
 	ReasonNewerVersion Reason = "newer_version"
-	// ReasonUnconfirmed: the table could not be read to confirm that the
-	// version here is the newest, so no order was sent.
+	// ReasonUnconfirmed: the table could not be read to confirm that this router's
+	// version is the newest, so no order was sent.
 	ReasonUnconfirmed Reason = "unconfirmed"
-	// ReasonExpired: more time passed between the confirmation and the sending
-	// of the order than the confirmation holds, so no order was sent.
+	// ReasonExpired: the confirmation expired before the order was sent, so no order
+	// was sent.
 	ReasonExpired Reason = "confirmation_expired"
-	// ReasonPermitDenied: the weight store gave no permit to load.
+	// ReasonPermitDenied: the weight store denied a permit to load the model.
 	ReasonPermitDenied Reason = "permit_denied"
-	// ReasonPermitUnavailable: the weight store could not be asked.
+	// ReasonPermitUnavailable: the request to the weight store failed.
 	ReasonPermitUnavailable Reason = "permit_unavailable"
-	// ReasonTargetFailed: the target did not answer the order, or not well.
+	// ReasonTargetFailed: the target did not answer the order, or answered with an
+	// error.
 	ReasonTargetFailed Reason = "target_failed"
-	// ReasonNotTaken: the target took the same order before and does not
-	// report what it asked for.
+	// ReasonNotTaken: the target accepted the same order before, but does not report
+	// the state that the order sets.
 	ReasonNotTaken Reason = "not_taken"
 )
 
-// refusalReasons are the reasons that are counted.
+// refusalReasons are the reasons counted in walnut_orders_refusals_total.
 var refusalReasons = []Reason{
 	ReasonStateUnread, ReasonFenced, ReasonBehind, ReasonNewerVersion, ReasonUnconfirmed, ReasonExpired,
 	ReasonPermitDenied, ReasonPermitUnavailable, ReasonTargetFailed, ReasonNotTaken,
@@ -70,8 +71,8 @@
 	return c
 }
 
-// refused counts a reason that is a refusal.
-func (c counters) refused(reason Reason) {
+// countRefusal counts a reason if it is a refusal.
+func (c counters) countRefusal(reason Reason) {
 	if counter := c.refusals[reason]; counter != nil {
 		counter.Inc()
 	}
--- a/orders/reconciler.go
+++ b/orders/reconciler.go
@@ -13,165 +13,169 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// Reconciler keeps the targets scheduled here in their declared state. It is
-// safe for concurrent use.
+// Reconciler keeps the targets that this router schedules in their declared state.
+// It is safe for concurrent use.
 type Reconciler struct {
-	options  Options
-	counters counters
-	head     *head
-	permits  *permits
-	pool     pond.Pool
-	ctx      context.Context
-	cancel   context.CancelFunc
-	wake     chan struct{}
-	done     chan struct{}
+	options   Options
+	counters  counters
+	confirmer *versionConfirmer
+	permits   *permitClient
+	pool      pond.Pool
+	ctx       context.Context
+	cancel    context.CancelFunc
+	wake      chan struct{}
+	done      chan struct{}
 
 	mu       sync.Mutex
 	snapshot *config.Snapshot
 	names    []string
-	entries  map[string]*entry // the targets in names with a declared state
+	states   map[string]*targetState // the targets in names with a declared state
 }
 
-// entry is one target. The reconciler's lock guards it; permit and given belong
-// to the pass while busy is set.
-type entry struct {
-	name string
-	due  time.Time
-	busy bool
-	// again says that the target is to be looked at right after the pass.
-	again bool
-	// failures counts the passes in a row that ended with a refusal.
-	failures int
+// targetState is the state kept for one target. Reconciler.mu guards it, except for
+// permitModel, lastOrder and lastOrderVersion, which only the pass may use while
+// busy is set.
+type targetState struct {
+	name  string
+	dueAt time.Time
+	busy  bool
+	// recheck is set if the next pass must follow right after the current one.
+	recheck bool
+	// failedPasses counts the passes in a row after which a back-off was due.
+	failedPasses int
 	// reason is why the target is not in its declared state; empty if it is.
 	reason Reason
-	// permit is the model whose permit to load is held here; empty if none.
-	permit string
-	// given is the last order taken by the target, and its version.
-	given   targets.Order
-	givenAt config.Version
+	// permitModel is the model for which this router holds a permit; empty if none.
+	permitModel string
+	// lastOrder is the last order that the target accepted, of lastOrderVersion.
+	lastOrder        targets.Order
+	lastOrderVersion config.Version
 }
 
-// New returns a reconciler without targets. Close ends it.
+// New starts a reconciler without targets. Close stops it.
 func New(options Options) *Reconciler {
 	options = options.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Reconciler{
-		options:  options,
-		counters: newCounters(options.Metrics),
-		head:     newHead(options.Versions, options.Now, options.ConfirmHolds, options.Timeout),
-		permits:  newPermits(options.Weights, options.Now),
-		pool:     pond.NewPool(options.Workers),
-		ctx:      ctx,
-		cancel:   cancel,
-		wake:     make(chan struct{}, 1),
-		done:     make(chan struct{}),
-		entries:  make(map[string]*entry),
+		options:   options,
+		counters:  newCounters(options.Metrics),
+		confirmer: newVersionConfirmer(options.Versions, options.Now, options.ConfirmHolds, options.Timeout),
+		permits:   newPermitClient(options.Weights, options.Now),
+		pool:      pond.NewPool(options.Workers),
+		ctx:       ctx,
+		cancel:    cancel,
+		wake:      make(chan struct{}, 1),
+		done:      make(chan struct{}),
+		states:    make(map[string]*targetState),
 	}
 	go r.loop()
 	return r
 }
 
-// Close stops giving orders and waits for the calls in progress.
+// Close stops sending orders and waits for the calls in progress.
 func (r *Reconciler) Close() {
 	r.cancel()
 	<-r.done
 	r.pool.StopAndWait()
 }
 
-// SetTargets replaces the names of the targets scheduled here. It never blocks
-// on a call.
+// SetTargets replaces the names of the targets that this router schedules. It never
+// waits for a call.
 func (r *Reconciler) SetTargets(names []string) {
 	r.mu.Lock()
 	r.names = slices.Clone(names)
-	r.renew()
+	r.updateStates()
 	r.mu.Unlock()
 	r.wakeLoop()
 }
 
-// SetConfig puts a version in force. An older one than that in force is passed
-// over. It never blocks on a call.
+// SetConfig sets the configuration version to use. A version that is not newer than
+// the current one is ignored. It never waits for a call.
 func (r *Reconciler) SetConfig(snapshot *config.Snapshot) {
 	r.mu.Lock()
 	before := r.snapshot
 	if before == nil || snapshot.Version > before.Version {
 		r.snapshot = snapshot
-		r.renew()
-		r.hurry(before)
+		r.updateStates()
+		r.scheduleChanged(before)
 	}
 	r.mu.Unlock()
 	r.wakeLoop()
 }
 
-// States tells of each target with a declared state that is scheduled here why
-// it is not in that state; the reason is empty if it is.
+// Reasons returns, for each target with a declared state that this router schedules,
+// the reason why the target is not in that state. The reason is empty if it is.
 func (r *Reconciler) States() map[string]Reason {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	states := make(map[string]Reason, len(r.entries))
-	for name, e := range r.entries {
+	states := make(map[string]Reason, len(r.states))
+	for name, e := range r.states {
 		states[name] = e.reason
 	}
 	return states
 }
 
-// renew makes entries for the targets that are to be looked at, and drops the
-// others. r.mu is held.
-func (r *Reconciler) renew() {
+// updateStates creates states for the targets that must be checked and drops those
+// of the others. The caller holds r.mu.
+func (r *Reconciler) updateStates() {
 	if r.snapshot == nil {
 		return
 	}
-	kept := make(map[string]*entry)
+	kept := make(map[string]*targetState)
 	for _, name := range r.names {
 		declared, ok := r.snapshot.Declarations.Targets[name]
 		if !ok || !declared.Ordered() || declared.Leaving {
 			continue
 		}
-		e := r.entries[name]
+		e := r.states[name]
 		if e == nil {
-			e = &entry{name: name, due: r.soon(), reason: ReasonPending}
+			e = &targetState{name: name, dueAt: r.jitteredStart(), reason: ReasonPending}
 		}
 		kept[name] = e
 	}
-	for name, e := range r.entries {
+	for name, e := range r.states {
 		if kept[name] == nil && !e.busy {
-			r.release(e)
+			r.releasePermit(e)
 		}
 	}
-	r.entries = kept
+	r.states = kept
 }
 
-// release gives back the permit of an entry that was dropped, unless the next
-// scheduler of the target takes it over. r.mu is held.
-func (r *Reconciler) release(e *entry) {
-	if e.permit == "" || !slices.Contains(r.names, e.name) {
+// releasePermit returns the permit of a target whose state was dropped while this
+// router still schedules it. Otherwise the target's next scheduler takes over the
+// permit. The caller holds r.mu.
+func (r *Reconciler) releasePermit(e *targetState) {
+	if e.permitModel == "" || !slices.Contains(r.names, e.name) {
 		return
 	}
-	_ = r.pool.Go(func() { // An error says that the reconciler is closed.
+	_ = r.pool.Go(func() { // An error means that the reconciler is closed.
 		ctx, cancel := context.WithTimeout(r.ctx, r.options.Timeout)
 		defer cancel()
-		_ = r.permits.finish(ctx, e.name, e.permit) // It ends by itself otherwise.
+		_ = r.permits.release(ctx, e.name, e.permitModel) // On an error the permit expires.
 	})
 }
 
-// hurry makes targets due whose declaration changed, or whose reason may have
-// gone with the new version. r.mu is held.
-func (r *Reconciler) hurry(before *config.Snapshot) {
-	for name, e := range r.entries {
-		if before != nil && e.reason == "" && sameState(before.Declarations.Targets[name], r.snapshot.Declarations.Targets[name]) {
+// scheduleChanged schedules an early pass for each target whose declaration changed
+// or that was not in its declared state, since the new version may resolve the
+// reason. The caller holds r.mu.
+func (r *Reconciler) scheduleChanged(before *config.Snapshot) {
+	for name, e := range r.states {
+		if before != nil && e.reason == "" && sameDeclaration(before.Declarations.Targets[name], r.snapshot.Declarations.Targets[name]) {
 			continue
 		}
-		e.failures = 0
-		e.again = e.busy
-		e.due = r.soon()
+		e.failedPasses = 0
+		e.recheck = e.busy
+		e.dueAt = r.jitteredStart()
 	}
 }
 
-func sameState(a, b config.Target) bool {
+func sameDeclaration(a, b config.Target) bool {
 	return a.Role == b.Role && a.Address == b.Address && slices.Equal(a.LoadModels, b.LoadModels)
 }
 
-// soon spreads the looks at many targets.
-func (r *Reconciler) soon() time.Time {
+// jitteredStart returns a random time within Options.RecheckDelay from now, which
+// spreads the checks of many targets.
+func (r *Reconciler) jitteredStart() time.Time {
 	return time.Now().Add(time.Duration(rand.Float64() * float64(r.options.Soon)))
 }
 
@@ -182,7 +186,7 @@
 	}
 }
 
-// loop starts each pass when it is due.
+// loop starts passes when they are due, until Close.
 func (r *Reconciler) loop() {
 	defer close(r.done)
 	timer := time.NewTimer(0)
@@ -198,61 +202,62 @@
 	}
 }
 
-// startDue starts the passes that are due and returns the time until the next.
+// startDue starts the passes that are due and returns the time until the next is.
 func (r *Reconciler) startDue(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	next := r.options.Every
-	for _, e := range r.entries {
+	for _, e := range r.states {
 		if e.busy {
 			continue
 		}
-		if wait := e.due.Sub(now); wait > 0 {
+		if wait := e.dueAt.Sub(now); wait > 0 {
 			next = min(next, wait)
 			continue
 		}
 		e.busy = true
-		p := &pass{r: r, entry: e, snapshot: r.snapshot, declared: r.snapshot.Declarations.Targets[e.name]}
-		if err := r.pool.Go(p.do); err != nil {
+		p := &pass{r: r, target: e, snapshot: r.snapshot, declared: r.snapshot.Declarations.Targets[e.name]}
+		if err := r.pool.Go(p.execute); err != nil {
 			e.busy = false
 		}
 	}
 	return next
 }
 
-// ended takes in how a pass ended and sets when the next is due.
-func (r *Reconciler) ended(e *entry, v verdict) {
+// passEnded records the result of a pass and schedules the next one.
+func (r *Reconciler) passEnded(e *targetState, result passResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.busy = false
-	r.counters.refused(v.reason)
-	if r.entries[e.name] != e {
-		r.release(e)
+	r.counters.countRefusal(result.reason)
+	if r.states[e.name] != e {
+		r.releasePermit(e)
 		return
 	}
-	changed := e.reason != v.reason && (e.reason != ReasonPending || v.reason != "")
-	e.reason = v.reason
-	if v.wait > 0 {
-		e.failures = 0
-		e.due = time.Now().Add(jittered(v.wait))
+	changed := e.reason != result.reason && (e.reason != ReasonPending || result.reason != "")
+	e.reason = result.reason
+	if result.nextIn > 0 {
+		e.failedPasses = 0
+		e.dueAt = time.Now().Add(jittered(result.nextIn))
 	} else {
-		e.due = time.Now().Add(jittered(r.backoff(e.failures)))
-		e.failures++
+		e.dueAt = time.Now().Add(jittered(r.backoff(e.failedPasses)))
+		e.failedPasses++
 	}
-	if e.again {
-		e.again = false
-		e.due = time.Now()
+	if e.recheck {
+		e.recheck = false
+		e.dueAt = time.Now()
 	}
 	if changed {
-		r.logVerdict(e.name, v)
+		r.logResult(e.name, result)
 	}
 	r.wakeLoop()
 }
 
-// backoff is the pause after so many failures in a row before this one.
-func (r *Reconciler) backoff(failures int) time.Duration {
+// backoff returns the pause after a failure that follows a number of earlier failures
+// in a row.
+func (r *Reconciler) backoff(earlierFailures int) time.Duration {
 	pause := r.options.Soon
-	for range failures {
+	for range earlierFailures {
 		pause *= 2
 		if pause >= r.options.MaxBackoff {
 			return r.options.MaxBackoff
@@ -262,24 +267,24 @@
 }
 
 func jittered(pause time.Duration) time.Duration {
-	return time.Duration(float64(pause) * (1 + everyJitter*(2*rand.Float64()-1)))
+	return time.Duration(float64(pause) * (1 + intervalJitterRatio*(2*rand.Float64()-1)))
 }
 
-func (r *Reconciler) logVerdict(name string, v verdict) {
-	switch v.reason {
+func (r *Reconciler) logResult(name string, result passResult) {
+	switch result.reason {
 	case "":
-		r.options.Log.Info("orders: Target is in its declared state.", "target", name, "version", uint64(v.version))
+		r.options.Log.Info("orders: Target is in its declared state.", "target", name, "version", uint64(result.version))
 	case ReasonOrdered, ReasonLoading, ReasonPermitDenied:
-		r.options.Log.Info("orders: Target is not yet in its declared state.", "target", name, "reason", string(v.reason), "version", uint64(v.version))
+		r.options.Log.Info("orders: Target is not yet in its declared state.", "target", name, "reason", string(result.reason), "version", uint64(result.version))
 	default:
-		r.options.Log.Warn("orders: Order not given or not taken.", "target", name, "reason", string(v.reason), "version", uint64(v.version), "error", v.err)
+		r.options.Log.Warn("orders: Target could not be brought into its declared state.", "target", name, "reason", string(result.reason), "version", uint64(result.version), "error", result.err)
 	}
 }
 
-// inForce says whether the version that a pass works by is still in force and
-// the target still scheduled here.
-func (r *Reconciler) inForce(p *pass) bool {
+// isCurrent reports whether the version that a pass uses is still in force and this
+// router still schedules the target.
+func (r *Reconciler) isCurrent(p *pass) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.snapshot == p.snapshot && r.entries[p.entry.name] == p.entry
+	return r.snapshot == p.snapshot && r.states[p.target.name] == p.target
 }
