--- a/processes/process.go
+++ b/processes/process.go
@@ -1,6 +1,7 @@
-// Package processes runs walnutcove's programs as real processes on loopback,
-// for process tests and benchmarks: build them, start them, wait for what they
-// print, and kill, freeze and thaw them.
+// Package processes runs walnutcove's programs as separate processes on loopback, for
+// process tests and benchmarks. It builds and starts them, waits for lines that they
+// print, and kills, freezes (SIGSTOP) and thaws (SIGCONT) them. Its proxies inject
+// network faults between them.
 package processes
 
 import (
@@ -18,10 +19,10 @@
 	"time"
 )
 
-// startTimeout bounds the wait for a line that a process prints.
-const startTimeout = 60 * time.Second
+// lineTimeout bounds the wait for a line that a process must print.
+const lineTimeout = 60 * time.Second
 
-// Binaries are the built programs.
+// Binaries are the paths of the built programs.
 type Binaries struct {
 	Walnutd   string
 	Walnutctl string
@@ -42,11 +43,11 @@
 	}, nil
 }
 
-// buildLimit bounds the build of the programs.
-const buildLimit = 5 * time.Minute
+// buildTimeout bounds the build of the programs.
+const buildTimeout = 5 * time.Minute
 
-// WithBuilt builds the programs of the module in moduleDir, calls run with them, and
-// removes them. It returns the exit code of run, or 1 if they cannot be built.
+// WithBuilt builds the programs of the module in moduleDir, calls run with them and
+// deletes them afterwards. It returns run's exit code, or 1 if the build fails.
 func WithBuilt(moduleDir string, run func(Binaries) int) int {
 	dir, err := os.MkdirTemp("", "walnutcove-programs-")
 	if err != nil {
@@ -54,7 +55,7 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	ctx, cancel := context.WithTimeout(context.Background(), buildLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), buildTimeout)
 	defer cancel()
 	built, err := Build(ctx, moduleDir, dir)
 	if err != nil {
@@ -64,26 +65,26 @@
 	return run(built)
 }
 
-// Process is one running process. Its output is kept for failure reports.
+// Process is a process that was started. Its output is kept for failure reports.
 type Process struct {
-	// Name is for reports.
+	// Name identifies the process in reports.
 	Name string
 
 	cmd    *exec.Cmd
 	exited chan struct{}
 	err    error
 
-	mu    sync.Mutex
-	lines []string
-	more  chan struct{} // closed and replaced at each line
+	mu        sync.Mutex
+	lines     []string
+	lineAdded chan struct{} // closed and replaced when a line is added
 }
 
-// keptLines bounds the output kept of a process.
-const keptLines = 5000
+// maxKeptLines bounds the lines of output that are kept of a process.
+const maxKeptLines = 5000
 
-// Start starts a program.
+// Start starts a program and collects its standard output and standard error.
 func Start(name, program string, args ...string) (*Process, error) {
-	p := &Process{Name: name, exited: make(chan struct{}), more: make(chan struct{})}
+	p := &Process{Name: name, exited: make(chan struct{}), lineAdded: make(chan struct{})}
 	p.cmd = exec.Command(program, args...)
 	read, write, err := os.Pipe()
 	if err != nil {
@@ -100,7 +101,7 @@
 	readDone := make(chan struct{})
 	go func() {
 		defer close(readDone)
-		p.collect(read)
+		p.collectOutput(read)
 	}()
 	go func() {
 		<-readDone
@@ -110,46 +111,49 @@
 	return p, nil
 }
 
-func (p *Process) collect(out io.ReadCloser) {
+// collectOutput reads the output line by line until its end.
+func (p *Process) collectOutput(out io.ReadCloser) {
 	defer out.Close()
 	scanner := bufio.NewScanner(out)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
 		p.mu.Lock()
-		if len(p.lines) >= keptLines {
-			p.lines = p.lines[keptLines/2:]
+		if len(p.lines) >= maxKeptLines {
+			p.lines = p.lines[maxKeptLines/2:]
 		}
 		p.lines = append(p.lines, scanner.Text())
-		close(p.more)
-		p.more = make(chan struct{})
+		close(p.lineAdded)
+		p.lineAdded = make(chan struct{})
 		p.mu.Unlock()
 	}
 }
 
-// WaitLine waits until the process prints a line that contains text, and
-// returns the line. Lines printed before count.
+// WaitLine waits until the process has printed a line that contains text, and returns
+// the line. Lines printed before the call count too.
 func (p *Process) WaitLine(text string) (string, error) {
-	limit := time.NewTimer(startTimeout)
+	limit := time.NewTimer(lineTimeout)
 	defer limit.Stop()
 	for {
-		line, more := p.find(text)
+		line, more := p.findLine(text)
 		if line != "" {
 			return line, nil
 		}
 		select {
 		case <-more:
 		case <-p.exited:
-			if line, _ := p.find(text); line != "" {
+			if line, _ := p.findLine(text); line != "" {
 				return line, nil
 			}
-			return "", fmt.Errorf("%s ended before it printed %q:\n%s", p.Name, text, p.Output())
+			return "", fmt.Errorf("%s exited before it printed %q:\n%s", p.Name, text, p.Output())
 		case <-limit.C:
 			return "", fmt.Errorf("%s did not print %q:\n%s", p.Name, text, p.Output())
 		}
 	}
 }
 
-func (p *Process) find(text string) (string, <-chan struct{}) {
+// findLine returns the first kept line that contains text. If there is none, it
+// returns a channel that is closed when the next line is added.
+func (p *Process) findLine(text string) (string, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, line := range p.lines {
@@ -157,20 +161,20 @@
 			return line, nil
 		}
 	}
-	return "", p.more
+	return "", p.lineAdded
 }
 
-// Output returns what the process printed.
+// Output returns the output of the process, up to the last maxKeptLines lines.
 func (p *Process) Output() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Join(p.lines, "\n")
 }
 
-// PID returns the process id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal. A process that has ended is no error.
+// Signal sends a signal. It returns no error if the process has ended.
 func (p *Process) Signal(s syscall.Signal) error {
 	err := p.cmd.Process.Signal(s)
 	if errors.Is(err, os.ErrProcessDone) {
@@ -179,36 +183,37 @@
 	return err
 }
 
-// Freeze stops the process where it stands, and Thaw lets it go on.
+// Freeze suspends the process until Thaw.
 func (p *Process) Freeze() error { return p.Signal(syscall.SIGSTOP) }
 
-// Thaw is described with Freeze.
+// Thaw resumes a process suspended by Freeze.
 func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
 
-// Terminate asks the process to end gracefully.
+// Terminate asks the process to shut down gracefully.
 func (p *Process) Terminate() error { return p.Signal(syscall.SIGTERM) }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process and waits until it has ended.
 func (p *Process) Kill() {
 	_ = p.Signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// Exited is closed when the process has ended.
+// Exited returns a channel that is closed when the process has ended.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-// Wait waits for the end and returns the exit code; -1 for a signal.
-func (p *Process) Wait(limit time.Duration) (int, error) {
+// Wait waits until the process has ended and returns its exit code, or -1 if a signal
+// ended it.
+func (p *Process) Wait(timeout time.Duration) (int, error) {
 	select {
 	case <-p.exited:
 		return p.cmd.ProcessState.ExitCode(), nil
-	case <-time.After(limit):
-		return 0, fmt.Errorf("%s did not end within %s", p.Name, limit)
+	case <-time.After(timeout):
+		return 0, fmt.Errorf("%s did not exit within %s", p.Name, timeout)
 	}
 }
 
-// Usage returns the processor time and the largest resident memory in bytes
-// of a process that has ended.
+// Usage returns the processor time and the peak resident memory, in bytes, of a process
+// that has ended.
 func (p *Process) Usage() (time.Duration, int64) {
 	state := p.cmd.ProcessState
 	usage, ok := state.SysUsage().(*syscall.Rusage)
--- a/processes/router.go
+++ b/processes/router.go
@@ -12,17 +12,19 @@
 	"github.com/walnutcove/walnutcove/settings"
 )
 
-// Router is a running walnutd.
+// Router is a walnutd process.
 type Router struct {
 	*Process
-	// Settings are what it was started with, with addresses filled in.
+	// Settings are the settings that it was started with, including the listen
+	// addresses that were picked.
 	Settings settings.Settings
 	binaries Binaries
 	dir      string
 }
 
-// StartRouter writes the settings into dir and starts a walnutd with them.
-// Listen addresses left empty are picked. It returns once walnutd listens.
+// StartRouter writes the settings to a file in dir and starts a walnutd with it. Free
+// addresses are picked for listen addresses that are empty. It returns when walnutd is
+// listening.
 func StartRouter(b Binaries, dir string, s settings.Settings) (*Router, error) {
 	for _, address := range []*string{&s.Listen.Callers, &s.Listen.Operators, &s.Listen.Peers} {
 		if *address != "" {
@@ -38,8 +40,8 @@
 	return r, r.start()
 }
 
-// Restart starts the router again, after its process has ended, with the same
-// settings and empty memory.
+// Restart starts a new process with the same settings, after the previous one has
+// ended.
 func (r *Router) Restart() error { return r.start() }
 
 func (r *Router) start() error {
@@ -62,29 +64,30 @@
 	return nil
 }
 
-// WaitReady waits until a configuration version is in force.
+// WaitReady waits until a configuration version is in force on the router.
 func (r *Router) WaitReady() error {
 	_, err := r.WaitLine("config: Version in force.")
 	return err
 }
 
-// fleets numbers the pairs of IPs of this process.
-var fleets atomic.Uint32
+// fleetCount counts the calls of NewLoopbackIPs in this process.
+var fleetCount atomic.Uint32
 
-// mostFleets bounds the pairs that NewIPs tells apart in one process.
-const mostFleets = 120
+// maxFleets is the number of different IP pairs that NewLoopbackIPs returns in one
+// process before it repeats them.
+const maxFleets = 120
 
-// NewIPs returns two loopback IPs for one fleet alone, so that nothing takes the
-// port of a process or proxy that is down for a while: one for its routers, and
-// one for its targets and proxies.
+// NewLoopbackIPs returns two loopback IPs for the exclusive use of one fleet, one for
+// its routers and one for its targets and proxies. With IPs of its own, nothing else
+// takes the port of a process or proxy that is down for a while.
 func NewIPs() (routers, others string) {
 	pid := os.Getpid()
-	n := 1 + 2*(fleets.Add(1)%mostFleets)
+	n := 1 + 2*(fleetCount.Add(1)%maxFleets)
 	prefix := fmt.Sprintf("127.%d.%d.", 16+pid/256%200, pid%256)
 	return fmt.Sprint(prefix, n), fmt.Sprint(prefix, n+1)
 }
 
-// FreeAddress picks a loopback address that nothing listens on now.
+// FreeAddress returns an address on 127.0.0.1 that nothing listens on now.
 func FreeAddress() (string, error) {
 	addresses, err := FreeAddresses("127.0.0.1", 1)
 	if err != nil {
@@ -93,9 +96,9 @@
 	return addresses[0], nil
 }
 
-// FreeAddresses picks ports of a loopback IP, all different, that nothing
-// listens on now. On an IP of its own a port stays free while its process is
-// down: the system takes the ports of outgoing connections from 127.0.0.1.
+// FreeAddresses returns different addresses on a loopback IP that nothing listens on
+// now. On an IP from NewLoopbackIPs a port stays free while its process is down: the
+// operating system binds outgoing connections to ports of 127.0.0.1.
 func FreeAddresses(ip string, count int) ([]string, error) {
 	var addresses []string
 	for range count {
@@ -103,7 +106,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer listener.Close() // after all are picked, so that none comes twice
+		defer listener.Close() // when the function returns, so that no port is picked twice
 		addresses = append(addresses, listener.Addr().String())
 	}
 	return addresses, nil
--- a/processes/standin.go
+++ b/processes/standin.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// listeningPrefix is what walnutdev's stand-ins print once they listen.
+// listeningPrefix begins the line, with the address, that walnutdev's stand-ins print
+// when they are listening.
 const listeningPrefix = "listening on "
 
-// StandIn is a running stand-in process.
+// StandIn is a process of walnutdev that stands in for the platform or a target.
 type StandIn struct {
 	*Process
-	// Address is where it listens ("ip:port").
+	// Address is the "ip:port" that it listens on.
 	Address string
 }
 
-// anyPort lets the system pick the port.
-const anyPort = "127.0.0.1:0"
+// anyPortAddress makes the operating system pick the port.
+const anyPortAddress = "127.0.0.1:0"
 
 func startStandIn(b Binaries, name string, args ...string) (*StandIn, error) {
 	p, err := Start(name, b.Walnutdev, args...)
@@ -36,13 +37,13 @@
 
 // StartPlatform starts the platform's stand-in.
 func StartPlatform(b Binaries) (*StandIn, error) {
-	return startStandIn(b, "platform", "platform", "--listen", anyPort)
+	return startStandIn(b, "platform", "platform", "--listen", anyPortAddress)
 }
 
-// StartPlatformViews starts the platform's stand-in with a number of views,
-// each on an address of its own. It returns the views' addresses.
+// StartPlatformViews starts the platform's stand-in with a number of views, each of
+// which listens on a separate address. It returns the addresses of the views.
 func StartPlatformViews(b Binaries, views int) (*StandIn, []string, error) {
-	p, err := startStandIn(b, "platform", "platform", "--listen", anyPort, "--views", strconv.Itoa(views))
+	p, err := startStandIn(b, "platform", "platform", "--listen", anyPortAddress, "--views", strconv.Itoa(views))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -61,21 +62,21 @@
 
 // EngineOptions configure a stand-in engine.
 type EngineOptions struct {
-	// Listen is the address; any port if empty.
+	// Listen is the address to listen on; a free port on loopback if empty.
 	Listen  string
 	Slots   int
 	Step    time.Duration
 	LoadLag time.Duration
 	Resumes bool
-	// PrefixEntries bounds the cache of prompt prefixes; zero for the default.
+	// PrefixEntries bounds the cache of prompt prefixes. Zero means the default.
 	PrefixEntries int
-	// PrefixGap is the part of the cached prefixes left out of reports.
+	// PrefixGap is the fraction of the cached prefixes that reports omit.
 	PrefixGap float64
 }
 
 // StartEngine starts a stand-in model engine.
 func StartEngine(b Binaries, name string, o EngineOptions) (*StandIn, error) {
-	args := []string{"engine", "--name", name, "--listen", orAny(o.Listen), "--slots", strconv.Itoa(o.Slots)}
+	args := []string{"engine", "--name", name, "--listen", orAnyPort(o.Listen), "--slots", strconv.Itoa(o.Slots)}
 	if o.Step > 0 {
 		args = append(args, "--step", o.Step.String())
 	}
@@ -96,12 +97,12 @@
 
 // StartService starts a stand-in plain service.
 func StartService(b Binaries, name string, slots int, listen string) (*StandIn, error) {
-	return startStandIn(b, name, "service", "--name", name, "--listen", orAny(listen), "--slots", fmt.Sprint(slots))
+	return startStandIn(b, name, "service", "--name", name, "--listen", orAnyPort(listen), "--slots", fmt.Sprint(slots))
 }
 
-func orAny(listen string) string {
+func orAnyPort(listen string) string {
 	if listen == "" {
-		return anyPort
+		return anyPortAddress
 	}
 	return listen
 }
--- a/processes/way.go
+++ b/processes/way.go
@@ -10,12 +10,14 @@
 	"time"
 )
 
-// Direction is a direction of a way, seen from the side that connects.
+// Direction is a direction of the traffic through a Proxy.
 type Direction int
 
-// The directions.
+// Values of Direction.
 const (
+	// Upstream is the direction from the client to the proxied address.
 	Forth Direction = iota
+	// Downstream is the direction from the proxied address to the client.
 	Back
 )
 
@@ -28,247 +30,253 @@
 }
 
 const (
-	// wayBuffer is how many bytes a way reads at once.
-	wayBuffer = 32 << 10
-	// wayDialTimeout bounds the connection to the other end, on loopback.
-	wayDialTimeout = time.Second
+	// forwardBufferBytes bounds the bytes that are forwarded at once.
+	forwardBufferBytes = 32 << 10
+	// upstreamDialTimeout bounds connecting to the proxied address, on loopback.
+	upstreamDialTimeout = time.Second
 )
 
-// Way is a proxied way to an address, on which faults can be brought about. It is
-// safe for concurrent use.
+// Proxy is a TCP proxy before an address that can inject network faults. It is safe
+// for concurrent use.
 type Way struct {
 	name, upstream, address string
 
 	mu sync.Mutex
-	// listener is nil while the way is cut.
-	listener net.Listener
-	conns    map[*net.TCPConn]struct{}
-	flows    [2]flow
-	// changed is closed and replaced when flows change.
+	// listener is nil while the proxy is cut.
+	listener    net.Listener
+	conns       map[*net.TCPConn]struct{}
+	impairments [2]impairment
+	// changed is closed and replaced when impairments change or the proxy is closed.
 	changed chan struct{}
 	closed  bool
 }
 
-// flow is what happens to the bytes of a direction.
-type flow struct {
+// impairment is the fault injected into one direction.
+type impairment struct {
 	held  bool
 	delay time.Duration
 }
 
-// NewWay starts a proxy before upstream ("ip:port"), on a port of ip. Name is for
-// reports.
+// NewProxy starts a proxy before upstream ("ip:port"), on a free port of ip. The name
+// is used in reports.
 func NewWay(name, ip, upstream string) (*Way, error) {
-	w := &Way{
+	p := &Way{
 		name:     name,
 		upstream: upstream,
 		address:  net.JoinHostPort(ip, "0"),
 		conns:    make(map[*net.TCPConn]struct{}),
 		changed:  make(chan struct{}),
 	}
-	return w, w.listen()
+	return p, p.listen()
 }
 
-// Name is the name for reports.
-func (w *Way) Name() string { return w.name }
+// Name returns the name used in reports.
+func (p *Way) Name() string { return p.name }
 
-// Address is where the proxy listens.
-func (w *Way) Address() string { return w.address }
+// Address returns the "ip:port" that the proxy listens on.
+func (p *Way) Address() string { return p.address }
 
-// portFreed is how long a port may stay taken after its listener was closed. A process that
-// is being started by another test holds the listener until it runs its own program.
-const portFreed = 2 * time.Second
+// portReleaseTimeout is how long a port may stay in use after its listener was closed: a
+// child process that another test is starting inherits the listener and keeps it open
+// until it executes its own program.
+const portReleaseTimeout = 2 * time.Second
 
-// listenAgain listens at an address that may have been listened at until just now.
-func listenAgain(address string) (net.Listener, error) {
-	for end := time.Now().Add(portFreed); ; time.Sleep(10 * time.Millisecond) {
+// listenWithRetry listens on an address, and retries while the address is still in use by
+// a listener that was just closed.
+func listenWithRetry(address string) (net.Listener, error) {
+	for deadline := time.Now().Add(portReleaseTimeout); ; time.Sleep(10 * time.Millisecond) {
 		listener, err := net.Listen("tcp4", address)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return listener, err
 		}
 	}
 }
 
-// listen takes connections on the way's address.
-func (w *Way) listen() error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.listener != nil || w.closed {
+// listen starts accepting connections, unless the proxy already does or is closed.
+func (p *Way) listen() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.listener != nil || p.closed {
 		return nil
 	}
-	listener, err := listenAgain(w.address)
+	listener, err := listenWithRetry(p.address)
 	if err != nil {
-		return fmt.Errorf("listen for %s: %w", w.name, err)
+		return fmt.Errorf("listen for %s: %w", p.name, err)
 	}
-	w.listener = listener
-	w.address = listener.Addr().String()
-	go w.accept(listener)
+	p.listener = listener
+	p.address = listener.Addr().String()
+	go p.accept(listener)
 	return nil
 }
 
-func (w *Way) accept(listener net.Listener) {
+func (p *Way) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
-			return // the way was cut
+			return // the proxy was cut
 		}
-		go w.connect(conn.(*net.TCPConn))
+		go p.connect(conn.(*net.TCPConn))
 	}
 }
 
-// connect joins a connection to the other end.
-func (w *Way) connect(near *net.TCPConn) {
-	dialled, err := net.DialTimeout("tcp4", w.upstream, wayDialTimeout)
+// connect dials upstream and forwards data between the client and upstream until both
+// directions have ended.
+func (p *Way) connect(client *net.TCPConn) {
+	dialled, err := net.DialTimeout("tcp4", p.upstream, upstreamDialTimeout)
 	if err != nil {
-		_ = near.SetLinger(0) // as if it had been refused
-		_ = near.Close()
+		_ = client.SetLinger(0) // sends a reset, like a refused connection
+		_ = client.Close()
 		return
 	}
-	far := dialled.(*net.TCPConn)
-	if !w.keep(near, far) {
+	upstream := dialled.(*net.TCPConn)
+	if !p.track(client, upstream) {
 		return
 	}
-	var pumps sync.WaitGroup
-	pumps.Go(func() { w.pump(Forth, near, far) })
-	pumps.Go(func() { w.pump(Back, far, near) })
-	pumps.Wait()
-	w.drop(near, far)
+	var copiers sync.WaitGroup
+	copiers.Go(func() { p.forward(Forth, client, upstream) })
+	copiers.Go(func() { p.forward(Back, upstream, client) })
+	copiers.Wait()
+	p.untrack(client, upstream)
 }
 
-// keep notes the two ends of a connection; false: the way was cut meanwhile.
-func (w *Way) keep(ends ...*net.TCPConn) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// track registers the two ends of a proxied connection. It closes them and returns false
+// if the proxy was cut in the meantime.
+func (p *Way) track(ends ...*net.TCPConn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, end := range ends {
-		if w.listener == nil {
+		if p.listener == nil {
 			_ = end.Close()
 			continue
 		}
-		w.conns[end] = struct{}{}
+		p.conns[end] = struct{}{}
 	}
-	return w.listener != nil
+	return p.listener != nil
 }
 
-func (w *Way) drop(ends ...*net.TCPConn) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// untrack closes and unregisters the two ends of a proxied connection.
+func (p *Way) untrack(ends ...*net.TCPConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, end := range ends {
 		_ = end.Close()
-		delete(w.conns, end)
+		delete(p.conns, end)
 	}
 }
 
-// pump passes bytes on in one direction until the connection ends.
-func (w *Way) pump(direction Direction, from, to *net.TCPConn) {
-	buffer := make([]byte, wayBuffer)
+// forward copies data in one direction until the connection ends.
+func (p *Way) forward(direction Direction, source, destination *net.TCPConn) {
+	buffer := make([]byte, forwardBufferBytes)
 	for {
-		n, err := from.Read(buffer)
-		w.pass(direction)
+		n, err := source.Read(buffer)
+		p.awaitForwardable(direction)
 		if n > 0 {
-			if _, err := to.Write(buffer[:n]); err != nil {
-				_ = from.Close()
+			if _, err := destination.Write(buffer[:n]); err != nil {
+				_ = source.Close()
 				return
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			_ = to.CloseWrite()
+			_ = destination.CloseWrite()
 			return
 		}
 		if err != nil {
-			_ = to.SetLinger(0) // what broke on one side breaks on the other
-			_ = to.Close()
+			_ = destination.SetLinger(0) // an error on one side is passed on to the other as a reset
+			_ = destination.Close()
 			return
 		}
 	}
 }
 
-// pass waits until bytes of a direction may go on.
-func (w *Way) pass(direction Direction) {
+// awaitForwardable waits until data that has arrived now may be forwarded in a direction.
+func (p *Way) awaitForwardable(direction Direction) {
 	arrived := time.Now()
 	for {
-		w.mu.Lock()
-		now, changed, closed := w.flows[direction], w.changed, w.closed
-		w.mu.Unlock()
-		left := now.delay - time.Since(arrived)
+		p.mu.Lock()
+		current, changed, closed := p.impairments[direction], p.changed, p.closed
+		p.mu.Unlock()
+		delayLeft := current.delay - time.Since(arrived)
 		switch {
-		case closed || !now.held && left <= 0:
+		case closed || !current.held && delayLeft <= 0:
 			return
-		case now.held:
+		case current.held:
 			<-changed
 		default:
 			select {
 			case <-changed:
-			case <-time.After(left):
+			case <-time.After(delayLeft):
 			}
 		}
 	}
 }
 
-// setFlow changes what happens in a direction.
-func (w *Way) setFlow(direction Direction, to flow) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.flows[direction] = to
-	w.wake()
+// setImpairment replaces the impairment of one direction.
+func (p *Way) setImpairment(direction Direction, to impairment) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.impairments[direction] = to
+	p.notifyChanged()
 }
 
-// wake needs w.mu.
-func (w *Way) wake() {
-	close(w.changed)
-	w.changed = make(chan struct{})
+// notifyChanged wakes the goroutines in awaitForwardable. The caller holds p.mu.
+func (p *Way) notifyChanged() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-// IsDisturbed says whether the way is held or delayed.
-func (w *Way) IsDisturbed() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.flows != [2]flow{}
+// IsImpaired reports whether either direction is held or delayed.
+func (p *Way) IsDisturbed() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.impairments != [2]impairment{}
 }
 
-// Hold lets nothing through in one direction; connections stay open.
-func (w *Way) Hold(direction Direction) { w.setFlow(direction, flow{held: true}) }
+// Hold stops forwarding in one direction. Connections stay open.
+func (p *Way) Hold(direction Direction) { p.setImpairment(direction, impairment{held: true}) }
 
-// Delay holds everything back for a while in one direction.
-func (w *Way) Delay(direction Direction, by time.Duration) {
-	w.setFlow(direction, flow{delay: by})
+// Delay delays all data in one direction.
+func (p *Way) Delay(direction Direction, by time.Duration) {
+	p.setImpairment(direction, impairment{delay: by})
 }
 
-// Reset resets every connection; new ones are taken.
-func (w *Way) Reset() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for end := range w.conns {
+// Reset resets all connections. New ones are still accepted.
+func (p *Way) Reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for end := range p.conns {
 		_ = end.SetLinger(0)
 		_ = end.Close()
 	}
 }
 
-// Cut breaks every connection and refuses new ones.
-func (w *Way) Cut() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.listener != nil {
-		_ = w.listener.Close()
-		w.listener = nil
+// Cut closes all connections and refuses new ones until Heal.
+func (p *Way) Cut() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.listener != nil {
+		_ = p.listener.Close()
+		p.listener = nil
 	}
-	for end := range w.conns {
+	for end := range p.conns {
 		_ = end.Close()
 	}
 }
 
-// Heal takes connections again, on the same address, and ends every hold and delay.
-func (w *Way) Heal() error {
-	w.mu.Lock()
-	w.flows = [2]flow{}
-	w.wake()
-	w.mu.Unlock()
-	return w.listen()
+// Heal ends all faults: it accepts connections again, on the same address, and removes
+// every hold and delay.
+func (p *Way) Heal() error {
+	p.mu.Lock()
+	p.impairments = [2]impairment{}
+	p.notifyChanged()
+	p.mu.Unlock()
+	return p.listen()
 }
 
-// Close ends the proxy.
-func (w *Way) Close() {
-	w.Cut()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.closed = true
-	w.wake()
+// Close stops the proxy for good.
+func (p *Way) Close() {
+	p.Cut()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	p.notifyChanged()
 }
--- a/processes/way_listen_test.go
+++ b/processes/way_listen_test.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// TestListenAgainWaitsForThePort: a port that something else still holds for a moment is
-// waited for; a cut way failed to heal with "address already in use" on a busy machine.
-func TestListenAgainWaitsForThePort(t *testing.T) {
+// TestListenRetriesWhilePortIsInUse guards against a failure of Heal on a busy machine
+// with "address already in use": another process can hold the port of a closed listener
+// for a moment, and listening must be retried until it is free.
+func TestListenRetriesWhilePortIsInUse(t *testing.T) {
 	holder, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	time.AfterFunc(100*time.Millisecond, func() { _ = holder.Close() })
-	listener, err := listenAgain(holder.Addr().String())
+	listener, err := listenWithRetry(holder.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
