--- a/orders/fleet_test.go
+++ b/orders/fleet_test.go
@@ -153,7 +153,7 @@
 	t.Helper()
 	for limit := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatalf("not reached: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -230,17 +230,17 @@
 	unavailable bool
 }
 
-func (v *switchableVersions) setUnavailable(out bool) {
+func (v *switchableVersions) setUnavailable(unavailable bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.unavailable = out
+	v.unavailable = unavailable
 }
 
 func (v *switchableVersions) Entry(ctx context.Context, version config.Version) (config.Entry, error) {
 	v.mu.Lock()
-	out := v.unavailable
+	unavailable := v.unavailable
 	v.mu.Unlock()
-	if out {
+	if unavailable {
 		return config.Entry{}, store.ErrUnavailable
 	}
 	return v.Versions.Entry(ctx, version)
--- a/orders/head.go
+++ b/orders/head.go
@@ -10,10 +10,10 @@
 )
 
 // Versions reads the configuration versions in the platform's table.
-// *store.Store is one.
+// *store.Store implements it.
 type Versions interface {
-	// Entry returns one version. The error is *store.UnknownVersionError if
-	// the version does not exist.
+	// Entry returns one version. The error is a *store.UnknownVersionError if the
+	// version does not exist.
 	Entry(ctx context.Context, version config.Version) (config.Entry, error)
 }
 
@@ -46,37 +46,37 @@
 // confirm returns the time until which version counts as the newest. The error is
 // errNewerVersion if a newer one exists, and another error if the table could not
 // be read early enough for the confirmation to be usable.
-func (h *versionConfirmer) confirm(ctx context.Context, version config.Version) (time.Time, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.ttl-h.minLeft)
+func (c *versionConfirmer) confirm(ctx context.Context, version config.Version) (time.Time, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.ttl-c.minLeft)
 	defer cancel()
 	select {
-	case h.readSlot <- struct{}{}:
+	case c.readSlot <- struct{}{}:
 	case <-ctx.Done():
 		return time.Time{}, ctx.Err()
 	}
-	defer func() { <-h.readSlot }()
-	if version <= h.superseded {
+	defer func() { <-c.readSlot }()
+	if version <= c.superseded {
 		return time.Time{}, errNewerVersion
 	}
-	until := h.confirmedAt.Add(h.ttl)
-	if h.confirmedVersion == version && until.Sub(h.now()) >= h.minLeft {
+	until := c.confirmedAt.Add(c.ttl)
+	if c.confirmedVersion == version && until.Sub(c.now()) >= c.minLeft {
 		return until, nil
 	}
-	started := h.now()
-	if err := h.checkNewest(ctx, version); err != nil {
+	started := c.now()
+	if err := c.checkNewest(ctx, version); err != nil {
 		if errors.Is(err, errNewerVersion) {
-			h.superseded = version
+			c.superseded = version
 		}
 		return time.Time{}, err
 	}
-	h.confirmedVersion = version
-	h.confirmedAt = started
-	return started.Add(h.ttl), nil
+	c.confirmedVersion = version
+	c.confirmedAt = started
+	return started.Add(c.ttl), nil
 }
 
 // checkNewest returns nil if the table has no version after the given one.
-func (h *versionConfirmer) checkNewest(ctx context.Context, version config.Version) error {
-	_, err := h.versions.Entry(ctx, version+1)
+func (c *versionConfirmer) checkNewest(ctx context.Context, version config.Version) error {
+	_, err := c.versions.Entry(ctx, version+1)
 	var unknown *store.UnknownVersionError
 	switch {
 	case err == nil:
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -51,7 +51,7 @@
 	eventually(t, "the outdated router is rejected", func() bool { return outdated.refusals(orders.ReasonFenced) > 0 })
 	eventually(t, "the outdated router sees the higher fencing number", func() bool { return outdated.refusals(orders.ReasonBehind) > 1 })
 	if fences := acceptedFences(e); firstOutOfOrder(fences) != 0 {
-		t.Errorf("orders taken with numbers %v", fences)
+		t.Errorf("accepted orders have the fencing numbers %v", fences)
 	}
 	refused := 0
 	for _, entry := range e.Journal().Entries() {
@@ -74,16 +74,16 @@
 		r := f.startRouter(old, nil)
 		eventually(t, "refusals", func() bool { return r.refusals(orders.ReasonNewerVersion) > 2 })
 		if fences := acceptedFences(f.engines[0]); len(fences) != 0 {
-			t.Errorf("checks %v: orders taken with numbers %v", checks, fences)
+			t.Errorf("checks %v: accepted orders have the fencing numbers %v", checks, fences)
 		}
 		r.SetConfig(newest)
 		eventually(t, "newest state", func() bool { return isInState(f.engines[0], "decode", "b") })
 	}
 }
 
-// A router process is paused right before or right after a check and resumes with an
-// outdated version. It must not send an order to a target that ignores fencing
-// numbers.
+// A router process is paused before its permit request, or after its last
+// confirmation, and resumes with an outdated version. It must not send an order to a
+// target that ignores fencing numbers.
 func TestResumedRouterSendsNoOutdatedOrder(t *testing.T) {
 	pausePoints := map[string]func(o *orders.Options, c *movableClock, pause func()){
 		"before the permit": func(o *orders.Options, _ *movableClock, pause func()) {
@@ -122,7 +122,7 @@
 			})
 			eventually(t, "the resumed router sees the higher fencing number", func() bool { return r.refusals(orders.ReasonBehind) > 1 })
 			if fences := acceptedFences(e); slices.Contains(fences, uint64(outdated.Version)) {
-				t.Errorf("orders taken with numbers %v", fences)
+				t.Errorf("accepted orders have the fencing numbers %v", fences)
 			}
 		})
 	}
@@ -142,7 +142,7 @@
 	eventually(t, "state is corrected", func() bool { return isInState(e, "decode", "b") })
 	fences := acceptedFences(e)
 	if firstOutOfOrder(fences) != uint64(old.Version) || fences[len(fences)-1] != uint64(newest.Version) {
-		t.Errorf("orders taken with numbers %v", fences)
+		t.Errorf("accepted orders have the fencing numbers %v", fences)
 	}
 }
 
@@ -158,7 +158,7 @@
 	eventually(t, "checking target", func() bool { return isInState(checking, "decode", "a") })
 	eventually(t, "refusals", func() bool { return r.refusals(orders.ReasonUnconfirmed) > 4 })
 	if fences := append(acceptedFences(ignoring), acceptedFences(fresh)...); len(fences) != 0 {
-		t.Errorf("orders taken during the outage with numbers %v", fences)
+		t.Errorf("orders accepted during the outage have the fencing numbers %v", fences)
 	}
 	table.setUnavailable(false)
 	eventually(t, "the others", func() bool { return isInState(ignoring, "decode", "a") && isInState(fresh, "decode", "a") })
--- a/orders/pass.go
+++ b/orders/pass.go
@@ -14,10 +14,10 @@
 // pass is one check of one target, which sends at most one order. It uses the same
 // configuration version throughout.
 type pass struct {
-	r        *Reconciler
-	target   *targetState
-	snapshot *config.Snapshot
-	declared config.Target
+	reconciler *Reconciler
+	target     *targetState
+	snapshot   *config.Snapshot
+	declared   config.Target
 }
 
 // passResult is the result of a pass.
@@ -32,12 +32,14 @@
 	version config.Version
 }
 
+// execute runs the pass and records its result.
 func (p *pass) execute() {
 	result := p.reconcile()
 	result.version = p.snapshot.Version
-	p.r.passEnded(p.target, result)
+	p.reconciler.passEnded(p.target, result)
 }
 
+// reconcile reads the target's state and sends an order if one is needed.
 func (p *pass) reconcile() passResult {
 	state, err := p.readState()
 	if err != nil {
@@ -50,9 +52,9 @@
 	}
 	switch {
 	case plan.isSettled():
-		return passResult{nextIn: p.r.options.Every}
+		return passResult{nextIn: p.reconciler.options.Every}
 	case !plan.hasOrder:
-		return passResult{reason: ReasonLoading, nextIn: p.r.options.Every}
+		return passResult{reason: ReasonLoading, nextIn: p.reconciler.options.Every}
 	case state.Fence > uint64(p.snapshot.Version):
 		return passResult{reason: ReasonBehind, err: &targets.FencedError{Highest: state.Fence}}
 	}
@@ -60,19 +62,19 @@
 }
 
 func (p *pass) readState() (targets.OrderState, error) {
-	ctx, cancel := context.WithTimeout(p.r.ctx, p.r.options.Timeout)
+	ctx, cancel := context.WithTimeout(p.reconciler.ctx, p.reconciler.options.Timeout)
 	defer cancel()
-	return p.r.options.Client.OrderState(ctx, p.declared.Address)
+	return p.reconciler.options.Client.OrderState(ctx, p.declared.Address)
 }
 
 // updatePermit renews the permit of a model that is being loaded, even if another
 // router requested it, and returns a permit that is no longer needed.
 func (p *pass) updatePermit(plan plan, state targets.OrderState) {
-	ctx, cancel := context.WithTimeout(p.r.ctx, p.r.options.Timeout)
+	ctx, cancel := context.WithTimeout(p.reconciler.ctx, p.reconciler.options.Timeout)
 	defer cancel()
 	if plan.loading != "" {
 		// An error does not stop the loading; the next pass renews the permit again.
-		permit, err := p.r.permits.request(ctx, p.target.name, plan.loading)
+		permit, err := p.reconciler.permits.request(ctx, p.target.name, plan.loading)
 		if err == nil && permit.Granted {
 			p.target.permitModel = plan.loading
 		}
@@ -90,7 +92,7 @@
 	if p.target.permitModel == "" {
 		return
 	}
-	if err := p.r.permits.release(ctx, p.target.name, p.target.permitModel); err == nil {
+	if err := p.reconciler.permits.release(ctx, p.target.name, p.target.permitModel); err == nil {
 		p.target.permitModel = ""
 	}
 }
@@ -111,7 +113,7 @@
 		result = p.sendOrder(order, deadline)
 	}
 	if result.reason != ReasonOrdered && result.reason != ReasonNotTaken && result.reason != ReasonTargetFailed {
-		ctx, cancel := context.WithTimeout(p.r.ctx, p.r.options.Timeout)
+		ctx, cancel := context.WithTimeout(p.reconciler.ctx, p.reconciler.options.Timeout)
 		defer cancel()
 		p.returnPermit(ctx) // The target can't have accepted the order.
 	}
@@ -123,9 +125,9 @@
 // any other target, a recent read must confirm that the version is the newest.
 func (p *pass) sendDeadline(state targets.OrderState) (time.Time, passResult, bool) {
 	if p.declared.ChecksFencing && state.Fence > 0 {
-		return p.r.options.Now().Add(p.r.options.Timeout), passResult{}, true
+		return p.reconciler.options.Now().Add(p.reconciler.options.Timeout), passResult{}, true
 	}
-	until, err := p.r.confirmer.confirm(p.r.ctx, p.snapshot.Version)
+	until, err := p.reconciler.confirmer.confirm(p.reconciler.ctx, p.snapshot.Version)
 	switch {
 	case errors.Is(err, errNewerVersion):
 		return time.Time{}, passResult{reason: ReasonNewerVersion, err: err}, false
@@ -140,9 +142,9 @@
 	if model == "" {
 		return passResult{}, true
 	}
-	ctx, cancel := context.WithTimeout(p.r.ctx, p.r.options.Timeout)
+	ctx, cancel := context.WithTimeout(p.reconciler.ctx, p.reconciler.options.Timeout)
 	defer cancel()
-	granted, wait, err := p.r.permits.take(ctx, p.target.name, model)
+	granted, wait, err := p.reconciler.permits.take(ctx, p.target.name, model)
 	switch {
 	case err != nil:
 		p.target.permitModel = model // The store may have granted it all the same.
@@ -157,17 +159,17 @@
 // sendOrder sends the order unless its deadline has passed, for example because the
 // whole process was paused, or the pass's version is no longer in force here.
 func (p *pass) sendOrder(order targets.Order, deadline time.Time) passResult {
-	if !p.r.isCurrent(p) {
-		return passResult{reason: ReasonNewerVersion, nextIn: p.r.options.Soon}
+	if !p.reconciler.isCurrent(p) {
+		return passResult{reason: ReasonNewerVersion, nextIn: p.reconciler.options.Soon}
 	}
-	left := deadline.Sub(p.r.options.Now())
+	left := deadline.Sub(p.reconciler.options.Now())
 	if left <= 0 {
 		return passResult{reason: ReasonExpired}
 	}
-	ctx, cancel := context.WithTimeout(p.r.ctx, min(left, p.r.options.Timeout))
+	ctx, cancel := context.WithTimeout(p.reconciler.ctx, min(left, p.reconciler.options.Timeout))
 	defer cancel()
-	p.r.counters.sent.Inc()
-	err := p.r.options.Client.GiveOrder(ctx, p.declared.Address, order, uint64(p.snapshot.Version))
+	p.reconciler.counters.sent.Inc()
+	err := p.reconciler.options.Client.GiveOrder(ctx, p.declared.Address, order, uint64(p.snapshot.Version))
 	var fenced *targets.FencedError
 	switch {
 	case errors.As(err, &fenced):
@@ -188,7 +190,7 @@
 	if same {
 		return passResult{reason: ReasonNotTaken}
 	}
-	p.r.options.Log.Info("orders: Order accepted by the target.", "target", p.target.name, "version", uint64(p.snapshot.Version),
+	p.reconciler.options.Log.Info("orders: Order accepted by the target.", "target", p.target.name, "version", uint64(p.snapshot.Version),
 		"load_model", order.LoadModel, "keep_models", order.KeepModels, "role", order.Role)
-	return passResult{reason: ReasonOrdered, nextIn: p.r.options.Soon}
+	return passResult{reason: ReasonOrdered, nextIn: p.reconciler.options.Soon}
 }
--- a/orders/permits.go
+++ b/orders/permits.go
@@ -28,16 +28,16 @@
 	random  func() float64
 	// askSlot is a semaphore held by the goroutine that requests a new permit, so
 	// that one denial applies to all goroutines that wait for it.
-	askSlot chan struct{}
+	requestSlot chan struct{}
 
 	mu           sync.Mutex
 	denialsInRow int
 	// nextAskAt is the time before which no new permit is requested.
-	nextAskAt time.Time
+	nextRequestAt time.Time
 }
 
 func newPermitClient(weights store.Weights, now func() time.Time) *permitClient {
-	return &permitClient{weights: weights, now: now, random: rand.Float64, askSlot: make(chan struct{}, 1)}
+	return &permitClient{weights: weights, now: now, random: rand.Float64, requestSlot: make(chan struct{}, 1)}
 }
 
 // permitID returns the fetch ID for loading a model on a target. It is the same on
@@ -50,12 +50,12 @@
 // take requests a permit. If it is denied, wait is the time until the next request.
 func (p *permitClient) take(ctx context.Context, targetName, model string) (granted bool, wait time.Duration, err error) {
 	select {
-	case p.askSlot <- struct{}{}:
-		defer func() { <-p.askSlot }()
+	case p.requestSlot <- struct{}{}:
+		defer func() { <-p.requestSlot }()
 	case <-ctx.Done():
 		return false, 0, ctx.Err()
 	}
-	if wait := p.nextAskIn(); wait > 0 {
+	if wait := p.nextRequestIn(); wait > 0 {
 		return false, wait, nil
 	}
 	permit, err := p.request(ctx, targetName, model)
@@ -69,15 +69,16 @@
 		return true, 0, nil
 	}
 	wait = p.denialPause(permit.RetryAfter)
-	p.nextAskAt = p.now().Add(wait)
+	p.nextRequestAt = p.now().Add(wait)
 	p.denialsInRow = min(p.denialsInRow+1, maxDenialDoublings)
 	return false, wait, nil
 }
 
-func (p *permitClient) nextAskIn() time.Duration {
+// nextRequestIn returns the time until a new permit may be requested.
+func (p *permitClient) nextRequestIn() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.nextAskAt.Sub(p.now())
+	return p.nextRequestAt.Sub(p.now())
 }
 
 // denialPause returns the pause after a denial. It doubles with each denial in a
--- a/orders/reconciler.go
+++ b/orders/reconciler.go
@@ -109,8 +109,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	states := make(map[string]Reason, len(r.states))
-	for name, e := range r.states {
-		states[name] = e.reason
+	for name, target := range r.states {
+		states[name] = target.reason
 	}
 	return states
 }
@@ -127,15 +127,15 @@
 		if !ok || !declared.Ordered() || declared.Leaving {
 			continue
 		}
-		e := r.states[name]
-		if e == nil {
-			e = &targetState{name: name, dueAt: r.jitteredStart(), reason: ReasonPending}
+		target := r.states[name]
+		if target == nil {
+			target = &targetState{name: name, dueAt: r.jitteredStart(), reason: ReasonPending}
 		}
-		kept[name] = e
+		kept[name] = target
 	}
-	for name, e := range r.states {
-		if kept[name] == nil && !e.busy {
-			r.releasePermit(e)
+	for name, target := range r.states {
+		if kept[name] == nil && !target.busy {
+			r.releasePermit(target)
 		}
 	}
 	r.states = kept
@@ -144,14 +144,14 @@
 // releasePermit returns the permit of a target whose state was dropped while this
 // router still schedules it. Otherwise the target's next scheduler takes over the
 // permit. The caller holds r.mu.
-func (r *Reconciler) releasePermit(e *targetState) {
-	if e.permitModel == "" || !slices.Contains(r.names, e.name) {
+func (r *Reconciler) releasePermit(target *targetState) {
+	if target.permitModel == "" || !slices.Contains(r.names, target.name) {
 		return
 	}
 	_ = r.pool.Go(func() { // An error means that the reconciler is closed.
 		ctx, cancel := context.WithTimeout(r.ctx, r.options.Timeout)
 		defer cancel()
-		_ = r.permits.release(ctx, e.name, e.permitModel) // On an error the permit expires.
+		_ = r.permits.release(ctx, target.name, target.permitModel) // On an error the permit expires.
 	})
 }
 
@@ -159,16 +159,18 @@
 // or that was not in its declared state, since the new version may resolve the
 // reason. The caller holds r.mu.
 func (r *Reconciler) scheduleChanged(before *config.Snapshot) {
-	for name, e := range r.states {
-		if before != nil && e.reason == "" && sameDeclaration(before.Declarations.Targets[name], r.snapshot.Declarations.Targets[name]) {
+	for name, target := range r.states {
+		if before != nil && target.reason == "" && sameDeclaration(before.Declarations.Targets[name], r.snapshot.Declarations.Targets[name]) {
 			continue
 		}
-		e.failedPasses = 0
-		e.recheck = e.busy
-		e.dueAt = r.jitteredStart()
+		target.failedPasses = 0
+		target.recheck = target.busy
+		target.dueAt = r.jitteredStart()
 	}
 }
 
+// sameDeclaration reports whether two declarations have the same address and declared
+// state.
 func sameDeclaration(a, b config.Target) bool {
 	return a.Role == b.Role && a.Address == b.Address && slices.Equal(a.LoadModels, b.LoadModels)
 }
@@ -206,49 +208,49 @@
 func (r *Reconciler) startDue(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	next := r.options.Every
-	for _, e := range r.states {
-		if e.busy {
+	untilNext := r.options.Every
+	for _, target := range r.states {
+		if target.busy {
 			continue
 		}
-		if wait := e.dueAt.Sub(now); wait > 0 {
-			next = min(next, wait)
+		if wait := target.dueAt.Sub(now); wait > 0 {
+			untilNext = min(untilNext, wait)
 			continue
 		}
-		e.busy = true
-		p := &pass{r: r, target: e, snapshot: r.snapshot, declared: r.snapshot.Declarations.Targets[e.name]}
+		target.busy = true
+		p := &pass{reconciler: r, target: target, snapshot: r.snapshot, declared: r.snapshot.Declarations.Targets[target.name]}
 		if err := r.pool.Go(p.execute); err != nil {
-			e.busy = false
+			target.busy = false
 		}
 	}
-	return next
+	return untilNext
 }
 
 // passEnded records the result of a pass and schedules the next one.
-func (r *Reconciler) passEnded(e *targetState, result passResult) {
+func (r *Reconciler) passEnded(target *targetState, result passResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.busy = false
+	target.busy = false
 	r.counters.countRefusal(result.reason)
-	if r.states[e.name] != e {
-		r.releasePermit(e)
+	if r.states[target.name] != target {
+		r.releasePermit(target)
 		return
 	}
-	changed := e.reason != result.reason && (e.reason != ReasonPending || result.reason != "")
-	e.reason = result.reason
+	changed := target.reason != result.reason && (target.reason != ReasonPending || result.reason != "")
+	target.reason = result.reason
 	if result.nextIn > 0 {
-		e.failedPasses = 0
-		e.dueAt = time.Now().Add(jittered(result.nextIn))
+		target.failedPasses = 0
+		target.dueAt = time.Now().Add(jittered(result.nextIn))
 	} else {
-		e.dueAt = time.Now().Add(jittered(r.backoff(e.failedPasses)))
-		e.failedPasses++
+		target.dueAt = time.Now().Add(jittered(r.backoff(target.failedPasses)))
+		target.failedPasses++
 	}
-	if e.recheck {
-		e.recheck = false
-		e.dueAt = time.Now()
+	if target.recheck {
+		target.recheck = false
+		target.dueAt = time.Now()
 	}
 	if changed {
-		r.logResult(e.name, result)
+		r.logResult(target.name, result)
 	}
 	r.wakeLoop()
 }
@@ -266,6 +268,7 @@
 	return pause
 }
 
+// jittered changes a pause by a random fraction of at most intervalJitterRatio.
 func jittered(pause time.Duration) time.Duration {
 	return time.Duration(float64(pause) * (1 + intervalJitterRatio*(2*rand.Float64()-1)))
 }
--- a/peer/call.go
+++ b/peer/call.go
@@ -47,7 +47,7 @@
 	maxCallOverheadBytes = 1 << 10
 )
 
-// call makes a call, and retries it while its session ends before it was sent.
+// call makes a call, and retries it if its session ended before any of it was sent.
 func (l *link) call(ctx context.Context, method string, payload []byte) ([]byte, error) {
 	if len(payload) > l.mesh.options.MaxCallBytes {
 		return nil, ErrCallTooLarge
@@ -108,6 +108,7 @@
 	}
 }
 
+// awaitStart waits until the session's streams can be used.
 func (s *session) awaitStart(ctx context.Context) error {
 	select {
 	case <-s.started:
@@ -154,6 +155,7 @@
 	})
 }
 
+// timeLeft returns the time until the context's deadline.
 func timeLeft(ctx context.Context) time.Duration {
 	deadline, _ := ctx.Deadline()
 	return time.Until(deadline)
--- a/peer/lazy.go
+++ b/peer/lazy.go
@@ -6,8 +6,8 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// MaxDeferTime is the longest time for which deferrable messages are held back, to
-// be sent with others: a flush costs far more than a message.
+// MaxDeferTime is the longest time for which deferrable messages are held back so
+// that they are sent together with others: a flush costs far more than a message.
 const LazyWait = 10 * time.Millisecond
 
 // CanDefer reports whether sending a message may be deferred because nothing waits
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -90,6 +90,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.GetTimeLeft())*time.Microsecond)
 	defer cancel()
 	watched := s.mesh.spawn(func() {
+		// The calling side sends no more data, so Read returns when it closes the stream.
 		_, _ = stream.Read(make([]byte, 1))
 		cancel()
 	})
