--- a/peer/fault_test.go
+++ b/peer/fault_test.go
@@ -22,12 +22,12 @@
 // proxyTo starts a proxy that forwards connections to an address.
 func proxyTo(t testing.TB, address string) *processes.Way {
 	t.Helper()
-	way, err := processes.NewWay("to "+address, "127.0.0.1", address)
+	proxy, err := processes.NewWay("to "+address, "127.0.0.1", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(way.Close)
-	return way
+	t.Cleanup(proxy.Close)
+	return proxy
 }
 
 // sendUntil sends a message repeatedly until the condition holds, since delivery is
@@ -42,13 +42,13 @@
 
 // connectThroughProxies starts a and b, each of which dials the other through a
 // proxy.
-func connectThroughProxies(t testing.TB) (a, b node, toB, toA *processes.Way) {
+func connectThroughProxies(t testing.TB) (a, b node, proxyToB, proxyToA *processes.Way) {
 	a, b = start(t, "a", 1, shortTimeouts), start(t, "b", 2, shortTimeouts)
-	toB, toA = proxyTo(t, b.Address()), proxyTo(t, a.Address())
-	a.SetPeers(map[control.NodeID]string{"b": toB.Address()})
-	b.SetPeers(map[control.NodeID]string{"a": toA.Address()})
+	proxyToB, proxyToA = proxyTo(t, b.Address()), proxyTo(t, a.Address())
+	a.SetPeers(map[control.NodeID]string{"b": proxyToB.Address()})
+	b.SetPeers(map[control.NodeID]string{"a": proxyToA.Address()})
 	sendUntil(t, "session", a, "b", func() bool { return len(b.received("a")) > 0 })
-	return a, b, toB, toA
+	return a, b, proxyToB, proxyToA
 }
 
 // isConnected reports whether the last state that the handler was notified of is
@@ -59,34 +59,34 @@
 }
 
 func TestLinkStalledInBothDirections(t *testing.T) {
-	a, b, toB, toA := connectThroughProxies(t)
-	for _, proxy := range []*processes.Way{toB, toA} {
+	a, b, proxyToB, proxyToA := connectThroughProxies(t)
+	for _, proxy := range []*processes.Way{proxyToB, proxyToA} {
 		proxy.Hold(processes.Forth)
 		proxy.Hold(processes.Back)
 	}
-	eventually(t, "both to notice", func() bool { return !isConnected(a) && !isConnected(b) })
+	eventually(t, "both to detect the stall", func() bool { return !isConnected(a) && !isConnected(b) })
 	if a.counterValue(`walnut_peer_sessions_ended_total{reason="no-answer"}`) == 0 &&
 		b.counterValue(`walnut_peer_sessions_ended_total{reason="no-answer"}`) == 0 {
-		t.Error("no session ended for want of an answer")
+		t.Error("no session ended because a ping was not answered")
 	}
-	sendUntil(t, "a drop", a, "b", func() bool {
+	sendUntil(t, "a dropped message", a, "b", func() bool {
 		return a.counterValue(`walnut_peer_dropped_total{reason="unreachable"}`) > 0
 	})
-	for _, proxy := range []*processes.Way{toB, toA} {
+	for _, proxy := range []*processes.Way{proxyToB, proxyToA} {
 		if err := proxy.Heal(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	before := len(b.received("a"))
-	sendUntil(t, "messages after the cut", a, "b", func() bool { return len(b.received("a")) > before })
+	sendUntil(t, "messages after the link is healed", a, "b", func() bool { return len(b.received("a")) > before })
 	eventually(t, "both to be connected", func() bool { return isConnected(a) && isConnected(b) })
 }
 
 // TestLinkStalledInOneDirection stalls what a sends to b on the connections that
 // a dialled. The session must move to a connection that b dialled.
 func TestLinkStalledInOneDirection(t *testing.T) {
-	a, b, toB, _ := connectThroughProxies(t)
-	toB.Hold(processes.Forth)
+	a, b, proxyToB, _ := connectThroughProxies(t)
+	proxyToB.Hold(processes.Forth)
 	before := len(a.received("b"))
 	sendUntil(t, "b's messages on a new session", b, "a", func() bool {
 		return b.counterValue(`walnut_peer_sessions_opened_total{role="dialled"}`) > 0 && len(a.received("b")) > before
@@ -105,8 +105,8 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	toB := proxyTo(t, b.Address())
-	a.SetPeers(map[control.NodeID]string{"b": toB.Address()})
+	proxyToB := proxyTo(t, b.Address())
+	a.SetPeers(map[control.NodeID]string{"b": proxyToB.Address()})
 	failed := make(chan error)
 	go func() {
 		_, err := a.Call(context.Background(), "b", "wait", nil)
@@ -117,7 +117,7 @@
 	case err := <-failed:
 		t.Fatalf("call did not reach b: %v", err)
 	}
-	toB.Hold(processes.Back)
+	proxyToB.Hold(processes.Back)
 	if err := <-failed; !errors.Is(err, ErrSessionEnded) {
 		t.Errorf("call ended with %v", err)
 	}
@@ -171,7 +171,7 @@
 	a.Send("b", heartbeat(1))
 	eventually(t, "first message", func() bool { return len(before.received("a")) == 1 })
 	before.Close()
-	eventually(t, "a to hear that b is down", func() bool { return !isConnected(a) })
+	eventually(t, "a to be notified that b is down", func() bool { return !isConnected(a) })
 	if got := a.counterValue(`walnut_peer_sessions_ended_total{reason="shutdown"}`); got != 1 {
 		t.Errorf("%d sessions ended by shutdown", got)
 	}
@@ -190,7 +190,7 @@
 	eventually(t, "message on a new session", func() bool { return len(b.received("a")) == 2 })
 	for _, n := range []node{a, b} {
 		if changes := n.changes(); len(changes) != 1 || !changes[0].connected {
-			t.Errorf("%s was told %v", n.self.Node, changes)
+			t.Errorf("the handler of %s was notified of %v", n.self.Node, changes)
 		}
 	}
 }
--- a/peer/raw_test.go
+++ b/peer/raw_test.go
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	if refused := dialRaw(t, a.Address()).hello(t, good).GetRefused(); refused != 0 {
-		t.Errorf("a good hello after the bad ones: %s", refused)
+		t.Errorf("a valid hello after the invalid ones: %s", refused)
 	}
 }
 
@@ -145,7 +145,7 @@
 	restarted.control(t)
 	eventually(t, "down and up", func() bool { return len(a.changes()) == 3 })
 	if changes := a.changes(); changes[1].connected || !changes[2].connected {
-		t.Errorf("a was told %v", changes)
+		t.Errorf("the handler was notified of %v", changes)
 	}
 	if got := a.counterValue(`walnut_peer_sessions_ended_total{reason="restarted"}`); got != 1 {
 		t.Errorf("%d sessions ended by a restart", got)
@@ -235,7 +235,7 @@
 	a.SetPeers(map[control.NodeID]string{"b": other.Addr().String()})
 	a.Send("b", heartbeat(1))
 	other.accept(t).answerHello(t, "b", 2)
-	sendUntil(t, "a to notice", a, "b", func() bool {
+	sendUntil(t, "a to end the stalled session", a, "b", func() bool {
 		for range 1000 {
 			a.Send("b", heartbeat(1))
 		}
@@ -265,8 +265,8 @@
 	conn.control(t)
 	eventually(t, "the session", func() bool { return isConnected(a) })
 	conn.Close()
-	eventually(t, "the node to be forgotten", func() bool { return a.findLink("b") == nil })
+	eventually(t, "the node to be removed", func() bool { return a.findLink("b") == nil })
 	if isConnected(a) {
-		t.Errorf("a was told %v", a.changes())
+		t.Errorf("the handler was notified of %v", a.changes())
 	}
 }
--- a/peer/tls_test.go
+++ b/peer/tls_test.go
@@ -62,12 +62,12 @@
 	}
 	a.SetPeers(map[control.NodeID]string{"b": c.Address()})
 	if _, err := a.Call(context.Background(), "b", "echo", nil); !errors.Is(err, ErrUnreachable) {
-		t.Errorf("a took c for b: %v", err)
+		t.Errorf("a accepted c as b: %v", err)
 	}
 	if got := a.counterValue(`walnut_peer_dial_failures_total{reason="identity"}`); got == 0 {
 		t.Error("a dialled c as b")
 	}
-	eventually(t, "a to hear that b is down", func() bool {
+	eventually(t, "a to be notified that b is down", func() bool {
 		changes := a.changes()
 		return len(changes) == 1 && changes[0] == (stateChange{"b", false})
 	})
--- a/peer/tlsfiles/tlsfiles_test.go
+++ b/peer/tlsfiles/tlsfiles_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	if _, err := tlsfiles.Load(a.CertFile, b.KeyFile, a.CAFile); err == nil {
-		t.Error("a key of another certificate was taken")
+		t.Error("a key of another certificate was accepted")
 	}
 	if _, err := tlsfiles.Load(a.CertFile, a.KeyFile, empty); !errors.Is(err, tlsfiles.ErrNoCertificate) {
 		t.Errorf("empty CA file: %v", err)
--- a/peer/wire/wire_test.go
+++ b/peer/wire/wire_test.go
@@ -135,7 +135,7 @@
 			t.Errorf("%T:\n got %+v\nwant %+v", message, got, want)
 		}
 		if !slices.Contains(Kinds, KindOf(message)) {
-			t.Errorf("%T has no name for counters", message)
+			t.Errorf("%T has a kind that is not in Kinds", message)
 		}
 	}
 	declared := declaredMessageTypes(t)
@@ -208,7 +208,7 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(got, batch) {
-				t.Fatalf("a batch of %d arrived changed", len(batch))
+				t.Fatalf("a batch of %d messages changed in the round trip", len(batch))
 			}
 		}
 	})
