--- a/orders/reconciler.go
+++ b/orders/reconciler.go
@@ -108,11 +108,11 @@
 func (r *Reconciler) States() map[string]Reason {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	states := make(map[string]Reason, len(r.states))
+	reasons := make(map[string]Reason, len(r.states))
 	for name, target := range r.states {
-		states[name] = target.reason
+		reasons[name] = target.reason
 	}
-	return states
+	return reasons
 }
 
 // updateStates creates states for the targets that must be checked and drops those
