--- a/bench/capacity/meter.go
+++ b/bench/capacity/meter.go
@@ -52,7 +52,7 @@
 	}
 	for _, message := range messages {
 		size := flushBytes / float64(len(messages))
-		frame, _, err := encoder.Frame([]control.Message{message})
+		frame, _, err := encoder.EncodeFrame([]control.Message{message})
 		if err != nil {
 			panic(err) // every message of the machine has a codec
 		}
--- a/bench/capacity/node.go
+++ b/bench/capacity/node.go
@@ -216,12 +216,12 @@
 func (n *node) write(to control.NodeID, messages []control.Message) {
 	held := n.held[to]
 	n.held[to] = append(held, messages...)
-	urgent := slices.ContainsFunc(messages, func(m control.Message) bool { return !peer.CanWait(m) })
+	urgent := slices.ContainsFunc(messages, func(m control.Message) bool { return !peer.CanDefer(m) })
 	switch {
 	case urgent:
 		n.flush(to)
 	case len(held) == 0:
-		n.after(peer.LazyWait, func() { n.flush(to) })
+		n.after(peer.MaxDeferTime, func() { n.flush(to) })
 	}
 }
 
--- a/managedtest/endintime_test.go
+++ b/managedtest/endintime_test.go
@@ -37,12 +37,12 @@
 }
 
 // hangingFleet is two routers before targets that do not answer in time.
-func hangingFleet(t *testing.T, h hang) (f *fleet, ways []*processes.Way) {
-	_, ip := processes.NewIPs()
+func hangingFleet(t *testing.T, h hang) (f *fleet, ways []*processes.Proxy) {
+	_, ip := processes.NewLoopbackIPs()
 	behindWay := func(options managed.ReplicaOptions) managed.ReplicaOptions {
 		options.ReplicaFaults = h.faults
 		options.Advertise = func(listens string) (string, error) {
-			way, err := processes.NewWay(options.ID, ip, listens)
+			way, err := processes.NewProxy(options.ID, ip, listens)
 			if err != nil {
 				return "", err
 			}
@@ -55,7 +55,7 @@
 	f = startFleet(t, 2, behindWay(wide("o1")), behindWay(wide("o2")), behindWay(gen("g1")), behindWay(gen("g2")))
 	if h.silent {
 		for _, way := range ways {
-			way.Hold(processes.Back)
+			way.Hold(processes.Downstream)
 		}
 	}
 	return f, ways
--- a/orders/fleet_test.go
+++ b/orders/fleet_test.go
@@ -122,16 +122,16 @@
 	f.t.Helper()
 	set := metrics.NewSet()
 	options := orders.Options{
-		Client:     f.client,
-		Versions:   f.versions,
-		Weights:    f.weights,
-		Every:      20 * time.Millisecond,
-		Soon:       5 * time.Millisecond,
-		MaxBackoff: 50 * time.Millisecond,
-		Metrics:    set,
+		Client:        f.client,
+		Versions:      f.versions,
+		Weights:       f.weights,
+		CheckInterval: 20 * time.Millisecond,
+		RecheckDelay:  5 * time.Millisecond,
+		MaxBackoff:    50 * time.Millisecond,
+		Metrics:       set,
 	}
 	// Most tests do not test these timeouts: they must not expire on a busy machine.
-	options.ConfirmHolds = testTimeout
+	options.ConfirmationTTL = testTimeout
 	options.Timeout = testTimeout / 3
 	if edit != nil {
 		edit(&options)
--- a/orders/options.go
+++ b/orders/options.go
@@ -13,12 +13,12 @@
 
 // Defaults for the fields of Options.
 const (
-	DefaultEvery        = 2 * time.Second
-	DefaultSoon         = 250 * time.Millisecond
-	DefaultConfirmHolds = time.Second
-	DefaultTimeout      = 400 * time.Millisecond
-	DefaultMaxBackoff   = 30 * time.Second
-	DefaultWorkers      = 32
+	DefaultCheckInterval   = 2 * time.Second
+	DefaultRecheckDelay    = 250 * time.Millisecond
+	DefaultConfirmationTTL = time.Second
+	DefaultTimeout         = 400 * time.Millisecond
+	DefaultMaxBackoff      = 30 * time.Second
+	DefaultWorkers         = 32
 )
 
 // intervalJitterRatio is the fraction of a pause by which jitter shortens or
@@ -46,17 +46,17 @@
 	Weights store.Weights
 	// CheckInterval is the pause between two checks of a target that is in its
 	// declared state or is loading. Default 2 s.
-	Every time.Duration
+	CheckInterval time.Duration
 	// RecheckDelay is the pause after an order, the first pause after a failure,
 	// and the time over which the first checks of targets are spread.
 	// Default 250 ms.
-	Soon time.Duration
+	RecheckDelay time.Duration
 	// MaxBackoff bounds the pause after failures in a row. Default 30 s.
 	MaxBackoff time.Duration
 	// ConfirmationTTL is the time after the start of a read of the table within
 	// which an order may be sent to a target that ignores fencing numbers.
 	// Default 1 s.
-	ConfirmHolds time.Duration
+	ConfirmationTTL time.Duration
 	// Timeout bounds each call to a target or to the weight store. It is at most
 	// half of ConfirmationTTL. Default 400 ms.
 	Timeout time.Duration
@@ -71,13 +71,13 @@
 }
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.Every, DefaultEvery)
-	setDefault(&o.Soon, DefaultSoon)
+	setDefault(&o.CheckInterval, DefaultCheckInterval)
+	setDefault(&o.RecheckDelay, DefaultRecheckDelay)
 	setDefault(&o.MaxBackoff, DefaultMaxBackoff)
-	setDefault(&o.ConfirmHolds, DefaultConfirmHolds)
+	setDefault(&o.ConfirmationTTL, DefaultConfirmationTTL)
 	setDefault(&o.Timeout, DefaultTimeout)
 	setDefault(&o.Workers, DefaultWorkers)
-	o.Timeout = min(o.Timeout, o.ConfirmHolds/2)
+	o.Timeout = min(o.Timeout, o.ConfirmationTTL/2)
 	if o.Now == nil {
 		o.Now = time.Now
 	}
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -22,7 +22,7 @@
 	eventually(t, "next state", func() bool { return isInState(e, "decode", "b@2/tone", "c") })
 	e.CrashNow()
 	eventually(t, "state after a crash", func() bool { return isInState(e, "decode", "b@2/tone", "c") })
-	eventually(t, "settled", func() bool { return r.States()[f.names[0]] == "" })
+	eventually(t, "settled", func() bool { return r.Reasons()[f.names[0]] == "" })
 	loads := 0
 	for _, entry := range e.Journal().Entries() {
 		if entry.Event == journal.LoadStarted {
@@ -91,7 +91,7 @@
 		},
 		"after the last confirmation": func(o *orders.Options, c *movableClock, pause func()) {
 			// The first confirmation expires before the second, which must read again.
-			expireConfirmation := func() { c.advance(2 * o.ConfirmHolds) }
+			expireConfirmation := func() { c.advance(2 * o.ConfirmationTTL) }
 			o.Versions = &hookedVersions{Versions: o.Versions, after: map[int]func(){1: expireConfirmation, 2: pause}}
 		},
 	}
@@ -137,7 +137,7 @@
 	newest := f.declareStates("decode", "b")
 	r := f.startRouter(newest, nil)
 	eventually(t, "newest state", func() bool { return isInState(e, "decode", "b") })
-	eventually(t, "settled", func() bool { return r.States()[f.names[0]] == "" })
+	eventually(t, "settled", func() bool { return r.Reasons()[f.names[0]] == "" })
 	f.giveOrderDirectly(0, targets.Order{LoadModel: "a", KeepModels: []string{"a"}, Role: "prefill"}, uint64(old.Version))
 	eventually(t, "state is corrected", func() bool { return isInState(e, "decode", "b") })
 	fences := acceptedFences(e)
--- a/orders/pass.go
+++ b/orders/pass.go
@@ -52,9 +52,9 @@
 	}
 	switch {
 	case plan.isSettled():
-		return passResult{nextIn: p.reconciler.options.Every}
+		return passResult{nextIn: p.reconciler.options.CheckInterval}
 	case !plan.hasOrder:
-		return passResult{reason: ReasonLoading, nextIn: p.reconciler.options.Every}
+		return passResult{reason: ReasonLoading, nextIn: p.reconciler.options.CheckInterval}
 	case state.Fence > uint64(p.snapshot.Version):
 		return passResult{reason: ReasonBehind, err: &targets.FencedError{Highest: state.Fence}}
 	}
@@ -160,7 +160,7 @@
 // whole process was paused, or the pass's version is no longer in force here.
 func (p *pass) sendOrder(order targets.Order, deadline time.Time) passResult {
 	if !p.reconciler.isCurrent(p) {
-		return passResult{reason: ReasonNewerVersion, nextIn: p.reconciler.options.Soon}
+		return passResult{reason: ReasonNewerVersion, nextIn: p.reconciler.options.RecheckDelay}
 	}
 	left := deadline.Sub(p.reconciler.options.Now())
 	if left <= 0 {
@@ -192,5 +192,5 @@
 	}
 	p.reconciler.options.Log.Info("orders: Order accepted by the target.", "target", p.target.name, "version", uint64(p.snapshot.Version),
 		"load_model", order.LoadModel, "keep_models", order.KeepModels, "role", order.Role)
-	return passResult{reason: ReasonOrdered, nextIn: p.reconciler.options.Soon}
+	return passResult{reason: ReasonOrdered, nextIn: p.reconciler.options.RecheckDelay}
 }
--- a/orders/reconciler.go
+++ b/orders/reconciler.go
@@ -59,7 +59,7 @@
 	r := &Reconciler{
 		options:   options,
 		counters:  newCounters(options.Metrics),
-		confirmer: newVersionConfirmer(options.Versions, options.Now, options.ConfirmHolds, options.Timeout),
+		confirmer: newVersionConfirmer(options.Versions, options.Now, options.ConfirmationTTL, options.Timeout),
 		permits:   newPermitClient(options.Weights, options.Now),
 		pool:      pond.NewPool(options.Workers),
 		ctx:       ctx,
@@ -105,7 +105,7 @@
 
 // Reasons returns, for each target with a declared state that this router schedules,
 // the reason why the target is not in that state. The reason is empty if it is.
-func (r *Reconciler) States() map[string]Reason {
+func (r *Reconciler) Reasons() map[string]Reason {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	reasons := make(map[string]Reason, len(r.states))
@@ -178,7 +178,7 @@
 // jitteredStart returns a random time within Options.RecheckDelay from now, which
 // spreads the checks of many targets.
 func (r *Reconciler) jitteredStart() time.Time {
-	return time.Now().Add(time.Duration(rand.Float64() * float64(r.options.Soon)))
+	return time.Now().Add(time.Duration(rand.Float64() * float64(r.options.RecheckDelay)))
 }
 
 func (r *Reconciler) wakeLoop() {
@@ -208,7 +208,7 @@
 func (r *Reconciler) startDue(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	untilNext := r.options.Every
+	untilNext := r.options.CheckInterval
 	for _, target := range r.states {
 		if target.busy {
 			continue
@@ -258,7 +258,7 @@
 // backoff returns the pause after a failure that follows a number of earlier failures
 // in a row.
 func (r *Reconciler) backoff(earlierFailures int) time.Duration {
-	pause := r.options.Soon
+	pause := r.options.RecheckDelay
 	for range earlierFailures {
 		pause *= 2
 		if pause >= r.options.MaxBackoff {
--- a/peer/batch.go
+++ b/peer/batch.go
@@ -47,7 +47,7 @@
 func (s *session) writeLoop() {
 	encoder := wire.NewEncoder(s.mesh.self, s.remote, s.mesh.counters.observer(directionOut))
 	var buffer bytes.Buffer
-	limiter := rate.NewLimiter(rate.Every(s.mesh.options.FlushEvery), maxFlushBurst)
+	limiter := rate.NewLimiter(rate.Every(s.mesh.options.FlushInterval), maxFlushBurst)
 	signal(s.pending) // messages may have been queued before the session opened
 	for s.awaitBatch(limiter) {
 		messages := s.link.takeQueue(s)
@@ -70,7 +70,7 @@
 		return false
 	}
 	reservation := limiter.Reserve()
-	wait := min(reservation.Delay(), s.mesh.options.FlushEvery)
+	wait := min(reservation.Delay(), s.mesh.options.FlushInterval)
 	if wait <= 0 {
 		return true
 	}
@@ -89,9 +89,9 @@
 // encode appends frames with the messages to the buffer. Messages that can't be
 // encoded are dropped.
 func (s *session) encode(encoder *wire.Encoder, buffer *bytes.Buffer, messages []control.Message) {
-	messages = wire.Split(messages)
+	messages = wire.SplitServiceCounts(messages)
 	for len(messages) > 0 {
-		frame, taken, err := encoder.Frame(messages)
+		frame, taken, err := encoder.EncodeFrame(messages)
 		if err != nil {
 			s.mesh.counters.countDropped(dropNotEncodable, 1)
 			s.mesh.log.Error("peer: Encoding a message failed; it is dropped.", "node", s.remote.Node, "error", err)
@@ -184,7 +184,7 @@
 	if err != nil {
 		return nil, s.readErrorReason(err)
 	}
-	messages, err := decoder.Messages(frame)
+	messages, err := decoder.DecodeFrame(frame)
 	if err != nil {
 		s.mesh.log.Warn("peer: Invalid frame received.", "node", s.remote.Node, "error", err)
 		return nil, endGarbage
--- a/peer/fault_test.go
+++ b/peer/fault_test.go
@@ -20,9 +20,9 @@
 }
 
 // proxyTo starts a proxy that forwards connections to an address.
-func proxyTo(t testing.TB, address string) *processes.Way {
+func proxyTo(t testing.TB, address string) *processes.Proxy {
 	t.Helper()
-	proxy, err := processes.NewWay("to "+address, "127.0.0.1", address)
+	proxy, err := processes.NewProxy("to "+address, "127.0.0.1", address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 
 // connectThroughProxies starts a and b, each of which dials the other through a
 // proxy.
-func connectThroughProxies(t testing.TB) (a, b node, proxyToB, proxyToA *processes.Way) {
+func connectThroughProxies(t testing.TB) (a, b node, proxyToB, proxyToA *processes.Proxy) {
 	a, b = start(t, "a", 1, shortTimeouts), start(t, "b", 2, shortTimeouts)
 	proxyToB, proxyToA = proxyTo(t, b.Address()), proxyTo(t, a.Address())
 	a.SetPeers(map[control.NodeID]string{"b": proxyToB.Address()})
@@ -60,9 +60,9 @@
 
 func TestLinkStalledInBothDirections(t *testing.T) {
 	a, b, proxyToB, proxyToA := connectThroughProxies(t)
-	for _, proxy := range []*processes.Way{proxyToB, proxyToA} {
-		proxy.Hold(processes.Forth)
-		proxy.Hold(processes.Back)
+	for _, proxy := range []*processes.Proxy{proxyToB, proxyToA} {
+		proxy.Hold(processes.Upstream)
+		proxy.Hold(processes.Downstream)
 	}
 	eventually(t, "both to detect the stall", func() bool { return !isConnected(a) && !isConnected(b) })
 	if a.counterValue(`walnut_peer_sessions_ended_total{reason="no-answer"}`) == 0 &&
@@ -72,7 +72,7 @@
 	sendUntil(t, "a dropped message", a, "b", func() bool {
 		return a.counterValue(`walnut_peer_dropped_total{reason="unreachable"}`) > 0
 	})
-	for _, proxy := range []*processes.Way{proxyToB, proxyToA} {
+	for _, proxy := range []*processes.Proxy{proxyToB, proxyToA} {
 		if err := proxy.Heal(); err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 // a dialled. The session must move to a connection that b dialled.
 func TestLinkStalledInOneDirection(t *testing.T) {
 	a, b, proxyToB, _ := connectThroughProxies(t)
-	proxyToB.Hold(processes.Forth)
+	proxyToB.Hold(processes.Upstream)
 	before := len(a.received("b"))
 	sendUntil(t, "b's messages on a new session", b, "a", func() bool {
 		return b.counterValue(`walnut_peer_sessions_opened_total{role="dialled"}`) > 0 && len(a.received("b")) > before
@@ -117,7 +117,7 @@
 	case err := <-failed:
 		t.Fatalf("call did not reach b: %v", err)
 	}
-	proxyToB.Hold(processes.Back)
+	proxyToB.Hold(processes.Downstream)
 	if err := <-failed; !errors.Is(err, ErrSessionEnded) {
 		t.Errorf("call ended with %v", err)
 	}
@@ -128,7 +128,7 @@
 func TestQueueToUnresponsiveNodeIsBounded(t *testing.T) {
 	const limit = 100
 	a := start(t, "a", 1, func(o *Options) {
-		o.QueueMessages = limit
+		o.MaxQueuedMessages = limit
 		o.DialTimeout = testTimeout
 	})
 	other := listenRaw(t)
@@ -180,7 +180,7 @@
 }
 
 func TestIdleSessionIsClosedWithoutNotice(t *testing.T) {
-	idle := func(o *Options) { o.IdleAfter = 200 * time.Millisecond }
+	idle := func(o *Options) { o.IdleTimeout = 200 * time.Millisecond }
 	a, b := start(t, "a", 1, idle), start(t, "b", 2, idle)
 	setAllPeers(a, b)
 	a.Send("b", heartbeat(1))
--- a/peer/lazy.go
+++ b/peer/lazy.go
@@ -8,11 +8,11 @@
 
 // MaxDeferTime is the longest time for which deferrable messages are held back so
 // that they are sent together with others: a flush costs far more than a message.
-const LazyWait = 10 * time.Millisecond
+const MaxDeferTime = 10 * time.Millisecond
 
 // CanDefer reports whether sending a message may be deferred because nothing waits
 // for it: acknowledgements, service counts and reports that a run is in progress.
-func CanWait(message control.Message) bool {
+func CanDefer(message control.Message) bool {
 	switch m := message.(type) {
 	case control.ReportAck, control.ServiceReport, control.ServiceTotals:
 		return true
@@ -25,7 +25,7 @@
 
 func allDeferrable(messages []control.Message) bool {
 	for _, message := range messages {
-		if !CanWait(message) {
+		if !CanDefer(message) {
 			return false
 		}
 	}
@@ -39,7 +39,7 @@
 		return
 	}
 	l.flushScheduled = true
-	time.AfterFunc(LazyWait, l.flushDeferred)
+	time.AfterFunc(MaxDeferTime, l.flushDeferred)
 }
 
 // flushDeferred wakes the session's writer if messages are queued.
--- a/peer/link.go
+++ b/peer/link.go
@@ -78,7 +78,7 @@
 		l.mesh.counters.countDropped(reason, len(messages))
 		return
 	}
-	free := max(0, l.mesh.options.QueueMessages-len(l.queue))
+	free := max(0, l.mesh.options.MaxQueuedMessages-len(l.queue))
 	if len(messages) > free {
 		l.mesh.counters.countDropped(dropQueueFull, len(messages)-free)
 		messages = messages[:free]
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -245,7 +245,7 @@
 
 // checkLoop checks for silent and idle sessions until Close.
 func (m *Mesh) checkLoop() {
-	period := min(maxCheckInterval, m.options.KeepAliveAfter/2, m.options.IdleAfter/2)
+	period := min(maxCheckInterval, m.options.KeepAliveAfter/2, m.options.IdleTimeout/2)
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -49,7 +49,7 @@
 	r.states = append(r.states, stateChange{node, connected})
 }
 
-func (r *recorder) Called(ctx context.Context, _ control.NodeID, method string, payload []byte) ([]byte, error) {
+func (r *recorder) HandleCall(ctx context.Context, _ control.NodeID, method string, payload []byte) ([]byte, error) {
 	if r.answer == nil {
 		return append([]byte(method+" "), payload...), nil
 	}
--- a/peer/options.go
+++ b/peer/options.go
@@ -34,11 +34,11 @@
 	Metrics *metrics.Set
 
 	// MaxQueuedMessages bounds the messages queued for one node. Default 4096.
-	QueueMessages int
+	MaxQueuedMessages int
 	// FlushInterval is the mean time between two writes to one node under load,
 	// and the longest time that a message waits to be batched with others.
 	// Short bursts of writes are not delayed. Default 1 ms.
-	FlushEvery time.Duration
+	FlushInterval time.Duration
 	// DialTimeout bounds connecting, the TLS handshake and the hello. Default 2 s.
 	DialTimeout time.Duration
 	// WriteTimeout bounds a write and the wait for the answer to a ping. Default 3 s.
@@ -48,7 +48,7 @@
 	KeepAliveAfter time.Duration
 	// IdleTimeout is the time without a message or call after which a session
 	// is closed. Default 60 s.
-	IdleAfter time.Duration
+	IdleTimeout time.Duration
 	// RetryMin and RetryMax bound the back-off between failed dials, before
 	// jitter. Defaults 50 ms and 2 s.
 	RetryMin time.Duration
@@ -88,7 +88,7 @@
 
 // Validate returns the error that New would return for these options, except
 // for an address that is in use.
-func (o Options) Check() error { return o.complete() }
+func (o Options) Validate() error { return o.complete() }
 
 // complete validates the options and sets the defaults.
 func (o *Options) complete() error {
@@ -104,12 +104,12 @@
 	if o.Metrics == nil {
 		o.Metrics = metrics.GetDefaultSet()
 	}
-	o.QueueMessages = orDefault(o.QueueMessages, defaultMaxQueuedMessages)
-	o.FlushEvery = orDefault(o.FlushEvery, defaultFlushInterval)
+	o.MaxQueuedMessages = orDefault(o.MaxQueuedMessages, defaultMaxQueuedMessages)
+	o.FlushInterval = orDefault(o.FlushInterval, defaultFlushInterval)
 	o.DialTimeout = orDefault(o.DialTimeout, defaultDialTimeout)
 	o.WriteTimeout = orDefault(o.WriteTimeout, defaultWriteTimeout)
 	o.KeepAliveAfter = orDefault(o.KeepAliveAfter, defaultKeepAliveAfter)
-	o.IdleAfter = orDefault(o.IdleAfter, defaultIdleTimeout)
+	o.IdleTimeout = orDefault(o.IdleTimeout, defaultIdleTimeout)
 	o.RetryMin = orDefault(o.RetryMin, defaultRetryMin)
 	o.RetryMax = orDefault(o.RetryMax, defaultRetryMax)
 	o.CallTimeout = orDefault(o.CallTimeout, defaultCallTimeout)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -36,5 +36,5 @@
 	// next message opens a new one.
 	StateChanged(node control.NodeID, connected bool)
 	// HandleCall answers a Call. It may block; each call has its own goroutine.
-	Called(ctx context.Context, from control.NodeID, method string, payload []byte) ([]byte, error)
+	HandleCall(ctx context.Context, from control.NodeID, method string, payload []byte) ([]byte, error)
 }
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -97,7 +97,7 @@
 	if watched {
 		defer func() { _ = stream.SetReadDeadline(time.Now()) }()
 	}
-	return s.mesh.handler.Called(ctx, s.remote.Node, request.GetMethod(), request.GetPayload())
+	return s.mesh.handler.HandleCall(ctx, s.remote.Node, request.GetMethod(), request.GetPayload())
 }
 
 // writeMessage writes a message prefixed with its length.
--- a/peer/session.go
+++ b/peer/session.go
@@ -175,7 +175,7 @@
 	silentFor := now.Sub(s.mesh.startedAt) - time.Duration(s.heardAt.Load())
 	idleFor := now.Sub(s.mesh.startedAt) - time.Duration(s.usedAt.Load())
 	switch {
-	case idleFor >= s.mesh.options.IdleAfter && s.openCalls.Load() == 0:
+	case idleFor >= s.mesh.options.IdleTimeout && s.openCalls.Load() == 0:
 		s.mesh.spawn(func() { s.closeGracefully(endIdle) })
 	case silentFor >= s.mesh.options.KeepAliveAfter:
 		s.ping()
--- a/peer/wire/bench_test.go
+++ b/peer/wire/bench_test.go
@@ -26,7 +26,7 @@
 	}
 	p := newCodecPair()
 	for b.Loop() {
-		frame, _, err := p.Frame(tickets)
+		frame, _, err := p.EncodeFrame(tickets)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -38,7 +38,7 @@
 		if err := proto.Unmarshal(encoded, received); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := p.Messages(received); err != nil {
+		if _, err := p.DecodeFrame(received); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/peer/wire/decoder.go
+++ b/peer/wire/decoder.go
@@ -36,7 +36,7 @@
 }
 
 // DecodeFrame returns the messages of a frame in order and stores its definitions.
-func (d *Decoder) Messages(frame *peerpb.Frame) ([]control.Message, error) {
+func (d *Decoder) DecodeFrame(frame *peerpb.Frame) ([]control.Message, error) {
 	messages := make([]control.Message, 0, len(frame.Entries))
 	for _, entry := range frame.Entries {
 		if isDefinition(entry) {
--- a/peer/wire/encoder.go
+++ b/peer/wire/encoder.go
@@ -54,7 +54,7 @@
 // It returns the frame and the number of messages taken from the list. On an error
 // the last of these could not be encoded and is left out; the frame must be sent
 // all the same, since it may hold definitions.
-func (e *Encoder) Frame(messages []control.Message) (frame *peerpb.Frame, taken int, err error) {
+func (e *Encoder) EncodeFrame(messages []control.Message) (frame *peerpb.Frame, taken int, err error) {
 	e.frame = &peerpb.Frame{}
 	e.frameBytes = 0
 	for taken < len(messages) && e.frameBytes < fullFrameBytes && err == nil {
--- a/peer/wire/wire.go
+++ b/peer/wire/wire.go
@@ -60,7 +60,7 @@
 
 // SplitServiceCounts splits each service report and each service totals message
 // with more than MaxListItems counts into several. Other messages are unchanged.
-func Split(messages []control.Message) []control.Message {
+func SplitServiceCounts(messages []control.Message) []control.Message {
 	parts := make([]control.Message, 0, len(messages))
 	for _, message := range messages {
 		switch m := message.(type) {
--- a/peer/wire/wire_test.go
+++ b/peer/wire/wire_test.go
@@ -58,7 +58,7 @@
 func (p codecPair) roundTrip(messages []control.Message) ([]control.Message, error) {
 	var arrived []control.Message
 	for len(messages) > 0 {
-		frame, taken, err := p.Frame(messages)
+		frame, taken, err := p.EncodeFrame(messages)
 		if err != nil {
 			return nil, err
 		}
@@ -74,7 +74,7 @@
 		if err := proto.Unmarshal(encoded, received); err != nil {
 			return nil, err
 		}
-		part, err := p.Messages(received)
+		part, err := p.DecodeFrame(received)
 		if err != nil {
 			return nil, err
 		}
@@ -220,7 +220,7 @@
 		count := control.ServiceCount{Workspace: fmt.Sprintf("workspace-%d", i), Own: time.Second}
 		report.Counts = append(report.Counts, count)
 	}
-	got, err := newCodecPair().roundTrip(Split([]control.Message{report}))
+	got, err := newCodecPair().roundTrip(SplitServiceCounts([]control.Message{report}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -242,11 +242,11 @@
 		control.ServiceTotals{Counts: make([]control.ServiceCount, MaxListItems+1)},
 	} {
 		p := newCodecPair()
-		frame, taken, err := p.Frame([]control.Message{message, heartbeat})
+		frame, taken, err := p.EncodeFrame([]control.Message{message, heartbeat})
 		if !errors.Is(err, ErrTooLarge) || taken != 1 {
 			t.Errorf("%T: taken %d, error %v", message, taken, err)
 		}
-		if _, err := p.Messages(frame); err != nil {
+		if _, err := p.DecodeFrame(frame); err != nil {
 			t.Errorf("%T: the frame before the error: %v", message, err)
 		}
 		if got, err := p.roundTrip([]control.Message{heartbeat}); err != nil || len(got) != 1 {
@@ -274,7 +274,7 @@
 	}
 	for name, entry := range entries {
 		frame := &peerpb.Frame{Entries: []*peerpb.Entry{entry}}
-		if got, err := newCodecPair().Messages(frame); err == nil {
+		if got, err := newCodecPair().DecodeFrame(frame); err == nil {
 			t.Errorf("%s: decoded as %v", name, got)
 		}
 	}
@@ -287,7 +287,7 @@
 	for i, message := range zeroMessages {
 		all = append(all, filledMessage(message, int64(i)))
 	}
-	frame, _, err := NewEncoder(nodeA, nodeB, nil).Frame(all)
+	frame, _, err := NewEncoder(nodeA, nodeB, nil).EncodeFrame(all)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -303,7 +303,7 @@
 			return
 		}
 		p := newCodecPair()
-		messages, err := p.Messages(frame)
+		messages, err := p.DecodeFrame(frame)
 		if err != nil {
 			return
 		}
--- a/processes/router.go
+++ b/processes/router.go
@@ -80,7 +80,7 @@
 // NewLoopbackIPs returns two loopback IPs for the exclusive use of one fleet, one for
 // its routers and one for its targets and proxies. With IPs of its own, nothing else
 // takes the port of a process or proxy that is down for a while.
-func NewIPs() (routers, others string) {
+func NewLoopbackIPs() (routers, others string) {
 	pid := os.Getpid()
 	n := 1 + 2*(fleetCount.Add(1)%maxFleets)
 	prefix := fmt.Sprintf("127.%d.%d.", 16+pid/256%200, pid%256)
--- a/processes/way.go
+++ b/processes/way.go
@@ -16,14 +16,14 @@
 // Values of Direction.
 const (
 	// Upstream is the direction from the client to the proxied address.
-	Forth Direction = iota
+	Upstream Direction = iota
 	// Downstream is the direction from the proxied address to the client.
-	Back
+	Downstream
 )
 
 // String implements fmt.Stringer.
 func (d Direction) String() string {
-	if d == Forth {
+	if d == Upstream {
 		return "forth"
 	}
 	return "back"
@@ -38,7 +38,7 @@
 
 // Proxy is a TCP proxy before an address that can inject network faults. It is safe
 // for concurrent use.
-type Way struct {
+type Proxy struct {
 	name, upstream, address string
 
 	mu sync.Mutex
@@ -59,8 +59,8 @@
 
 // NewProxy starts a proxy before upstream ("ip:port"), on a free port of ip. The name
 // is used in reports.
-func NewWay(name, ip, upstream string) (*Way, error) {
-	p := &Way{
+func NewProxy(name, ip, upstream string) (*Proxy, error) {
+	p := &Proxy{
 		name:     name,
 		upstream: upstream,
 		address:  net.JoinHostPort(ip, "0"),
@@ -71,10 +71,10 @@
 }
 
 // Name returns the name used in reports.
-func (p *Way) Name() string { return p.name }
+func (p *Proxy) Name() string { return p.name }
 
 // Address returns the "ip:port" that the proxy listens on.
-func (p *Way) Address() string { return p.address }
+func (p *Proxy) Address() string { return p.address }
 
 // portReleaseTimeout is how long a port may stay in use after its listener was closed: a
 // child process that another test is starting inherits the listener and keeps it open
@@ -93,7 +93,7 @@
 }
 
 // listen starts accepting connections, unless the proxy already does or is closed.
-func (p *Way) listen() error {
+func (p *Proxy) listen() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.listener != nil || p.closed {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (p *Way) accept(listener net.Listener) {
+func (p *Proxy) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -121,7 +121,7 @@
 
 // connect dials upstream and forwards data between the client and upstream until both
 // directions have ended.
-func (p *Way) connect(client *net.TCPConn) {
+func (p *Proxy) connect(client *net.TCPConn) {
 	dialled, err := net.DialTimeout("tcp4", p.upstream, upstreamDialTimeout)
 	if err != nil {
 		_ = client.SetLinger(0) // sends a reset, like a refused connection
@@ -133,15 +133,15 @@
 		return
 	}
 	var copiers sync.WaitGroup
-	copiers.Go(func() { p.forward(Forth, client, upstream) })
-	copiers.Go(func() { p.forward(Back, upstream, client) })
+	copiers.Go(func() { p.forward(Upstream, client, upstream) })
+	copiers.Go(func() { p.forward(Downstream, upstream, client) })
 	copiers.Wait()
 	p.untrack(client, upstream)
 }
 
 // track registers the two ends of a proxied connection. It closes them and returns false
 // if the proxy was cut in the meantime.
-func (p *Way) track(ends ...*net.TCPConn) bool {
+func (p *Proxy) track(ends ...*net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, end := range ends {
@@ -155,7 +155,7 @@
 }
 
 // untrack closes and unregisters the two ends of a proxied connection.
-func (p *Way) untrack(ends ...*net.TCPConn) {
+func (p *Proxy) untrack(ends ...*net.TCPConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, end := range ends {
@@ -165,7 +165,7 @@
 }
 
 // forward copies data in one direction until the connection ends.
-func (p *Way) forward(direction Direction, source, destination *net.TCPConn) {
+func (p *Proxy) forward(direction Direction, source, destination *net.TCPConn) {
 	buffer := make([]byte, forwardBufferBytes)
 	for {
 		n, err := source.Read(buffer)
@@ -189,7 +189,7 @@
 }
 
 // awaitForwardable waits until data that has arrived now may be forwarded in a direction.
-func (p *Way) awaitForwardable(direction Direction) {
+func (p *Proxy) awaitForwardable(direction Direction) {
 	arrived := time.Now()
 	for {
 		p.mu.Lock()
@@ -211,7 +211,7 @@
 }
 
 // setImpairment replaces the impairment of one direction.
-func (p *Way) setImpairment(direction Direction, to impairment) {
+func (p *Proxy) setImpairment(direction Direction, to impairment) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.impairments[direction] = to
@@ -219,28 +219,28 @@
 }
 
 // notifyChanged wakes the goroutines in awaitForwardable. The caller holds p.mu.
-func (p *Way) notifyChanged() {
+func (p *Proxy) notifyChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
 // IsImpaired reports whether either direction is held or delayed.
-func (p *Way) IsDisturbed() bool {
+func (p *Proxy) IsImpaired() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.impairments != [2]impairment{}
 }
 
 // Hold stops forwarding in one direction. Connections stay open.
-func (p *Way) Hold(direction Direction) { p.setImpairment(direction, impairment{held: true}) }
+func (p *Proxy) Hold(direction Direction) { p.setImpairment(direction, impairment{held: true}) }
 
 // Delay delays all data in one direction.
-func (p *Way) Delay(direction Direction, by time.Duration) {
+func (p *Proxy) Delay(direction Direction, by time.Duration) {
 	p.setImpairment(direction, impairment{delay: by})
 }
 
 // Reset resets all connections. New ones are still accepted.
-func (p *Way) Reset() {
+func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for end := range p.conns {
@@ -250,7 +250,7 @@
 }
 
 // Cut closes all connections and refuses new ones until Heal.
-func (p *Way) Cut() {
+func (p *Proxy) Cut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.listener != nil {
@@ -264,7 +264,7 @@
 
 // Heal ends all faults: it accepts connections again, on the same address, and removes
 // every hold and delay.
-func (p *Way) Heal() error {
+func (p *Proxy) Heal() error {
 	p.mu.Lock()
 	p.impairments = [2]impairment{}
 	p.notifyChanged()
@@ -273,7 +273,7 @@
 }
 
 // Close stops the proxy for good.
-func (p *Way) Close() {
+func (p *Proxy) Close() {
 	p.Cut()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/proctest/chaos_test.go
+++ b/proctest/chaos_test.go
@@ -135,7 +135,7 @@
 	router := c.random.IntN(routerCount)
 	other := (router + 1 + c.random.IntN(routerCount-1)) % routerCount
 	target := c.anyTarget()
-	direction := []processes.Direction{processes.Forth, processes.Back}[c.random.IntN(2)]
+	direction := []processes.Direction{processes.Upstream, processes.Downstream}[c.random.IntN(2)]
 	return []fault{
 		{"kill " + routerName(router), func() { c.kill(router) }},
 		{"freeze " + routerName(router), func() { c.must(c.routers[router].Freeze()) }},
@@ -179,14 +179,14 @@
 
 // holdPeers holds one direction between two routers, whoever opened the session.
 func (c *chaos) holdPeers(from, to int, direction processes.Direction) {
-	opposite := map[processes.Direction]processes.Direction{processes.Forth: processes.Back, processes.Back: processes.Forth}
+	opposite := map[processes.Direction]processes.Direction{processes.Upstream: processes.Downstream, processes.Downstream: processes.Upstream}
 	c.holdWay(c.peers[from][to], direction)
 	c.holdWay(c.peers[to][from], opposite[direction])
 }
 
 // holdWay holds a direction of a way that is not held yet.
 func (c *chaos) holdWay(w *way, direction processes.Direction) {
-	if !w.IsDisturbed() {
+	if !w.IsImpaired() {
 		w.hold(direction)
 	}
 }
--- a/proctest/fleet_test.go
+++ b/proctest/fleet_test.go
@@ -97,7 +97,7 @@
 		declared:   make(map[string]config.Target),
 		targetWays: make(map[string]*way),
 	}
-	f.routerIP, f.ip = processes.NewIPs()
+	f.routerIP, f.ip = processes.NewLoopbackIPs()
 	t.Cleanup(f.close)
 	views := f.startPlatform()
 	f.startTargets()
--- a/proctest/notrun_test.go
+++ b/proctest/notrun_test.go
@@ -34,7 +34,7 @@
 		f.healTargets()
 		tr.more(f, 50)
 	}
-	for _, direction := range []processes.Direction{processes.Forth, processes.Back} {
+	for _, direction := range []processes.Direction{processes.Upstream, processes.Downstream} {
 		f.note("everything %s is held on its way, and the way is cut then", direction)
 		for range 2 {
 			f.everyTarget(func(name string) { f.targetWays[name].hold(direction) })
--- a/proctest/proxy_test.go
+++ b/proctest/proxy_test.go
@@ -8,19 +8,19 @@
 
 // way is one proxied way between two processes.
 type way struct {
-	*processes.Way
+	*processes.Proxy
 	t testing.TB
 }
 
 // newWay starts a proxy before upstream, on a port of ip.
 func newWay(t testing.TB, name, ip, upstream string) *way {
 	t.Helper()
-	started, err := processes.NewWay(name, ip, upstream)
+	started, err := processes.NewProxy(name, ip, upstream)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(started.Close)
-	return &way{Way: started, t: t}
+	return &way{Proxy: started, t: t}
 }
 
 // heal takes connections again, on the same address, and ends every hold.
--- a/proctest/quarantine_test.go
+++ b/proctest/quarantine_test.go
@@ -24,7 +24,7 @@
 	tr.more(f, 12)
 	for n := range 12 {
 		way := f.targetWays[[]string{"engine-1", "engine-2"}[n%2]]
-		way.hold(processes.Back)
+		way.hold(processes.Downstream)
 		f.holdShortly()
 		way.Cut()
 		way.heal()
--- a/router/peers.go
+++ b/router/peers.go
@@ -52,7 +52,7 @@
 }
 
 // Called implements peer.Handler.
-func (h peerHandler) Called(ctx context.Context, _ control.NodeID, method string, payload []byte) ([]byte, error) {
+func (h peerHandler) HandleCall(ctx context.Context, _ control.NodeID, method string, payload []byte) ([]byte, error) {
 	switch method {
 	case methodConfig:
 		if h.router.managed != nil {
--- a/router/start.go
+++ b/router/start.go
@@ -193,7 +193,7 @@
 		TLS:           keys,
 		TrustNetwork:  s.Peers.TrustNetwork,
 	}
-	if err := options.Check(); err != nil {
+	if err := options.Validate(); err != nil {
 		return peer.Options{}, settingsProblem(keyPeerFiles, err)
 	}
 	return options, nil
--- a/router/status.go
+++ b/router/status.go
@@ -100,7 +100,7 @@
 	}
 	var states map[string]orders.Reason
 	if b.router.ownPlatform != nil {
-		states = b.router.orders.States()
+		states = b.router.orders.Reasons()
 	}
 	for _, target := range shard.Targets {
 		row.Slots += target.Slots
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -249,7 +249,7 @@
 }
 
 // disturb brings one fault of a way about.
-func (f *faults) disturb(way *processes.Way) (string, func() bool) {
+func (f *faults) disturb(way *processes.Proxy) (string, func() bool) {
 	if f.busy[way.Name()] {
 		return "", nil
 	}
@@ -280,7 +280,7 @@
 // isolate cuts a router from all others, both ways.
 func (f *faults) isolate() (string, func() bool) {
 	r := f.routers[f.random.IntN(len(f.routers))]
-	var ways []*processes.Way
+	var ways []*processes.Proxy
 	for _, other := range f.routers {
 		if other == r {
 			continue
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -37,8 +37,8 @@
 // router is one walnutd, with the ways by which it reaches others.
 type router struct {
 	*processes.Router
-	store *processes.Way
-	peers map[string]*processes.Way
+	store *processes.Proxy
+	peers map[string]*processes.Proxy
 	// isDown says that a fault has ended it.
 	isDown bool
 	// starts counts its processes.
@@ -49,7 +49,7 @@
 type replica struct {
 	*managed.Replica
 	options managed.ReplicaOptions
-	way     *processes.Way
+	way     *processes.Proxy
 }
 
 // fleet is routers as processes, and the platform within the test's own.
@@ -78,7 +78,7 @@
 	}
 	t.Cleanup(f.close)
 	var routerIP string
-	routerIP, f.ip = processes.NewIPs()
+	routerIP, f.ip = processes.NewLoopbackIPs()
 	f.configure()
 	for range plainReplicas {
 		f.addReplica(managed.ReplicaOptions{Service: managed.DemoService, Slots: plainSlots, Pause: work})
@@ -176,7 +176,7 @@
 	added := &replica{options: options}
 	options.Advertise = func(listens string) (string, error) {
 		var err error
-		added.way, err = processes.NewWay(options.ID, f.ip, listens)
+		added.way, err = processes.NewProxy(options.ID, f.ip, listens)
 		if err != nil {
 			return "", err
 		}
@@ -203,7 +203,7 @@
 	peerAddress := func(n int) string { return addresses[each*n+2] }
 	dir := f.t.TempDir()
 	for n := range count {
-		r := &router{peers: make(map[string]*processes.Way)}
+		r := &router{peers: make(map[string]*processes.Proxy)}
 		f.routers = append(f.routers, r)
 		for other := range count {
 			if other != n {
@@ -226,8 +226,8 @@
 	}
 }
 
-func (f *fleet) way(name, upstream string) *processes.Way {
-	way, err := processes.NewWay(name, f.ip, upstream)
+func (f *fleet) way(name, upstream string) *processes.Proxy {
+	way, err := processes.NewProxy(name, f.ip, upstream)
 	f.must(err)
 	return way
 }
--- a/soak/silent_test.go
+++ b/soak/silent_test.go
@@ -18,7 +18,7 @@
 	time.Sleep(time.Second)
 	silent := f.replicas[0]
 	f.note("silent: %s", silent.options.ID)
-	silent.way.Hold(processes.Back)
+	silent.way.Hold(processes.Downstream)
 	time.Sleep(silentTime)
 	f.must(silent.way.Heal())
 	f.note("end: %s", silent.options.ID)
