--- a/operator/auth.go
+++ b/operator/auth.go
@@ -14,19 +14,19 @@
 // keyring holds the digests of the operators' keys.
 type keyring struct{ digests [][sha256.Size]byte }
 
-// newKeyring decodes hex SHA-256 digests. No digest at all is allowed only if
-// address is on loopback, or open is set: then every request is let in.
+// newKeyring decodes hex SHA-256 digests. An empty list is allowed only if
+// address is on loopback or open is set; then no request needs a key.
 func newKeyring(keyHashes []string, address string, open bool) (keyring, error) {
-	var ring keyring
+	var keys keyring
 	for i, text := range keyHashes {
-		raw, err := hex.DecodeString(text)
-		if err != nil || len(raw) != sha256.Size {
+		digest, err := hex.DecodeString(text)
+		if err != nil || len(digest) != sha256.Size {
 			return keyring{}, fmt.Errorf("operator key hash %d: want %d hex digits of SHA-256", i, 2*sha256.Size)
 		}
-		ring.digests = append(ring.digests, [sha256.Size]byte(raw))
+		keys.digests = append(keys.digests, [sha256.Size]byte(digest))
 	}
-	if len(ring.digests) > 0 || open {
-		return ring, nil
+	if len(keys.digests) > 0 || open {
+		return keys, nil
 	}
 	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -35,11 +35,11 @@
 	if !addrPort.Addr().Unmap().IsLoopback() {
 		return keyring{}, fmt.Errorf("operator address %s is not on loopback: operators.key_hashes must not be empty", address)
 	}
-	return ring, nil
+	return keys, nil
 }
 
 // allows reports whether an Authorization header carries a known key. It
-// compares with every digest, so that the time taken tells nothing.
+// compares with every digest, so that the time taken reveals nothing about them.
 func (k keyring) allows(authorization string) bool {
 	if len(k.digests) == 0 {
 		return true
--- a/operator/backend.go
+++ b/operator/backend.go
@@ -4,7 +4,7 @@
 //	GET  /healthz                      the process answers
 //	GET  /readyz                       the router takes callers' requests
 //	GET  /metrics                      counters in Prometheus text format
-//	GET  /debug/pprof/profile          ?seconds=N; processor profile
+//	GET  /debug/pprof/profile          ?seconds=N; CPU profile
 //	GET  /debug/pprof/heap             memory profile
 //	GET  /operator/v1/config           ?version=N; the newest if absent
 //	POST /operator/v1/patches          body: config.Patch; answers PatchAccepted
@@ -17,7 +17,7 @@
 // ("Authorization: Bearer KEY") unless none is configured, which is allowed on
 // loopback only. Errors are ErrorBody documents with numbered result codes.
 //
-// The package knows nothing of a router's inside: the router implements Backend.
+// The package does not depend on how a router works: the router implements Backend.
 package operator
 
 import (
@@ -27,31 +27,31 @@
 )
 
 // Backend is what the API needs from a router. Methods are called from many
-// goroutines at once, with a context that ends with the time limit of the
+// goroutines at once, with a context that ends at the time limit of the
 // request. Errors are *result.Error, the error types of packages config and
-// config/store, or wrap platform.ErrUnavailable; they get the codes stated with
-// each method. Any other error is answered as 1004 (reads) or 1008 (writes).
+// config/store, or wrap ErrUnavailable of package store; they get the codes stated
+// with each method. Any other error is answered as 1004 (reads) or 1008 (writes).
 type Backend interface {
-	// Ready says whether the router takes callers' requests. It must not block.
+	// Ready returns whether the router takes callers' requests. It must not block.
 	Ready() Readiness
 
 	// Config returns an accepted version. Zero asks for the newest: the head
-	// in the table, or the version in force here while the table cannot be
-	// reached. If no version was ever accepted, it returns a snapshot with
-	// Version zero and empty declarations. Errors: platform.ErrUnavailable
-	// (1004), *store.UnknownVersionError (1005).
+	// in the table, or the version in force on this router while the table cannot
+	// be reached. If no version was ever accepted, it returns a snapshot with
+	// Version zero and empty declarations. Errors: store.ErrUnavailable
+	// (1004), *configstore.UnknownVersionError (1005).
 	Config(ctx context.Context, version config.Version) (*config.Snapshot, error)
 
 	// Apply commits a patch as version Base+1 and returns that version. It is
-	// idempotent by Patch.ID: a patch that was accepted before is answered
-	// with the version it made. Errors: *config.VersionConflictError (1001),
+	// idempotent by Patch.ID: for a patch that was accepted before, it returns
+	// the version that the patch made. Errors: *config.VersionConflictError (1001),
 	// *config.PatchError (1002), *config.ValidationError (1003),
-	// platform.ErrUnavailable (1004: nothing was changed),
-	// *store.CommitUnknownError (1008: outcome unknown).
+	// store.ErrUnavailable (1004: nothing was changed),
+	// *configstore.CommitUnknownError (1008: outcome unknown).
 	Apply(ctx context.Context, patch config.Patch) (config.Version, error)
 
 	// History returns up to limit accepted versions below before, newest
-	// first. Zero asks from the newest. Errors: 1004.
+	// first. A before of zero starts with the newest. Errors: 1004.
 	History(ctx context.Context, before config.Version, limit int) ([]config.Entry, error)
 
 	// Members returns every router of the platform's list, this one included.
@@ -63,7 +63,7 @@
 	Status(ctx context.Context, request StatusRequest) (Status, error)
 
 	// Drain starts the graceful shutdown of a router: this one if node is
-	// empty. It returns when the drain has started. Draining twice is no
-	// error. Errors: 1009, 1010.
+	// empty. It returns when the drain has started. Draining a router twice is
+	// not an error. Errors: 1009, 1010.
 	Drain(ctx context.Context, node string) error
 }
--- a/operator/body.go
+++ b/operator/body.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// MaxBodyBytes bounds the body of a patch: the changes, which may be
-	// indented, and the rest.
+	// MaxBodyBytes is the maximum size of a patch's body: the changes, which may
+	// be indented, and the other fields.
 	MaxBodyBytes = 2 * config.MaxPatchBytes
-	// prefetchBytes of a body are read before the key is checked.
+	// prefetchBytes is how much of a body is read before the key is checked.
 	prefetchBytes = 4 << 10
-	// maxDiscardBytes of a refused body are read and dropped.
+	// maxDiscardBytes is how much of a refused body is read and discarded at most.
 	maxDiscardBytes = 8 * MaxBodyBytes
 )
 
-// readBody reads the body of a request whose key was checked.
+// readBody reads the body of a request whose key has been checked.
 func readBody(req *fasthttp.RequestCtx) ([]byte, error) {
 	stream := req.RequestBodyStream()
 	if stream == nil {
 		return nil, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(stream, MaxBodyBytes+1))
-	var network net.Error
-	if errors.As(err, &network) && network.Timeout() {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return nil, result.Wrap(result.SlowSender, err, "%s", result.SlowSender.Info().Meaning)
 	}
 	if err != nil {
@@ -38,20 +38,20 @@
 	if len(body) > MaxBodyBytes {
 		return nil, result.New(result.BodyTooLarge, "the body is over %d bytes", MaxBodyBytes)
 	}
-	if announced := req.Request.Header.ContentLength(); announced >= 0 && len(body) != announced {
+	if contentLength := req.Request.Header.ContentLength(); contentLength >= 0 && len(body) != contentLength {
 		return nil, result.New(result.BadRequest, "the body ends early")
 	}
 	return body, nil
 }
 
-// discardBody drops what is left of a refused request's body. A connection
-// that is closed with bytes unread is reset, and the sender may then lose the
-// refusal and take the outcome for unknown.
+// discardBody reads and discards the rest of a refused request's body. A connection
+// that is closed with unread bytes is reset; the sender may then lose the
+// refusal and have to treat the outcome as unknown.
 func discardBody(req *fasthttp.RequestCtx) {
 	stream := req.RequestBodyStream()
 	if stream == nil {
 		return
 	}
-	// An error ends the connection; there is nothing else to do about it.
+	// After an error the connection is closed; there is nothing else to do.
 	_, _ = io.Copy(io.Discard, io.LimitReader(stream, maxDiscardBytes))
 }
--- a/operator/changes.go
+++ b/operator/changes.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// rollbackChanges is the merge patch from the base to the old declarations. It
-// depends on two immutable versions only, so a resend gives the same patch.
+// rollbackChanges returns the merge patch from the base to the old declarations. It
+// depends on two immutable versions only, so that a resend gives the same patch.
 func (s *Server) rollbackChanges(ctx context.Context, request RollbackRequest) ([]byte, error) {
 	if request.To == 0 || request.To >= request.Base {
 		return nil, result.New(result.InvalidPatch, "to (%d) must be an older version than base (%d)", request.To, request.Base)
@@ -60,7 +60,8 @@
 	return changes, nil
 }
 
-// readVersion reads a version before a change. If it fails, nothing was changed.
+// readVersion reads a version that a change starts from. Its errors get the codes of reads,
+// as nothing was changed.
 func (s *Server) readVersion(ctx context.Context, version config.Version) (*config.Snapshot, error) {
 	snapshot, err := s.backend.Config(ctx, version)
 	if err == nil {
@@ -84,7 +85,7 @@
 }
 
 // decode reads one JSON document from the body and refuses unknown fields. An
-// empty body is an empty document.
+// empty body leaves the destination unchanged.
 func decode(req *fasthttp.RequestCtx, into any) error {
 	body, err := readBody(req)
 	if err != nil {
@@ -104,15 +105,15 @@
 	return nil
 }
 
-// numberArg reads a whole number from the query, or absent if there is none.
-func numberArg(req *fasthttp.RequestCtx, name string, absent uint64) (uint64, error) {
+// numberArg reads a whole number from the query; defaultValue if it is absent.
+func numberArg(req *fasthttp.RequestCtx, name string, defaultValue uint64) (uint64, error) {
 	raw := req.QueryArgs().Peek(name)
 	if len(raw) == 0 {
-		return absent, nil
+		return defaultValue, nil
 	}
-	n, err := strconv.ParseUint(string(raw), 10, 64)
+	value, err := strconv.ParseUint(string(raw), 10, 64)
 	if err != nil {
 		return 0, result.New(result.BadRequest, "%s is not a whole number", name)
 	}
-	return n, nil
+	return value, nil
 }
--- a/operator/errors.go
+++ b/operator/errors.go
@@ -9,33 +9,33 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// errorBody turns any error into the answer's document. Errors that carry no
-// code get fallback.
+// errorBody turns any error into the document of the answer. Errors without a
+// result code get fallback.
 func errorBody(err error, fallback result.Code) ErrorBody {
-	var numbered *result.Error
+	var coded *result.Error
 	var conflict *config.VersionConflictError
-	var broken *config.PatchError
-	var invalid *config.ValidationError
-	var absent *configstore.UnknownVersionError
-	var unknown *configstore.CommitUnknownError
+	var invalidPatch *config.PatchError
+	var invalidDeclarations *config.ValidationError
+	var unknownVersion *configstore.UnknownVersionError
+	var commitUnknown *configstore.CommitUnknownError
 	switch {
-	case errors.As(err, &numbered):
-		return bodyOf(numbered)
+	case errors.As(err, &coded):
+		return bodyOf(coded)
 	case errors.As(err, &conflict):
 		body := bodyOf(result.New(result.VersionConflict, "%v", conflict))
 		body.Newest = conflict.Newest
 		body.WinnerPatchID = conflict.WinnerPatchID
 		return body
-	case errors.As(err, &broken):
-		return bodyOf(result.New(result.InvalidPatch, "%v", broken))
-	case errors.As(err, &invalid):
-		body := bodyOf(result.New(result.InvalidDeclaration, "%d problems", len(invalid.Problems)))
-		body.Problems = invalid.Problems
+	case errors.As(err, &invalidPatch):
+		return bodyOf(result.New(result.InvalidPatch, "%v", invalidPatch))
+	case errors.As(err, &invalidDeclarations):
+		body := bodyOf(result.New(result.InvalidDeclaration, "%d problems", len(invalidDeclarations.Problems)))
+		body.Problems = invalidDeclarations.Problems
 		return body
-	case errors.As(err, &absent):
-		return bodyOf(result.New(result.UnknownVersion, "version %d does not exist", absent.Version))
-	case errors.As(err, &unknown):
-		return bodyOf(result.New(result.CommitUnknown, "the outcome of patch %s is unknown", unknown.PatchID))
+	case errors.As(err, &unknownVersion):
+		return bodyOf(result.New(result.UnknownVersion, "version %d does not exist", unknownVersion.Version))
+	case errors.As(err, &commitUnknown):
+		return bodyOf(result.New(result.CommitUnknown, "the outcome of patch %s is unknown", commitUnknown.PatchID))
 	case errors.Is(err, store.ErrUnavailable):
 		return bodyOf(result.New(result.PlatformUnavailable, "%s", result.PlatformUnavailable.Info().Meaning))
 	default:
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// fleetParallel bounds how many routers are asked at once.
-	fleetParallel = 32
-	// routerTimeout bounds the answer of one router to a fleet status.
+	// maxParallelStatuses is how many routers are asked at once, at most.
+	maxParallelStatuses = 32
+	// routerTimeout bounds the wait for one router's part of a fleet status.
 	routerTimeout = 2 * time.Second
 )
 
 // fleetStatus asks every member for its status and merges the answers. A
-// member that does not answer in time stands in it as unreachable.
+// member that does not answer in time is listed as unreachable.
 func fleetStatus(ctx context.Context, backend Backend, detail bool) (Status, error) {
 	members, err := backend.Members(ctx)
 	if err != nil {
 		return Status{}, err
 	}
 	parts := make([]Status, len(members))
-	slots := make(chan struct{}, fleetParallel)
+	semaphore := make(chan struct{}, maxParallelStatuses)
 	var pending sync.WaitGroup
 	for i, member := range members {
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		pending.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-semaphore }()
 			parts[i] = memberStatus(ctx, backend, member, detail)
 		})
 	}
@@ -45,7 +45,7 @@
 		err = errors.New("the answer holds no router")
 	}
 	if err != nil {
-		return Status{Routers: []RouterStatus{unreachable(member, err)}}
+		return Status{Routers: []RouterStatus{unreachableStatus(member, err)}}
 	}
 	for i := range status.Routers {
 		status.Routers[i].Listed = true
@@ -54,11 +54,11 @@
 	return status
 }
 
-func unreachable(member Member, err error) RouterStatus {
+func unreachableStatus(member Member, err error) RouterStatus {
 	detail := err.Error()
-	var numbered *result.Error
-	if errors.As(err, &numbered) {
-		detail = numbered.Detail
+	var coded *result.Error
+	if errors.As(err, &coded) {
+		detail = coded.Detail
 	}
 	return RouterStatus{
 		Node:       member.Node,
--- a/operator/history.go
+++ b/operator/history.go
@@ -7,8 +7,8 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// historyAnswer leaves out the changes, which may be megabytes, and names the
-// objects that they touch.
+// historyAnswer lists versions with the names of the changed objects. It leaves out the
+// changes themselves, which may be megabytes.
 func historyAnswer(entries []config.Entry) HistoryAnswer {
 	answer := HistoryAnswer{Versions: make([]HistoryEntry, 0, len(entries))}
 	for _, entry := range entries {
--- a/operator/merge.go
+++ b/operator/merge.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// MergeStatus joins the statuses of several routers into one. Routers and
-// shards are listed; a target reported twice keeps the row with the younger
-// load report; the backlog of a workspace is summed. Rows are sorted by name.
+// MergeStatus merges the statuses of several routers into one. All routers and
+// shards are listed; of a target reported twice, the row with the newer load
+// report is kept; the backlog of a workspace is summed. Rows are sorted by name.
 func MergeStatus(parts []Status) Status {
 	merged := Status{}
 	targets := make(map[string]TargetStatus)
@@ -31,16 +31,16 @@
 
 func mergeTargets(into map[string]TargetStatus, rows []TargetStatus) {
 	for _, row := range rows {
-		known, ok := into[row.Name]
-		if !ok || younger(row, known) {
+		previous, ok := into[row.Name]
+		if !ok || hasNewerReport(row, previous) {
 			into[row.Name] = row
 		}
 	}
 }
 
-// younger reports whether a has a younger load report than b. A negative age
-// means that there is none.
-func younger(a, b TargetStatus) bool {
+// hasNewerReport reports whether a has a newer load report than b. A negative age
+// means that there is no report.
+func hasNewerReport(a, b TargetStatus) bool {
 	if a.LoadAgeMillis < 0 {
 		return false
 	}
--- a/operator/profile.go
+++ b/operator/profile.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// defaultProfileSeconds and maxProfileSeconds bound a processor profile.
+	// defaultProfileSeconds and maxProfileSeconds are the default and the maximum
+	// duration of a CPU profile.
 	defaultProfileSeconds = 5
 	maxProfileSeconds     = 15
 )
 
-// cpuProfile answers with a processor profile of the next seconds, as the
-// "go tool pprof" command reads it. One profile is taken at a time.
+// cpuProfile answers with a CPU profile of the next seconds, in the format of
+// "go tool pprof". It fails while another profile is being taken.
 func (s *Server) cpuProfile(ctx context.Context, req *fasthttp.RequestCtx) (any, error) {
 	seconds, err := numberArg(req, "seconds", defaultProfileSeconds)
 	if err != nil {
@@ -36,7 +37,7 @@
 	return nil, nil
 }
 
-// heapProfile answers with a profile of the memory in use.
+// heapProfile answers with a profile of the heap memory in use.
 func (s *Server) heapProfile(_ context.Context, req *fasthttp.RequestCtx) (any, error) {
 	var profile bytes.Buffer
 	if err := pprof.Lookup("heap").WriteTo(&profile, 0); err != nil {
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	defaultHistory = 50
-	maxHistory     = 500
+	defaultHistoryLimit = 50
+	maxHistoryLimit     = 500
 )
 
-// route is one entry of the API.
+// route is one path of the API.
 type route struct {
 	method string
-	// open routes need no key.
+	// open says that the route needs no key.
 	open bool
-	// fallback is the code of errors that carry none.
+	// fallback is the result code of errors that have none.
 	fallback result.Code
-	// serve returns the document to answer with; nil if it answered itself.
+	// serve returns the document to answer with; nil if it has answered itself.
 	serve func(s *Server, ctx context.Context, req *fasthttp.RequestCtx) (any, error)
 }
 
@@ -40,18 +40,19 @@
 	PathDrain:    {fasthttp.MethodPost, false, result.CommitUnknown, (*Server).drain},
 }
 
-// handle finds the route, checks method and key, and answers.
+// handle finds the route, checks the key and the method, and answers. Without a
+// valid key, unknown paths are refused like known ones.
 func (s *Server) handle(req *fasthttp.RequestCtx) {
 	path := string(req.Path())
 	found, ok := routes[path]
 	switch {
-	case !ok && !s.allowed(req):
+	case !ok && !s.hasValidKey(req):
 		s.refuse(req, result.New(result.OperatorKeyWrong, "operator key missing or wrong"), result.OperatorKeyWrong)
 		return
 	case !ok:
 		s.refuse(req, result.New(result.UnknownPath, "no such path"), result.UnknownPath)
 		return
-	case !found.open && !s.allowed(req):
+	case !found.open && !s.hasValidKey(req):
 		s.refuse(req, result.New(result.OperatorKeyWrong, "operator key missing or wrong"), result.OperatorKeyWrong)
 		return
 	case string(req.Method()) != found.method:
@@ -59,7 +60,7 @@
 		s.refuse(req, result.New(result.MethodNotAllowed, "use %s", found.method), result.MethodNotAllowed)
 		return
 	}
-	requests(path).Inc()
+	requestCounter(path).Inc()
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	document, err := found.serve(s, ctx, req)
@@ -107,11 +108,11 @@
 	if err != nil {
 		return nil, err
 	}
-	limit, err := numberArg(req, "limit", defaultHistory)
+	limit, err := numberArg(req, "limit", defaultHistoryLimit)
 	if err != nil {
 		return nil, err
 	}
-	limit = min(limit, maxHistory)
+	limit = min(limit, maxHistoryLimit)
 	entries, err := s.backend.History(ctx, before, int(limit))
 	if err != nil {
 		return nil, err
@@ -142,6 +143,6 @@
 
 // versionArg reads a version from the query; zero if it is absent.
 func versionArg(req *fasthttp.RequestCtx, name string) (config.Version, error) {
-	n, err := numberArg(req, name, 0)
-	return config.Version(n), err
+	number, err := numberArg(req, name, 0)
+	return config.Version(number), err
 }
--- a/operator/server.go
+++ b/operator/server.go
@@ -26,7 +26,7 @@
 	requestTimeout = 20 * time.Second
 )
 
-// refusals counts the codes that operators are given.
+// refusals counts refused requests by result code.
 var refusals = codecounter.New("walnut_operator_refusals_total",
 	result.VersionConflict,
 	result.InvalidPatch,
@@ -45,10 +45,10 @@
 	Address string
 	// KeyHashes are hex SHA-256 digests of the operators' keys.
 	KeyHashes []string
-	// Open lets everyone in who reaches the address, without a key: for networks
-	// that only operators reach.
+	// Open serves everyone who can reach the address, without a key: for networks
+	// that only operators can reach.
 	Open bool
-	// Log receives one line for each change. Default slog.Default().
+	// Log receives one line for each change and each refusal. Default slog.Default().
 	Log *slog.Logger
 }
 
@@ -60,8 +60,8 @@
 	http    *fasthttp.Server
 }
 
-// New returns a server. It refuses key hashes that cannot be read, and an
-// empty list of them when the address is not on loopback.
+// New returns a server. It refuses malformed key hashes, and an empty list of
+// them if the address is not on loopback and Open is not set.
 func New(backend Backend, options Options) (*Server, error) {
 	keys, err := newKeyring(options.KeyHashes, options.Address, options.Open)
 	if err != nil {
@@ -97,18 +97,18 @@
 // handleReadError answers a request whose headers could not be read.
 func (s *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
 	code := result.BadRequest
-	var small *fasthttp.ErrSmallBuffer
-	if errors.As(err, &small) {
+	var tooSmall *fasthttp.ErrSmallBuffer
+	if errors.As(err, &tooSmall) {
 		code = result.HeadersTooLarge
 	}
 	s.refuse(ctx, result.Wrap(code, err, "%s", code.Info().Meaning), code)
 }
 
-func (s *Server) allowed(ctx *fasthttp.RequestCtx) bool {
+func (s *Server) hasValidKey(ctx *fasthttp.RequestCtx) bool {
 	return s.keys.allows(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)))
 }
 
-// refuse answers with the error's document and counts the refusal.
+// refuse answers with the error's document, counts the refusal and logs it.
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, err error, fallback result.Code) {
 	discardBody(ctx)
 	body := errorBody(err, fallback)
@@ -121,7 +121,7 @@
 func (s *Server) answer(ctx *fasthttp.RequestCtx, status int, document any) {
 	raw, err := json.Marshal(document)
 	if err != nil {
-		s.log.Error("operator: Answer could not be encoded.", "error", err)
+		s.log.Error("operator: Answer cannot be encoded.", "error", err)
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 		return
 	}
@@ -130,11 +130,11 @@
 	ctx.SetBody(append(raw, '\n'))
 }
 
-func requests(route string) *metrics.Counter {
+func requestCounter(route string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(fmt.Sprintf("walnut_operator_requests_total{route=%q}", route))
 }
 
-// discardLogger drops fasthttp's own lines; refusals are logged by refuse.
+// discardLogger discards fasthttp's own log lines; refuse logs the refusals.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -24,7 +24,7 @@
 	testID  = "6f1c3c0a-2b7e-4a51-9d2c-0a54c1f7a001"
 )
 
-// stubBackend answers from its fields and records what it was asked.
+// stubBackend answers from its fields and records patches and drains.
 type stubBackend struct {
 	ready    Readiness
 	versions map[config.Version]config.Declarations
@@ -83,7 +83,7 @@
 }
 
 // start serves the backend on loopback and returns the base URL.
-func start(t *testing.T, backend Backend) string {
+func startServer(t *testing.T, backend Backend) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -134,7 +134,7 @@
 
 func TestKeys(t *testing.T) {
 	backend := &stubBackend{statuses: map[string]Status{"": {}}}
-	url := start(t, backend)
+	url := startServer(t, backend)
 	cases := []struct {
 		method, path, key, body string
 		status                  int
@@ -166,11 +166,11 @@
 	}
 }
 
-// TestRefusalArrivesWhateverTheBody sends bodies that the server does not take
-// in. The refusal must reach the sender all the same, and the connection must
-// not be reset under it.
+// TestRefusalArrivesWhateverTheBody sends bodies that the server does not read as a
+// patch. It guards against a connection that is reset before the sender has
+// received the refusal.
 func TestRefusalArrivesWhateverTheBody(t *testing.T) {
-	url := start(t, &stubBackend{})
+	url := startServer(t, &stubBackend{})
 	for _, key := range []string{"wrong", testKey} {
 		want := http.StatusUnauthorized
 		if key == testKey {
@@ -180,7 +180,7 @@
 		if status, body := call(t, "POST", url+PathPatches, key, large); status != want {
 			t.Errorf("key %q: got %d %s", key, status, body)
 		}
-		chunked := io.MultiReader(strings.NewReader(large)) // of no known length
+		chunked := io.MultiReader(strings.NewReader(large)) // hides the length from http.NewRequest
 		if status, body := callReader(t, "POST", url+PathPatches, key, chunked); status != want {
 			t.Errorf("key %q, chunked: got %d %s", key, status, body)
 		}
@@ -192,10 +192,10 @@
 		t.Errorf("loopback: %v", err)
 	}
 	if _, err := New(&stubBackend{}, Options{Address: "10.0.0.1:9"}); err == nil {
-		t.Error("an open address without keys was accepted")
+		t.Error("an address off loopback without keys was accepted")
 	}
 	if _, err := New(&stubBackend{}, Options{Address: "127.0.0.1:9", KeyHashes: []string{"zz"}}); err == nil {
-		t.Error("a broken hash was accepted")
+		t.Error("a malformed hash was accepted")
 	}
 }
 
@@ -221,7 +221,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			url := start(t, &stubBackend{applyErr: c.applyErr})
+			url := startServer(t, &stubBackend{applyErr: c.applyErr})
 			status, raw := call(t, "POST", url+PathPatches, testKey, c.body)
 			var body ErrorBody
 			if err := json.Unmarshal([]byte(raw), &body); err != nil {
@@ -239,7 +239,7 @@
 		1: {Workspaces: map[string]config.Workspace{"bakery": {Share: 1}}},
 		4: {Workspaces: map[string]config.Workspace{"bakery": {Share: 2}, "school": {Share: 1}}},
 	}}
-	url := start(t, backend)
+	url := startServer(t, backend)
 	status, body := call(t, "POST", url+PathRollback, testKey, `{"id":"`+testID+`","base":4,"to":1}`)
 	if status != 200 || !strings.Contains(body, `"version":5`) {
 		t.Fatalf("got %d %s", status, body)
@@ -267,7 +267,7 @@
 			Backlog: []WorkspaceBacklog{{Workspace: "bakery", Waiting: 3}},
 		}},
 	}
-	url := start(t, backend)
+	url := startServer(t, backend)
 	_, raw := call(t, "GET", url+PathStatus+"?fleet=1", testKey, "")
 	var status Status
 	if err := json.Unmarshal([]byte(raw), &status); err != nil {
@@ -313,7 +313,7 @@
 		{Version: 2, Patch: config.Patch{ID: testID, Note: "n", Changes: []byte(`{"workspaces":{"b":{"share":2},"a":null}}`)}},
 		{Version: 1},
 	}}
-	url := start(t, backend)
+	url := startServer(t, backend)
 	_, raw := call(t, "GET", url+PathHistory+"?limit=1", testKey, "")
 	var answer HistoryAnswer
 	if err := json.Unmarshal([]byte(raw), &answer); err != nil {
--- a/operator/status.go
+++ b/operator/status.go
@@ -27,11 +27,11 @@
 	RouterStarting RouterState = "starting"
 	// RouterReady: the router takes requests.
 	RouterReady RouterState = "ready"
-	// RouterDraining: the router finishes its work and takes no more.
+	// RouterDraining: the router finishes its requests and takes no new ones.
 	RouterDraining RouterState = "draining"
 	// RouterDrained: no shard and no request is left on the router.
 	RouterDrained RouterState = "drained"
-	// RouterUnreachable: the router did not answer the one that asked.
+	// RouterUnreachable: the router did not answer the router that asked it.
 	RouterUnreachable RouterState = "unreachable"
 )
 
@@ -42,11 +42,11 @@
 const (
 	// TargetLive: the target takes work.
 	TargetLive TargetHealth = "live"
-	// TargetSuspect: load polls or connections fail; it gets no new work.
+	// TargetSuspect: load polls or connections fail; the target gets no new work.
 	TargetSuspect TargetHealth = "suspect"
 	// TargetEvacuated: its data centre is being evacuated; it gets no new work until that ends.
 	TargetEvacuated TargetHealth = "evacuated"
-	// TargetLeaving: the target finishes its work and gets no more.
+	// TargetLeaving: the target finishes its work and gets no new work.
 	TargetLeaving TargetHealth = "leaving"
 	// TargetUnknown: no load report has arrived yet.
 	TargetUnknown TargetHealth = "unknown"
@@ -57,20 +57,20 @@
 	Node       string `json:"node"`
 	DataCentre string `json:"data_centre"`
 	Region     string `json:"region,omitempty"`
-	// Incarnation tells one start of the process from the next, in hex.
+	// Incarnation identifies one start of the process, in hex.
 	Incarnation string      `json:"incarnation,omitempty"`
 	State       RouterState `json:"state"`
 	// Version is the configuration version in force; zero if none, or if the
 	// router is unreachable.
 	Version config.Version `json:"version"`
-	// Listed says that the router is in the platform's list.
+	// Listed says that the router is in the platform's list of VMs.
 	Listed bool `json:"listed"`
 	// Leaving says that the platform is about to stop the VM.
 	Leaving bool `json:"leaving,omitempty"`
 	// Waiting and Running count the requests that entered at this router.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
-	// Error says why the state could not be learned; empty otherwise.
+	// Error says why the state is not known; empty otherwise.
 	Error string `json:"error,omitempty"`
 }
 
@@ -80,16 +80,16 @@
 	Pool       string       `json:"pool"`
 	DataCentre string       `json:"data_centre"`
 	Health     TargetHealth `json:"health"`
-	// Running counts the granted runs; Slots is the window in use.
+	// Running counts the granted runs; Slots is the scheduler's current limit on them.
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
 	// LoadAgeMillis is the age of the last load report; -1 if there is none.
 	LoadAgeMillis int64 `json:"load_age_ms"`
 	// Scheduler is the router that reports the target.
 	Scheduler string `json:"scheduler"`
-	// Orders is OrdersDone if the target is in its declared state, otherwise
+	// Orders is OrdersDone if the target is in its declared state. Otherwise it is
 	// the reason why not, as in walnut_orders_refusals_total, or "pending",
-	// "ordered", "loading". Empty if no state is declared for it.
+	// "ordered" or "loading". It is empty if no state is declared for the target.
 	Orders string `json:"orders,omitempty"`
 }
 
@@ -102,12 +102,12 @@
 	// Waiting and WaitingBytes count the requests held for a grant.
 	Waiting      int   `json:"waiting"`
 	WaitingBytes int64 `json:"waiting_bytes"`
-	// Running counts the requests on targets.
+	// Running counts the requests that run on targets.
 	Running int `json:"running"`
 }
 
 // ShardStatus is the queue of one shard as reported by a router that schedules it.
-// Two routers that both think they schedule a shard give two rows.
+// While two routers both act as the scheduler of a shard, it has two rows.
 type ShardStatus struct {
 	Pool       string `json:"pool"`
 	DataCentre string `json:"data_centre"`
@@ -123,7 +123,7 @@
 type Status struct {
 	// Newest is the highest configuration version that a router reported.
 	Newest config.Version `json:"newest"`
-	// Routers holds one row for each router asked.
+	// Routers holds one row for each router that was asked.
 	Routers []RouterStatus `json:"routers"`
 	// Targets and Shards come from the routers that schedule them. Backlog
 	// counts requests at the routers where they entered.
--- a/operator/types.go
+++ b/operator/types.go
@@ -21,13 +21,13 @@
 	PathDrain    = "/operator/v1/drain"
 )
 
-// MaxChangedNames bounds HistoryEntry.Changed.
+// MaxChangedNames is the maximum length of HistoryEntry.Changed.
 const MaxChangedNames = 20
 
-// Readiness says whether a router takes callers' requests.
+// Readiness is the answer to GET /readyz: whether a router takes callers' requests.
 type Readiness struct {
 	Ready bool `json:"ready"`
-	// Reason is one short sentence when not ready.
+	// Reason says in one short sentence why the router is not ready.
 	Reason string `json:"reason,omitempty"`
 	// Version is the configuration version in force; zero if none.
 	Version config.Version `json:"version"`
@@ -45,7 +45,7 @@
 	ID string `json:"id"`
 	// Base is the newest version that the operator has seen.
 	Base config.Version `json:"base"`
-	// To is the version whose declarations come back.
+	// To is the version whose declarations are restored.
 	To config.Version `json:"to"`
 	// Author and Note are kept in the history. Optional.
 	Author string `json:"author,omitempty"`
@@ -69,7 +69,7 @@
 
 // HistoryAnswer answers GET history.
 type HistoryAnswer struct {
-	// Versions stand newest first.
+	// Versions are sorted newest first.
 	Versions []HistoryEntry `json:"versions"`
 }
 
@@ -92,14 +92,14 @@
 	Name string `json:"name"`
 	// Detail is one short sentence for the operator.
 	Detail string `json:"detail"`
-	// Ran is "no" if nothing was changed, "yes" or "unknown".
+	// Ran says whether the request took effect: "no" if nothing was changed, "yes" or "unknown".
 	Ran string `json:"ran"`
 	// Retry says whether the same request may be sent again.
 	Retry bool `json:"retry"`
-	// Newest and WinnerPatchID tell of a conflict (1001) the newest version
-	// and the patch that took the version after the base.
+	// Newest and WinnerPatchID are set for a conflict (1001): the newest version,
+	// and the patch that made the version after the base.
 	Newest        config.Version `json:"newest,omitempty"`
 	WinnerPatchID string         `json:"winner_patch_id,omitempty"`
-	// Problems lists every fault of an invalid declaration (1003).
+	// Problems lists every problem of an invalid declaration (1003).
 	Problems []config.Problem `json:"problems,omitempty"`
 }
