--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -102,7 +102,7 @@
 		{"wrong type", "limits = { read_timeout = 10 }", "limits.read_timeout: must be a string with a unit"},
 		{"host name", `listen = { callers = "localhost:80", operators = "127.0.0.1:81", peers = "127.0.0.1:82" }`, `listen.callers: is "localhost:80"; must be "ip:port"`},
 		{"out of range", "limits = { max_body_bytes = 1 }", "limits.max_body_bytes: is 1; must be from 1024"},
-		{"one port twice", `listen = { callers = "127.0.0.1:80", operators = "127.0.0.1:80", peers = "127.0.0.1:82" }`, "listen.operators: is 127.0.0.1:80, which is that of listen.callers too"},
+		{"one port twice", `listen = { callers = "127.0.0.1:80", operators = "127.0.0.1:80", peers = "127.0.0.1:82" }`, "listen.operators: is 127.0.0.1:80, the same as listen.callers"},
 		{"no TLS off loopback", `listen = { callers = "10.0.0.1:80", operators = "127.0.0.1:81", peers = "127.0.0.1:82" }`, "listen.callers: is 10.0.0.1:80, which is not on loopback"},
 		{"syntax", "[node", "expected ']'"},
 		{"key file missing", peerFiles(mine.CertFile, keys+"/none.pem", mine.CAFile), "peers: load certificate: open " + keys + "/none.pem: no such file"},
--- a/settings/load.go
+++ b/settings/load.go
@@ -13,8 +13,8 @@
 )
 
 // Load reads the file at path over the defaults and validates the result. The
-// error is a Problems that lists every fault, or the reason why the file could
-// not be read.
+// error is a Problems that lists everything that is wrong, or the reason why the
+// file could not be read.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -35,13 +35,13 @@
 	if err := toml.Unmarshal(text, &document); err != nil {
 		problem := syntaxProblem(err)
 		if problem.Key == "" {
-			problem.Key = keyAt(text, problem.Line)
+			problem.Key = keyAtLine(text, problem.Line)
 		}
 		return Settings{}, Problems{problem}
 	}
 	s, problems := decode(text, document)
 	for _, problem := range s.check() {
-		if !problems.names(problem.Key) {
+		if !problems.hasKey(problem.Key) {
 			problems = append(problems, problem)
 		}
 	}
@@ -52,15 +52,15 @@
 	return s, nil
 }
 
-// decode reads the text into settings and collects what cannot be read. The
-// decoder stops at the first wrong value, so that value is taken out of the
-// document and the rest is decoded again. A rewritten document has other lines
-// than the file, so its problems are told without them.
+// decode reads the text into settings and collects the problems. The decoder
+// stops at the first wrong value, so that value is removed from the document and
+// the rest is decoded again. A rewritten document has other line numbers than the
+// file, so its problems are reported without them.
 func decode(text []byte, document map[string]any) (Settings, Problems) {
 	problems := removeIntegerDurations(document)
-	changed := wholeNumbers(document)
+	converted := convertWholeFloats(document)
 	for {
-		rewritten := changed || len(problems) > 0
+		rewritten := converted || len(problems) > 0
 		if rewritten {
 			text = encode(document)
 		}
@@ -80,13 +80,13 @@
 			problem.Line = 0
 		}
 		problems = append(problems, problem)
-		if !remove(document, strings.Split(problem.Key, ".")) {
+		if !removeKey(document, strings.Split(problem.Key, ".")) {
 			return s, problems
 		}
 	}
 }
 
-// encode writes a decoded document as TOML again.
+// encode turns a decoded document back into TOML.
 func encode(document map[string]any) []byte {
 	text, err := toml.Marshal(document)
 	if err != nil {
@@ -95,11 +95,11 @@
 	return text
 }
 
-// unknownKeys lists the keys of a document that Settings has not, with the
-// lines that the decoder found them at.
+// unknownKeys lists the keys of a document that Settings does not have, with the
+// lines at which the decoder found them unless the document was rewritten.
 func unknownKeys(document map[string]any, missing *toml.StrictMissingError, rewritten bool) Problems {
 	var problems Problems
-	for _, key := range extraKeys(document, reflect.TypeFor[Settings](), "") {
+	for _, key := range keysWithoutField(document, reflect.TypeFor[Settings](), "") {
 		problem := Problem{Key: key, Reason: "unknown key"}
 		if !rewritten {
 			problem.Line = lineOf(key, missing)
@@ -109,9 +109,9 @@
 	return problems
 }
 
-// extraKeys returns the dotted keys of a table that are no fields of a struct.
-func extraKeys(table map[string]any, fields reflect.Type, prefix string) []string {
-	var extra []string
+// keysWithoutField returns the dotted keys of a table for which a struct has no field.
+func keysWithoutField(table map[string]any, fields reflect.Type, prefix string) []string {
+	var unknown []string
 	for name, value := range table {
 		field, known := fields.FieldByNameFunc(func(field string) bool {
 			f, _ := fields.FieldByName(field)
@@ -120,16 +120,16 @@
 		inner, isTable := value.(map[string]any)
 		switch {
 		case !known:
-			extra = append(extra, prefix+name)
+			unknown = append(unknown, prefix+name)
 		case isTable && field.Type.Kind() == reflect.Struct:
-			extra = append(extra, extraKeys(inner, field.Type, prefix+name+".")...)
+			unknown = append(unknown, keysWithoutField(inner, field.Type, prefix+name+".")...)
 		}
 	}
-	return extra
+	return unknown
 }
 
 // lineOf returns the line of an unknown key; zero if it is not known. The
-// decoder names a key of an inline table without the table, so that two such
+// decoder names a key of an inline table without the table's name, so that two such
 // keys cannot be told apart.
 func lineOf(key string, missing *toml.StrictMissingError) int {
 	found := 0
@@ -145,7 +145,7 @@
 	return found
 }
 
-// syntaxProblem tells what is wrong with the text as TOML.
+// syntaxProblem turns an error of the TOML decoder into a problem.
 func syntaxProblem(err error) Problem {
 	var decodeErr *toml.DecodeError
 	if !errors.As(err, &decodeErr) {
@@ -159,9 +159,9 @@
 	}
 }
 
-// keyAt returns the dotted key that a line of TOML text sets; empty if it sets none. It
-// reads no more than section headers and bare keys, as the text may be broken.
-func keyAt(text []byte, line int) string {
+// keyAtLine returns the dotted key that a line of TOML text sets; empty if it sets none. It
+// looks only at section headers and bare keys, as the text may be malformed.
+func keyAtLine(text []byte, line int) string {
 	section, number := "", 0
 	for content := range strings.Lines(string(text)) {
 		number++
@@ -180,17 +180,18 @@
 	return ""
 }
 
-// typeProblem tells which value has the wrong type.
+// typeProblem turns a decoder's error about a value into a problem that says which type the
+// key needs.
 func typeProblem(err error) Problem {
 	problem := syntaxProblem(err)
-	if want := wantType(problem.Key); want != "" {
-		problem.Reason = want
+	if requirement := typeRequirement(problem.Key); requirement != "" {
+		problem.Reason = requirement
 	}
 	return problem
 }
 
-// remove takes a key out of a document and says whether it was there.
-func remove(document map[string]any, key []string) bool {
+// removeKey deletes a key from a document and reports whether it was there.
+func removeKey(document map[string]any, key []string) bool {
 	for len(key) > 1 {
 		inner, ok := document[key[0]].(map[string]any)
 		if !ok {
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Problem is one fault of a settings file.
+// Problem is one thing that is wrong in a settings file.
 type Problem struct {
 	// File is the path as given to Load; empty for settings that did not come
 	// from a file.
@@ -14,13 +14,13 @@
 	// Line is the line in the file, from 1; zero if it is not known.
 	Line int
 	// Key is the dotted key, for example "limits.read_timeout"; empty if the
-	// fault is not about one key.
+	// problem is not about one key.
 	Key string
 	// Reason says what is wrong and what would be right.
 	Reason string
 }
 
-// String returns the problem as "file:line: key: reason", without what is empty.
+// String returns the problem as "file:line: key: reason", without the parts that are empty.
 func (p Problem) String() string {
 	var b strings.Builder
 	if p.File != "" {
@@ -38,8 +38,8 @@
 	return b.String()
 }
 
-// Problems is the error of Load and Validate: every fault that was found, one
-// a line.
+// Problems is the error of Load and Validate: all problems that were found. Its text has one
+// line for each.
 type Problems []Problem
 
 // Error implements error.
@@ -51,8 +51,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// names says whether a problem is about the key.
-func (ps Problems) names(key string) bool {
+// hasKey reports whether one of the problems is about the key.
+func (ps Problems) hasKey(key string) bool {
 	return slices.ContainsFunc(ps, func(p Problem) bool { return p.Key == key })
 }
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a router's TOML file. Unknown keys, wrong types, host
-// names in place of IP numbers and values out of range are refused with the
+// Package settings reads a router's TOML settings file. Unknown keys, wrong types,
+// host names instead of IP addresses and values out of range are refused with the
 // file, the key and the reason. docs/walnutd.example.toml documents every key.
 package settings
 
@@ -10,7 +10,7 @@
 	"github.com/walnutcove/walnutcove/control/policy"
 )
 
-// Settings is the whole file of one walnutd.
+// Settings holds the settings file of one walnutd.
 type Settings struct {
 	Node       Node       `toml:"node"`
 	Listen     Listen     `toml:"listen"`
@@ -33,8 +33,8 @@
 	// Regions maps each data centre to its region, on a managed platform. Targets in other
 	// data centres get no requests whose route or workspace declares allowed regions.
 	Regions map[string]string `toml:"regions"`
-	// Cores is the processor that the router has, in cores. Those with less than
-	// half of the largest one's schedule nothing. Default 0: not known.
+	// Cores is how many processor cores the router has. Routers with less than half
+	// the cores of the largest one schedule nothing. Default 0: not known.
 	Cores float64 `toml:"cores"`
 }
 
@@ -44,17 +44,17 @@
 		n.Cores == other.Cores && maps.Equal(n.Regions, other.Regions)
 }
 
-// Listen holds the "ip:port" of each listener. All are required.
+// Listen holds the "ip:port" of each listener. All but Health are required.
 type Listen struct {
 	Callers   string `toml:"callers"`
 	Operators string `toml:"operators"`
 	Peers     string `toml:"peers"`
-	// Health is where the platform's balancer asks GET /readyz. Empty: only the
+	// Health is where the platform's load balancer sends GET /readyz. Empty: only the
 	// operators' listener answers it.
 	Health string `toml:"health"`
 }
 
-// Platform says where the platform's services are.
+// Platform holds the platform's address and the limits on calls to it.
 type Platform struct {
 	// Address is the "ip:port" of the platform. Required.
 	Address string `toml:"address"`
@@ -62,12 +62,12 @@
 	// platform that keeps configuration, targets and members in a row store; see
 	// package platform.
 	Kind string `toml:"kind"`
-	// ReadsPerSecond and WritesPerSecond are what the whole fleet may call a
+	// ReadsPerSecond and WritesPerSecond limit the calls of the whole fleet to a
 	// managed platform. Defaults 2000 and 400.
 	ReadsPerSecond  float64 `toml:"reads_per_second"`
 	WritesPerSecond float64 `toml:"writes_per_second"`
-	// ReturnGrace is how long entries of targets that lapsed while the platform
-	// was away may take to return once it is back. Default 2s.
+	// ReturnGrace is how long targets whose entries lapsed during an outage of the
+	// platform have to renew them once it is back. Default 2s.
 	ReturnGrace Duration `toml:"return_grace"`
 	// TargetHeartbeat is how often targets renew their entries on a managed platform.
 	// Default 1s.
@@ -78,8 +78,8 @@
 	PollEvery Duration `toml:"poll_every"`
 	// VMListEvery is the period of reading the list of VMs. Default 2s.
 	VMListEvery Duration `toml:"vm_list_every"`
-	// FleetWritesPerSecond is the budget of the whole fleet for commits of run
-	// records; each router takes its part by the members in view. Default 300.
+	// FleetWritesPerSecond limits the commits of run records of the whole fleet. Each
+	// router computes its share from the members that it sees. Default 300.
 	FleetWritesPerSecond int `toml:"fleet_writes_per_second"`
 }
 
@@ -90,17 +90,17 @@
 	CertFile string `toml:"cert_file"`
 	KeyFile  string `toml:"key_file"`
 	CAFile   string `toml:"ca_file"`
-	// TrustNetwork allows plain listeners off loopback: whoever reaches them is
-	// trusted. For networks that only routers reach.
+	// TrustNetwork allows listeners without TLS off loopback: whoever can reach them is
+	// trusted. For networks that only routers can reach.
 	TrustNetwork bool `toml:"trust_network"`
 }
 
-// Scheduling selects the policy.
+// Scheduling selects and configures the scheduling policy.
 type Scheduling struct {
 	// Policy is "shard-queue" (default) or "alone".
 	Policy string `toml:"policy"`
-	// HeartbeatEvery, MemberTimeout and ExchangeEvery are as in control.Options;
-	// ExchangeEvery may be 0, which follows the size of the fleet.
+	// HeartbeatEvery, MemberTimeout and ExchangeEvery are as in control.Options. With
+	// an ExchangeEvery of 0 the period depends on the size of the fleet.
 	HeartbeatEvery Duration `toml:"heartbeat_every"`
 	MemberTimeout  Duration `toml:"member_timeout"`
 	ExchangeEvery  Duration `toml:"exchange_every"`
@@ -110,7 +110,7 @@
 	ColdOvershoot float64 `toml:"cold_factor"`
 	ColdSlack     float64 `toml:"cold_slack"`
 	// PrefixLocality prefers, among about equally loaded targets, one that
-	// likely holds the prompt's beginning in its cache. Default true.
+	// likely has the prompt's beginning in its cache. Default true.
 	PrefixLocality bool `toml:"prefix_locality"`
 	// Tokens is the policy for pools that count in tokens. Default policy.Default;
 	// other values are for experiments.
@@ -121,43 +121,43 @@
 type Limits struct {
 	// MaxBodyBytes bounds a request body. Default 8 MiB.
 	MaxBodyBytes int `toml:"max_body_bytes"`
-	// MaxHeldBytes bounds the bodies that the router holds at once. Default
-	// 256 MiB.
+	// MaxHeldBytes bounds the total size of the bodies that the router holds at
+	// once. Default 256 MiB.
 	MaxHeldBytes int `toml:"max_held_bytes"`
 	// MaxHeaderBytes bounds a request's headers. Default 16 KiB.
 	MaxHeaderBytes int `toml:"max_header_bytes"`
-	// ReadTimeout bounds the arrival of a request. Default 10s.
+	// ReadTimeout bounds the time that a request takes to arrive. Default 10s.
 	ReadTimeout Duration `toml:"read_timeout"`
-	// IdleTimeout ends idle caller connections. Default 60s.
+	// IdleTimeout is after how long an idle caller connection is closed. Default 60s.
 	IdleTimeout Duration `toml:"idle_timeout"`
 	// DefaultDeadline is the time to dispatch if the caller sets none. Default 30s.
 	DefaultDeadline Duration `toml:"default_deadline"`
-	// FirstByteTimeout bounds the wait for a target's answer. Default 60s.
+	// FirstByteTimeout bounds the wait for the first byte of a target's answer. Default 60s.
 	FirstByteTimeout Duration `toml:"first_byte_timeout"`
 	// StallTimeout bounds the gap between parts of an answer. Default 30s.
 	StallTimeout Duration `toml:"stall_timeout"`
 	// DrainTimeout bounds a graceful shutdown. Default 10m.
 	DrainTimeout Duration `toml:"drain_timeout"`
-	// DrainNotice is how long a leaving router goes on taking requests while it
-	// says that it is not ready, so that the balancer turns away first; at most half of
-	// DrainTimeout. Default 0.
+	// DrainNotice is how long a draining router still takes requests while it reports
+	// that it is not ready, so that the load balancer stops sending first; at most half
+	// of DrainTimeout. Default 0.
 	DrainNotice Duration `toml:"drain_notice"`
-	// MaxDescriptors is how many descriptors the process may have open. Default
-	// 0: not bounded.
+	// MaxDescriptors is how many file descriptors the process may have open. Default
+	// 0: no limit.
 	MaxDescriptors int `toml:"max_descriptors"`
-	// MemoryMiB is the memory that the process may use; the garbage collector
-	// works harder near to it. Default 0: not bounded.
+	// MemoryMiB is the memory that the process may use, in MiB; the garbage collector
+	// runs more often near the limit. Default 0: no limit.
 	MemoryMiB float64 `toml:"memory_mib"`
 }
 
-// Retries bounds requests that are sent to a target again, for the whole fleet.
+// Retries limits how often requests are sent to a target again, for the whole fleet.
 type Retries struct {
-	// Ratio is how many retries each request of a pool earns. Default 0.2.
+	// Ratio is how many retries are allowed for each request of a pool. Default 0.2.
 	Ratio float64 `toml:"ratio"`
 	// Slack is how many retries a pool may have beyond that in a Window.
 	// Default 50.
 	Slack float64 `toml:"slack"`
-	// Window is the span over which the two hold. Default 10s.
+	// Window is the time span over which Ratio and Slack apply. Default 10s.
 	Window Duration `toml:"window"`
 }
 
@@ -176,7 +176,7 @@
 	Format string `toml:"format"`
 }
 
-// Duration is a time.Duration that reads "250ms" from TOML.
+// Duration is a time.Duration that is written as a string such as "250ms" in TOML.
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,7 +14,7 @@
 
 const examplePath = "../docs/walnutd.example.toml"
 
-// minimal holds the required keys.
+// minimal is a file with the required keys only.
 const minimal = `
 [node]
 name = "vm-1"
@@ -27,8 +27,8 @@
 address = "10.0.0.5:9000"
 `
 
-// TestProblems loads the text of each case: "parse" as it stands, "with" after
-// the lines that a key of the same name replaces in the minimal file.
+// TestProblems loads the settings of each case in testdata. "parse" loads the case's text as
+// it is; "with" loads the minimal file with the case's keys added or replaced.
 func TestProblems(t *testing.T) {
 	datadriven.RunTest(t, "testdata/problems", func(t *testing.T, d *datadriven.TestData) string {
 		text := d.Input
@@ -46,7 +46,8 @@
 	})
 }
 
-// merge puts each "section.key = value" line into its section of the text.
+// merge puts each "section.key = value" line into its section of the text, in place of a line
+// with the same key.
 func merge(text, lines string) string {
 	for line := range strings.SplitSeq(lines, "\n") {
 		key, value, _ := strings.Cut(line, " = ")
@@ -66,7 +67,8 @@
 	}
 }
 
-// TestExampleHoldsEveryKey also checks that optional keys show their defaults.
+// TestExampleHoldsEveryKey checks that the example file has every key with a comment, and
+// that optional keys show their defaults.
 func TestExampleHoldsEveryKey(t *testing.T) {
 	s, err := Load(examplePath)
 	if err != nil {
@@ -95,7 +97,7 @@
 	checkDocumented(t, documented, "", reflect.ValueOf(s), reflect.ValueOf(Defaults()))
 }
 
-// checkDocumented checks the keys of a section and of those below it.
+// checkDocumented checks the keys of a section and of its subsections.
 func checkDocumented(t *testing.T, documented map[string]bool, section string, values, defaults reflect.Value) {
 	t.Helper()
 	for i := range values.NumField() {
@@ -108,16 +110,17 @@
 			continue
 		}
 		if !documented[key] {
-			t.Errorf("%s does not stand in the example with a comment above", key)
+			t.Errorf("%s is not in the example with a comment above it", key)
 		}
-		standard := defaults.Field(i)
-		if !standard.IsZero() && !reflect.DeepEqual(standard.Interface(), values.Field(i).Interface()) {
-			t.Errorf("%s: the example does not show the default %v", key, standard)
+		defaultValue := defaults.Field(i)
+		if !defaultValue.IsZero() && !reflect.DeepEqual(defaultValue.Interface(), values.Field(i).Interface()) {
+			t.Errorf("%s: the example does not show the default %v", key, defaultValue)
 		}
 	}
 }
 
-// FuzzParse checks that no text makes Parse panic or accept what Validate refuses.
+// FuzzParse checks that no text makes Parse panic, fail without a problem, or accept what
+// Validate refuses.
 func FuzzParse(f *testing.F) {
 	f.Add(minimal)
 	f.Add("[limits]\nread_timeout = 5\nmax_body_bytes = \"x\"\n[a.b]\nc = 1979-05-27")
@@ -134,8 +137,8 @@
 	})
 }
 
-// TestPolicyIsChecked: the weights of pools that count in tokens are bounded, like all
-// settings, and each complaint names its key.
+// TestPolicyIsChecked checks that the values of the policy for pools that count in tokens are
+// bounded like all settings, and that each problem names its key.
 func TestPolicyIsChecked(t *testing.T) {
 	for line, key := range map[string]string{
 		"wait_part = 0":               "scheduling.tokens.wait_part",
--- a/settings/types.go
+++ b/settings/types.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// wantDuration is the reason given for a value that is not a duration.
-const wantDuration = `must be a string with a unit, for example "250ms"`
+// durationRequirement is the reason given for a value that is not a duration.
+const durationRequirement = `must be a string with a unit, for example "250ms"`
 
 // fieldType returns the type of a dotted key; nil if there is no such key.
 func fieldType(key string) reflect.Type {
 	t := reflect.TypeFor[Settings]()
 	for name := range strings.SplitSeq(key, ".") {
-		t = memberType(t, name)
+		t = structFieldType(t, name)
 		if t == nil {
 			return nil
 		}
@@ -21,7 +21,7 @@
 	return t
 }
 
-func memberType(t reflect.Type, name string) reflect.Type {
+func structFieldType(t reflect.Type, name string) reflect.Type {
 	if t.Kind() != reflect.Struct {
 		return nil
 	}
@@ -33,15 +33,15 @@
 	return nil
 }
 
-// wantType says in the file's terms what a key's value must be; empty if there
+// typeRequirement says in TOML's terms what a key's value must be; empty if there
 // is no such key.
-func wantType(key string) string {
+func typeRequirement(key string) string {
 	t := fieldType(key)
 	switch {
 	case t == nil:
 		return ""
 	case t == reflect.TypeFor[Duration]():
-		return wantDuration
+		return durationRequirement
 	}
 	switch t.Kind() {
 	case reflect.Struct:
@@ -59,16 +59,16 @@
 	}
 }
 
-// wholeNumbers turns numbers such as 4100.0 into integers where the key is a whole
-// number, and says whether it changed any. Whoever fills in a template may write all
-// numbers with a fraction.
-func wholeNumbers(document map[string]any) bool {
+// convertWholeFloats turns numbers such as 4100.0 into integers where the key needs an
+// integer, and reports whether it changed any. Programs that fill in a template may
+// write all numbers with a fraction.
+func convertWholeFloats(document map[string]any) bool {
 	changed := false
 	for section, content := range document {
 		values, _ := content.(map[string]any)
 		for name, value := range values {
 			number, isFloat := value.(float64)
-			if !isFloat || number != math.Trunc(number) || math.Abs(number) > largestExact {
+			if !isFloat || number != math.Trunc(number) || math.Abs(number) > maxExactFloat {
 				continue
 			}
 			if t := fieldType(section + "." + name); t != nil && t.Kind() == reflect.Int {
@@ -80,11 +80,11 @@
 	return changed
 }
 
-// largestExact is the largest whole number up to which a float64 holds each exactly.
-const largestExact = 1 << 53
+// maxExactFloat is the number up to which a float64 holds every whole number exactly.
+const maxExactFloat = 1 << 53
 
-// removeIntegerDurations finds durations written as bare integers, which the
-// decoder would take for nanoseconds, and takes them out of the document.
+// removeIntegerDurations removes durations written as bare integers from the document, as
+// the decoder would read them as nanoseconds, and returns a problem for each.
 func removeIntegerDurations(document map[string]any) Problems {
 	var problems Problems
 	for section, content := range document {
@@ -96,7 +96,7 @@
 				continue
 			}
 			delete(values, name)
-			problems = append(problems, Problem{Key: key, Reason: wantDuration})
+			problems = append(problems, Problem{Key: key, Reason: durationRequirement})
 		}
 	}
 	return problems
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -11,11 +11,11 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// Bounds of values.
+// The ranges of allowed values.
 const (
 	minDuration = Duration(time.Millisecond)
 	maxDuration = Duration(24 * time.Hour)
-	// maxColdOvershoot and maxColdSlack are the upper bounds of these settings.
+	// maxColdOvershoot and maxColdSlack are for cold_factor and cold_slack.
 	maxColdOvershoot = 100_000
 	maxColdSlack     = 100_000
 
@@ -25,9 +25,9 @@
 	minHeaderBytes = 1 << 10
 	maxHeaderBytes = 1 << 20
 
-	maxNameBytes   = 253
-	minFleetWrites = 1
-	maxFleetWrites = 1_000_000
+	maxNameBytes            = 253
+	minFleetWritesPerSecond = 1
+	maxFleetWritesPerSecond = 1_000_000
 
 	keyHashBytes = 32
 )
@@ -53,12 +53,12 @@
 		c.add("platform.address", "has no port")
 	}
 	s.checkListeners(&c)
-	s.checkDurations(&c)
-	s.checkManaged(&c)
+	s.checkDurationsAndScheduling(&c)
+	s.checkPlatformAndLimits(&c)
 	c.within("limits.max_body_bytes", s.Limits.MaxBodyBytes, minBodyBytes, maxBodyBytes)
 	c.within("limits.max_held_bytes", s.Limits.MaxHeldBytes, s.Limits.MaxBodyBytes, maxHeldBytes)
 	c.within("limits.max_header_bytes", s.Limits.MaxHeaderBytes, minHeaderBytes, maxHeaderBytes)
-	c.within("platform.fleet_writes_per_second", s.Platform.FleetWritesPerSecond, minFleetWrites, maxFleetWrites)
+	c.within("platform.fleet_writes_per_second", s.Platform.FleetWritesPerSecond, minFleetWritesPerSecond, maxFleetWritesPerSecond)
 	policies := []string{string(control.PolicyShardQueue), string(control.PolicyAlone)}
 	c.oneOf("scheduling.policy", s.Scheduling.Policy, policies...)
 	c.oneOf("log.level", s.Log.Level, "debug", "info", "warn", "error")
@@ -77,7 +77,7 @@
 	c.distinct("listen.peers", peers, "listen.callers", callers)
 	c.distinct("listen.peers", peers, "listen.operators", operators)
 	s.checkHealthListener(c, callers)
-	tls := c.allOrNone(s.Peers)
+	tls := c.tlsFiles(s.Peers)
 	if !tls && !s.Peers.TrustNetwork {
 		c.loopback("listen.callers", callers, callersOK)
 		c.loopback("listen.operators", operators, operatorsOK)
@@ -88,7 +88,7 @@
 	}
 }
 
-// checkHealthListener checks the address for the balancer, which may be left out.
+// checkHealthListener checks the load balancer's address, which is optional.
 func (s Settings) checkHealthListener(c *checker, callers netip.AddrPort) {
 	if s.Listen.Health == "" {
 		return
@@ -99,8 +99,9 @@
 	}
 }
 
-// checkManaged checks what holds for a managed platform.
-func (s Settings) checkManaged(c *checker) {
+// checkPlatformAndLimits checks the kind of platform, the limits on calls to a managed platform,
+// the bounds of retries, and the limits of the process.
+func (s Settings) checkPlatformAndLimits(c *checker) {
 	c.oneOf("platform.kind", s.Platform.Kind, KindOwn, KindManaged)
 	c.positive("platform.reads_per_second", s.Platform.ReadsPerSecond)
 	c.positive("platform.writes_per_second", s.Platform.WritesPerSecond)
@@ -130,7 +131,8 @@
 	}
 }
 
-func (s Settings) checkDurations(c *checker) {
+// checkDurationsAndScheduling checks the durations and the figures of the scheduling policy.
+func (s Settings) checkDurationsAndScheduling(c *checker) {
 	c.duration("platform.timeout", s.Platform.Timeout)
 	c.duration("platform.poll_every", s.Platform.PollEvery)
 	c.duration("platform.vm_list_every", s.Platform.VMListEvery)
@@ -173,28 +175,28 @@
 	c.problems = append(c.problems, Problem{Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// name checks a name that other routers and the platform know.
+// name checks a name that other routers and the platform use.
 func (c *checker) name(key, value string) {
 	if value == "" {
 		c.add(key, "is required")
 		return
 	}
-	plain := func(r rune) bool { return r > ' ' && r <= '~' && r != '"' && r != '\\' }
-	if len(value) > maxNameBytes || strings.IndexFunc(value, func(r rune) bool { return !plain(r) }) >= 0 {
+	isAllowed := func(r rune) bool { return r > ' ' && r <= '~' && r != '"' && r != '\\' }
+	if len(value) > maxNameBytes || strings.IndexFunc(value, func(r rune) bool { return !isAllowed(r) }) >= 0 {
 		c.add(key, "is %.64q; must be up to %d ASCII characters without spaces, quotes and backslashes", value, maxNameBytes)
 	}
 }
 
-// distinct refuses one address for two listeners. Port 0 lets the system pick.
+// distinct refuses one address for two listeners. With port 0 the system picks a port for each.
 func (c *checker) distinct(key string, address netip.AddrPort, otherKey string, other netip.AddrPort) {
 	if address.IsValid() && address.Port() != 0 && address == other {
-		c.add(key, "is %s, which is that of %s too", address, otherKey)
+		c.add(key, "is %s, the same as %s", address, otherKey)
 	}
 }
 
-func (c *checker) within(key string, value, least, most int) {
-	if value < least || value > most {
-		c.add(key, "is %d; must be from %d to %d", value, least, most)
+func (c *checker) within(key string, value, minValue, maxValue int) {
+	if value < minValue || value > maxValue {
+		c.add(key, "is %d; must be from %d to %d", value, minValue, maxValue)
 	}
 }
 
@@ -218,7 +220,7 @@
 	}
 }
 
-// address checks an "ip:port" and says whether it is one.
+// address parses an "ip:port" and reports whether it is valid.
 func (c *checker) address(key, value string) (netip.AddrPort, bool) {
 	if value == "" {
 		c.add(key, "is required")
@@ -238,8 +240,8 @@
 	}
 }
 
-// allOrNone checks the TLS files and says whether any is set.
-func (c *checker) allOrNone(p Peers) bool {
+// tlsFiles checks that all TLS files are set or none, and reports whether any is.
+func (c *checker) tlsFiles(p Peers) bool {
 	files := []struct{ key, value string }{
 		{"peers.cert_file", p.CertFile},
 		{"peers.key_file", p.KeyFile},
