--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,7 +1,7 @@
 // Package daemon is the walnutd program: it reads the command line and the
 // settings, runs one router, and stops it on signals. The first SIGTERM or
-// SIGINT drains; a second one ends at once. After a drain that an operator
-// asked for, the first one changes nothing.
+// SIGINT drains the router; a second one aborts the drain. While a drain that
+// an operator started is in progress, the first one has no effect.
 package daemon
 
 import (
@@ -24,7 +24,7 @@
 
 // Exit codes of walnutd.
 const (
-	// ExitOK: the command succeeded; a router drained and cut nothing.
+	// ExitOK: the command succeeded; a router has drained completely.
 	ExitOK = 0
 	// ExitFailed: the router could not start, or its drain was cut short.
 	ExitFailed = 1
@@ -47,8 +47,8 @@
 
 // Main runs the program and returns its exit code.
 func Main(args []string, out, errOut io.Writer) int {
-	var line commandLine
-	parser, err := kong.New(&line,
+	var flags commandLine
+	parser, err := kong.New(&flags,
 		kong.Name("walnutd"),
 		kong.Description("One router of a walnutcove fleet."),
 		kong.Writers(out, errOut))
@@ -61,9 +61,9 @@
 		return ExitUsage
 	}
 	if parsed.Command() == "check" {
-		return check(line.Check.Config, out, errOut)
+		return check(flags.Check.Config, out, errOut)
 	}
-	return run(line.Run.Config, out, errOut)
+	return run(flags.Run.Config, out, errOut)
 }
 
 func check(path string, out, errOut io.Writer) int {
@@ -75,7 +75,7 @@
 	return ExitOK
 }
 
-// load reads the settings and checks them, and the files that they name.
+// load reads the settings and checks them and the files that they refer to.
 func load(path string) (settings.Settings, error) {
 	loaded, err := settings.Load(path)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return loaded, inFile(path, router.Check(loaded))
 }
 
-// inFile names the settings file in errors about its keys.
+// inFile adds the settings file's path to errors about its keys.
 func inFile(path string, err error) error {
 	var problems settings.Problems
 	if errors.As(err, &problems) {
@@ -107,9 +107,9 @@
 	return serve(path, time.Duration(loaded.Limits.DrainTimeout), start, errOut, log)
 }
 
-// serve starts a router and obeys signals until it has ended. All signals are caught
-// before the router starts: one that is sent as soon as the router answers must not end
-// the process.
+// serve starts a router and handles signals until the router has stopped. All signals are
+// caught before the router starts: one that is sent as soon as the router answers must not
+// end the process.
 func serve(path string, limit time.Duration, start func() (*router.Router, error), errOut io.Writer, log *slog.Logger) int {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -129,33 +129,34 @@
 		case <-signals:
 			return drain(r, limit, signals, 1, log)
 		case <-r.DrainAsked():
-			// The platform may end the VM by a signal now; that is no second order.
+			// The platform may now signal the process as it stops the VM. That signal must
+			// not abort the drain.
 			return drain(r, limit, signals, 2, log)
 		}
 	}
 }
 
-// reload reads the settings file again and takes over what a running router can.
-// A file that cannot be read changes nothing.
+// reload reads the settings file again and applies the sections that a running router can
+// change. A file that cannot be read or is not valid changes nothing.
 func reload(r *router.Router, path string, log *slog.Logger) {
 	loaded, err := load(path)
 	if err != nil {
-		log.Error("daemon: Settings cannot be read, going on with those before.", "file", path, "error", err)
+		log.Error("daemon: Settings cannot be read; keeping the previous ones.", "file", path, "error", err)
 		return
 	}
-	taken, left := r.Reload(loaded)
-	log.Info("daemon: Settings reloaded.", "file", path, "taken", taken, "need_restart", left)
+	taken, needRestart := r.Reload(loaded)
+	log.Info("daemon: Settings reloaded.", "file", path, "taken", taken, "need_restart", needRestart)
 }
 
-// memoryPart is the part of the VM's memory that the garbage collector keeps the
-// heap below. The rest is for stacks, buffers of the system and what has arrived
-// and is not yet read, all of which count.
-const memoryPart = 0.7
+// heapShare is the share of the VM's memory within which the garbage collector keeps
+// the heap. The rest is for stacks, system buffers and data that has arrived and is
+// not yet read, all of which count as used memory.
+const heapShare = 0.7
 
-// setMemoryLimit bounds the heap; zero leaves it as it is.
+// setMemoryLimit limits the heap; zero sets no limit.
 func setMemoryLimit(mebibytes float64) {
 	if mebibytes > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * mebibytes * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapShare * mebibytes * (1 << 20)))
 	}
 }
 
@@ -164,12 +165,12 @@
 	Shutdown(ctx context.Context) error
 }
 
-// drain shuts the router down. The given number of further signals cuts it.
-func drain(r shutdowner, limit time.Duration, signals <-chan os.Signal, cutBy int, log *slog.Logger) int {
+// drain shuts the router down. It is aborted at the limit or after abortAfter more signals.
+func drain(r shutdowner, limit time.Duration, signals <-chan os.Signal, abortAfter int, log *slog.Logger) int {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	go func() {
-		for range cutBy {
+		for range abortAfter {
 			select {
 			case <-signals:
 			case <-ctx.Done():
@@ -185,12 +186,12 @@
 	return ExitOK
 }
 
-// NewLogger returns the logger that the settings ask for.
-func NewLogger(s settings.Log, out io.Writer) *slog.Logger {
+// NewLogger returns a logger with the level and format of the settings.
+func NewLogger(logSettings settings.Log, out io.Writer) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(s.Level)) // validated with the settings
+	_ = level.UnmarshalText([]byte(logSettings.Level)) // validated with the settings
 	options := &slog.HandlerOptions{Level: level}
-	if s.Format == "json" {
+	if logSettings.Format == "json" {
 		return slog.New(slog.NewJSONHandler(out, options))
 	}
 	return slog.New(slog.NewTextHandler(out, options))
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -24,10 +24,10 @@
 	"github.com/walnutcove/walnutcove/settings"
 )
 
-// generous bounds waits for events that must come.
-const generous = 30 * time.Second
+// eventTimeout bounds the wait for an event that must happen.
+const eventTimeout = 30 * time.Second
 
-// output collects what the program writes.
+// output collects the program's output. It is safe for concurrent use.
 type output struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -47,17 +47,17 @@
 	return o.text.String()
 }
 
-// waitFor waits until the text was written.
+// waitFor waits until the output contains the text.
 func (o *output) waitFor(t *testing.T, text string) {
 	t.Helper()
-	for end := time.Now().Add(generous); !strings.Contains(o.String(), text); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); !strings.Contains(o.String(), text); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("no %q in:\n%s", text, o)
 		}
 	}
 }
 
-// listen holds a port that nothing else can listen on.
+// listen listens on a free port, so that nothing else can.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -68,9 +68,10 @@
 	return listener
 }
 
-// write writes settings whose listeners pick their ports, with lines added.
-// The platform is one that nothing listens at.
-func write(t *testing.T, lines string) string {
+// writeSettings writes a settings file with the added lines and returns its path. Its
+// listeners pick free ports unless the lines set them, and nothing listens at the platform's
+// address.
+func writeSettings(t *testing.T, lines string) string {
 	t.Helper()
 	text := `
 node = { name = "vm-1", data_centre = "ikeja" }
@@ -86,7 +87,7 @@
 	return path
 }
 
-// peerFiles is the setting of key files.
+// peerFiles returns the settings line with the given TLS files.
 func peerFiles(cert, key, ca string) string {
 	return fmt.Sprintf("peers = { cert_file = %q, key_file = %q, ca_file = %q }\n", cert, key, ca)
 }
@@ -112,7 +113,7 @@
 		{"some key files only", fmt.Sprintf("peers = { cert_file = %q }", mine.CertFile), "peers.ca_file: is missing"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			path := write(t, c.lines)
+			path := writeSettings(t, c.lines)
 			for _, command := range []string{"check", "run"} {
 				var out, errOut output
 				if code := Main([]string{command, "-c", path}, &out, &errOut); code != ExitUsage {
@@ -128,7 +129,7 @@
 
 func TestCheckOfGoodSettings(t *testing.T) {
 	var out, errOut output
-	path := write(t, "")
+	path := writeSettings(t, "")
 	if code := Main([]string{"check", "-c", path}, &out, &errOut); code != ExitOK || out.String() != path+": The settings are valid.\n" || errOut.String() != "" {
 		t.Errorf("exit code %d, %q, %q", code, &out, &errOut)
 	}
@@ -159,7 +160,7 @@
 	for n, key := range []string{"callers", "operators", "peers"} {
 		addresses := []string{"127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"}
 		addresses[n] = taken
-		path := write(t, fmt.Sprintf("listen = { callers = %q, operators = %q, peers = %q }", addresses[0], addresses[1], addresses[2]))
+		path := writeSettings(t, fmt.Sprintf("listen = { callers = %q, operators = %q, peers = %q }", addresses[0], addresses[1], addresses[2]))
 		var out, errOut output
 		code := Main([]string{"-c", path}, &out, &errOut)
 		got := errOut.String()
@@ -172,12 +173,13 @@
 	}
 }
 
-// TestSecondSignalEndsAtOnce holds a drain by half a request.
+// TestSecondSignalEndsAtOnce checks that a second signal aborts a drain that waits for an
+// incomplete request.
 func TestSecondSignalEndsAtOnce(t *testing.T) {
-	holder := listen(t)
-	callers := holder.Addr().String()
-	holder.Close()
-	path := write(t, fmt.Sprintf(`listen = { callers = %q, operators = "127.0.0.1:0", peers = "127.0.0.1:0" }
+	listener := listen(t)
+	callers := listener.Addr().String()
+	listener.Close()
+	path := writeSettings(t, fmt.Sprintf(`listen = { callers = %q, operators = "127.0.0.1:0", peers = "127.0.0.1:0" }
 limits = { read_timeout = "1h" }
 log = { format = "json" }`, callers))
 	var out output
@@ -193,7 +195,7 @@
 		t.Fatal(err)
 	}
 	// Connections are accepted in order: once a later one is answered, the router
-	// has this one, and a drain waits for it.
+	// has accepted this one, and a drain waits for it.
 	later, err := http.Get("http://" + callers + "/x")
 	if err != nil {
 		t.Fatal(err)
@@ -210,7 +212,7 @@
 		if code != ExitFailed || !strings.Contains(out.String(), "daemon: Drain was cut short.") {
 			t.Errorf("exit code %d:\n%s", code, &out)
 		}
-	case <-time.After(generous):
+	case <-time.After(eventTimeout):
 		t.Fatalf("did not end:\n%s", &out)
 	}
 	for line := range strings.Lines(out.String()) {
@@ -223,7 +225,7 @@
 func TestSignalDrains(t *testing.T) {
 	var out output
 	exited := make(chan int, 1)
-	path := write(t, "")
+	path := writeSettings(t, "")
 	go func() { exited <- Main([]string{"-c", path}, &out, io.Discard) }()
 	out.waitFor(t, "router: Started.")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGINT); err != nil {
@@ -234,16 +236,16 @@
 		if code != ExitOK {
 			t.Errorf("exit code %d:\n%s", code, &out)
 		}
-	case <-time.After(generous):
+	case <-time.After(eventTimeout):
 		t.Fatalf("did not end:\n%s", &out)
 	}
 }
 
-// heldRouter drains until it is released.
-type heldRouter struct{ release chan struct{} }
+// blockedRouter is a router whose shutdown does not end before release is closed.
+type blockedRouter struct{ release chan struct{} }
 
 // Shutdown implements shutdowner.
-func (h heldRouter) Shutdown(ctx context.Context) error {
+func (h blockedRouter) Shutdown(ctx context.Context) error {
 	select {
 	case <-h.release:
 		return nil
@@ -254,8 +256,8 @@
 
 func TestSignalAfterOperatorsDrain(t *testing.T) {
 	for _, c := range []struct{ signals, code int }{{1, ExitOK}, {2, ExitFailed}} {
-		signals := make(chan os.Signal) // without room: a sent signal was taken
-		r := heldRouter{make(chan struct{})}
+		signals := make(chan os.Signal) // unbuffered: once a signal is sent, drain has received it
+		r := blockedRouter{make(chan struct{})}
 		exited := make(chan int, 1)
 		go func() { exited <- drain(r, time.Hour, signals, 2, slog.New(slog.DiscardHandler)) }()
 		for range c.signals {
@@ -286,14 +288,14 @@
 	}
 }
 
-// TestHangUpDuringStart asks for a reload before the router's start has returned. The
-// signal must wait for the router; its default action would end the process.
+// TestHangUpDuringStart sends SIGHUP before the router's start has returned. The
+// reload must wait for the router; the signal's default action would end the process.
 func TestHangUpDuringStart(t *testing.T) {
-	// Caught here too, so that a failure is this test's and not the process's end.
+	// Caught here too, so that a failure fails this test and does not end the process.
 	caught := make(chan os.Signal, 1)
 	signal.Notify(caught, syscall.SIGHUP)
 	defer signal.Stop(caught)
-	path := write(t, "")
+	path := writeSettings(t, "")
 	loaded, err := load(path)
 	if err != nil {
 		t.Fatal(err)
@@ -309,7 +311,7 @@
 		return r, err
 	}
 	exited := make(chan int, 1)
-	go func() { exited <- serve(path, generous, start, io.Discard, log) }()
+	go func() { exited <- serve(path, eventTimeout, start, io.Discard, log) }()
 	out.waitFor(t, "daemon: Settings reloaded.")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -319,11 +321,11 @@
 	}
 }
 
-// TestHangUpReloads changes the settings file under a running router: a change that
-// a running router can take over is taken, one that it cannot is named, and a file
-// that cannot be read changes nothing. Requests go on being taken.
+// TestHangUpReloads changes the settings file of a running router. A change that the
+// router can apply is applied, one that needs a restart is logged, and a file that is not
+// valid changes nothing. The router keeps running.
 func TestHangUpReloads(t *testing.T) {
-	path := write(t, "")
+	path := writeSettings(t, "")
 	var out output
 	exited := make(chan int, 1)
 	go func() { exited <- Main([]string{"-c", path}, &out, io.Discard) }()
@@ -352,7 +354,7 @@
 		if code != ExitOK {
 			t.Errorf("exit code %d:\n%s", code, &out)
 		}
-	case <-time.After(generous):
+	case <-time.After(eventTimeout):
 		t.Fatalf("did not end:\n%s", &out)
 	}
 }
--- a/daemon/lines.go
+++ b/daemon/lines.go
@@ -7,14 +7,14 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// queuedLines bounds the log lines that wait to be written. At about 250 bytes a
-// line it is some 2 MB, and ten seconds of a busy router.
-const queuedLines = 8192
+// maxQueuedLines bounds the log lines that wait to be written. At about 250 bytes a
+// line that is some 2 MB, or ten seconds of a busy router's log.
+const maxQueuedLines = 8192
 
 var droppedLines = metrics.GetOrCreateCounter(`walnut_log_lines_dropped_total`)
 
-// lineWriter writes log lines on a goroutine of its own, so that a slow reader of
-// the output never blocks a request. Lines beyond its bound are dropped and
+// lineWriter writes log lines on its own goroutine, so that a slow reader of the
+// output never blocks a request. Lines beyond maxQueuedLines are dropped and
 // counted.
 type lineWriter struct {
 	lines chan []byte
@@ -23,7 +23,7 @@
 }
 
 func newLineWriter(out io.Writer) *lineWriter {
-	w := &lineWriter{lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+	w := &lineWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run(out)
 	return w
 }
@@ -38,7 +38,7 @@
 	return len(line), nil
 }
 
-// run writes what has gathered in one piece, as each write is a system call.
+// run writes the queued lines in batches, as each write is a system call.
 func (w *lineWriter) run(out io.Writer) {
 	defer close(w.done)
 	var batch []byte
@@ -53,18 +53,18 @@
 				more = false
 			}
 		}
-		// A line that cannot be written has nowhere else to go.
+		// A failed write is counted but not logged: there is no other output.
 		if _, err := out.Write(batch); err != nil {
 			droppedLines.Inc()
 		}
 	}
 }
 
-// maxBatchBytes bounds one write of several lines: the system does not tear apart
-// what one write puts into a pipe up to 4 KiB. A line is about 250 bytes.
+// maxBatchBytes is the size from which a batch takes no more lines. Writes to a pipe are
+// atomic up to 4 KiB, and a line is about 250 bytes.
 const maxBatchBytes = 3500
 
-// Close writes what waits. No Write may follow.
+// Close writes the queued lines and stops the goroutine. No Write may follow.
 func (w *lineWriter) Close() {
 	w.close.Do(func() { close(w.lines) })
 	<-w.done
