--- a/ctl/client.go
+++ b/ctl/client.go
@@ -28,8 +28,8 @@
 	DefaultPollEvery   = 500 * time.Millisecond
 )
 
-// maxAnswerBytes bounds an answer. A whole configuration at the largest size
-// that is planned for is under 10 MB.
+// maxAnswerBytes bounds an answer. A whole configuration of the largest size
+// that is planned for has less than 10 MB.
 const maxAnswerBytes = 64 << 20
 
 // Options configure a Client. Zero durations and counts take the defaults.
@@ -41,11 +41,11 @@
 	// DialTimeout bounds a connection attempt, CallTimeout one call.
 	DialTimeout time.Duration
 	CallTimeout time.Duration
-	// RetryEvery is the pause before a patch of unknown outcome is sent again,
-	// Attempts how often it is sent in all.
+	// RetryEvery is the pause before a patch with an unknown outcome is sent again,
+	// and Attempts how often it is sent in total.
 	RetryEvery time.Duration
 	Attempts   int
-	// PollEvery is the period at which Wait asks.
+	// PollEvery is the period at which Wait reads the status of the fleet.
 	PollEvery time.Duration
 }
 
@@ -77,29 +77,29 @@
 	return c, nil
 }
 
-func withDefaults(o Options) Options {
-	if o.DialTimeout == 0 {
-		o.DialTimeout = DefaultDialTimeout
+func withDefaults(options Options) Options {
+	if options.DialTimeout == 0 {
+		options.DialTimeout = DefaultDialTimeout
 	}
-	if o.CallTimeout == 0 {
-		o.CallTimeout = DefaultCallTimeout
+	if options.CallTimeout == 0 {
+		options.CallTimeout = DefaultCallTimeout
 	}
-	if o.RetryEvery == 0 {
-		o.RetryEvery = DefaultRetryEvery
+	if options.RetryEvery == 0 {
+		options.RetryEvery = DefaultRetryEvery
 	}
-	if o.Attempts == 0 {
-		o.Attempts = DefaultAttempts
+	if options.Attempts == 0 {
+		options.Attempts = DefaultAttempts
 	}
-	if o.PollEvery == 0 {
-		o.PollEvery = DefaultPollEvery
+	if options.PollEvery == 0 {
+		options.PollEvery = DefaultPollEvery
 	}
-	return o
+	return options
 }
 
-// neverRetry keeps fasthttp from sending a request again by itself.
+// neverRetry disables fasthttp's own retries.
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// dialError says that no connection was made, so nothing was sent.
+// dialError says that no connection was opened, so that nothing was sent.
 type dialError struct{ cause error }
 
 func (e *dialError) Error() string { return e.cause.Error() }
@@ -113,18 +113,18 @@
 	return conn, nil
 }
 
-// Close ends idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// call is one request of the operator API.
-type call struct {
+// apiRequest is a request to the operator API.
+type apiRequest struct {
 	method string
 	path   string
 	query  url.Values
-	body   any // nil for none
+	body   any // encoded as JSON; nil for none
 }
 
-// transportError says that a router was not reached or did not answer.
+// transportError says that a router could not be reached, or gave no valid answer.
 type transportError struct {
 	router string
 	cause  error
@@ -133,20 +133,20 @@
 func (e *transportError) Error() string { return e.router + ": " + e.cause.Error() }
 func (e *transportError) Unwrap() error { return e.cause }
 
-// sent reports whether the router may have received the request.
-func (e *transportError) sent() bool {
-	var dial *dialError
-	return !errors.As(e.cause, &dial)
+// mayBeSent reports whether the router may have received the request.
+func (e *transportError) mayBeSent() bool {
+	var notSent *dialError
+	return !errors.As(e.cause, &notSent)
 }
 
 // send makes one call to one router and decodes the answer into answer. Errors
 // are *transportError or *Error.
-func (c *Client) send(ctx context.Context, router string, request call, answer any) error {
+func (c *Client) send(ctx context.Context, router string, request apiRequest, answer any) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	if err := c.fill(req, router, request); err != nil {
+	if err := c.encodeRequest(req, router, request); err != nil {
 		return err
 	}
 	if err := ctx.Err(); err != nil {
@@ -158,7 +158,8 @@
 	return decodeAnswer(router, resp, answer)
 }
 
-func (c *Client) fill(req *fasthttp.Request, router string, request call) error {
+// encodeRequest fills in the HTTP request of an API request to a router.
+func (c *Client) encodeRequest(req *fasthttp.Request, router string, request apiRequest) error {
 	req.Header.SetMethod(request.method)
 	target := url.URL{Scheme: "http", Host: router, Path: request.path, RawQuery: request.query.Encode()}
 	req.SetRequestURI(target.String())
@@ -177,6 +178,7 @@
 	return nil
 }
 
+// deadline returns when a call that starts now ends: after CallTimeout, or with ctx.
 func (c *Client) deadline(ctx context.Context) time.Time {
 	deadline := time.Now().Add(c.options.CallTimeout)
 	if limit, ok := ctx.Deadline(); ok && limit.Before(deadline) {
@@ -185,8 +187,8 @@
 	return deadline
 }
 
-// decodeAnswer reads a document. What is not a document of this API counts as
-// no answer: the outcome is not known.
+// decodeAnswer reads an answer's document. An answer that is not a document of this API
+// counts as a missing one: the outcome is not known.
 func decodeAnswer(router string, resp *fasthttp.Response, answer any) error {
 	if resp.StatusCode() == fasthttp.StatusOK {
 		if err := json.Unmarshal(resp.Body(), answer); err != nil {
@@ -202,8 +204,8 @@
 	return routerError(body)
 }
 
-// read makes a call that may be repeated, on the first router that can answer.
-func (c *Client) read(ctx context.Context, request call, answer any) error {
+// read makes an idempotent call to the first router that can answer.
+func (c *Client) read(ctx context.Context, request apiRequest, answer any) error {
 	var failures []error
 	for _, router := range c.options.Routers {
 		err := c.send(ctx, router, request, answer)
@@ -211,17 +213,16 @@
 			return nil
 		}
 		failures = append(failures, err)
-		if !triesNext(err) {
+		if !shouldTryNext(err) {
 			break
 		}
 	}
-	return nothingDone(failures)
+	return allFailed(failures)
 }
 
-// triesNext reports whether another router may do better than the one that
-// gave err: that one did not answer, is cut off from the platform, or has no
-// configuration yet.
-func triesNext(err error) bool {
+// shouldTryNext reports whether another router may succeed after err: the router
+// asked did not answer, cannot reach the platform, or has no configuration yet.
+func shouldTryNext(err error) bool {
 	var transport *transportError
 	if errors.As(err, &transport) {
 		return true
@@ -230,13 +231,13 @@
 	return code == result.PlatformUnavailable || code == result.NotReady
 }
 
-// nothingDone is the error after all routers failed: the last numbered answer,
-// or else that no router answered.
-func nothingDone(failures []error) error {
+// allFailed returns the error after all routers failed, when nothing was changed: the last
+// error answer of a router, or else that no router answered.
+func allFailed(failures []error) error {
 	for i := len(failures) - 1; i >= 0; i-- {
-		var numbered *Error
-		if errors.As(failures[i], &numbered) {
-			return numbered
+		var coded *Error
+		if errors.As(failures[i], &coded) {
+			return coded
 		}
 	}
 	e := &Error{
@@ -251,9 +252,9 @@
 	return e
 }
 
-// Config reads an accepted version; zero reads the newest.
+// Config reads an accepted version; zero means the newest.
 func (c *Client) Config(ctx context.Context, version config.Version) (*config.Snapshot, error) {
-	request := call{method: fasthttp.MethodGet, path: operator.PathConfig}
+	request := apiRequest{method: fasthttp.MethodGet, path: operator.PathConfig}
 	if version > 0 {
 		request.query = url.Values{"version": {strconv.FormatUint(uint64(version), 10)}}
 	}
@@ -264,9 +265,9 @@
 	return snapshot, nil
 }
 
-// History reads up to limit versions, newest first; zero takes the router's default.
+// History reads up to limit versions, newest first; a limit of zero means the router's default.
 func (c *Client) History(ctx context.Context, limit int) ([]operator.HistoryEntry, error) {
-	request := call{method: fasthttp.MethodGet, path: operator.PathHistory}
+	request := apiRequest{method: fasthttp.MethodGet, path: operator.PathHistory}
 	if limit > 0 {
 		request.query = url.Values{"limit": {strconv.Itoa(limit)}}
 	}
@@ -278,7 +279,7 @@
 // Status reads the status of the whole fleet, without targets, backlog and
 // shards unless detail is set.
 func (c *Client) Status(ctx context.Context, detail bool) (operator.Status, error) {
-	request := call{method: fasthttp.MethodGet, path: operator.PathStatus, query: url.Values{"fleet": {"1"}}}
+	request := apiRequest{method: fasthttp.MethodGet, path: operator.PathStatus, query: url.Values{"fleet": {"1"}}}
 	if !detail {
 		request.query.Set("detail", "0")
 	}
@@ -287,15 +288,15 @@
 	return status, err
 }
 
-// Drain starts the graceful shutdown of a router. It is idempotent, so it goes
-// on to the next router when one does not answer.
+// Drain starts the graceful shutdown of a router. It is idempotent, so it is sent
+// to the next router when one does not answer.
 func (c *Client) Drain(ctx context.Context, node string) error {
-	request := call{method: fasthttp.MethodPost, path: operator.PathDrain, body: operator.DrainRequest{Node: node}}
+	request := apiRequest{method: fasthttp.MethodPost, path: operator.PathDrain, body: operator.DrainRequest{Node: node}}
 	var started operator.DrainStarted
 	return c.read(ctx, request, &started)
 }
 
-// resultCode returns the router's code in err; OK if there is none.
+// resultCode returns the result code in err; OK if there is none.
 func resultCode(err error) result.Code {
 	var e *Error
 	if errors.As(err, &e) {
--- a/ctl/errors.go
+++ b/ctl/errors.go
@@ -20,7 +20,7 @@
 	ExitUsage Exit = 2
 	// ExitConflict: another patch took the version; nothing was changed.
 	ExitConflict Exit = 3
-	// ExitUnavailable: no router, or not the platform, could be reached;
+	// ExitUnavailable: no router could be reached, or the platform could not;
 	// the configuration was not changed.
 	ExitUnavailable Exit = 4
 	// ExitWaitTimeout: the version was accepted but is not yet in force on
@@ -42,7 +42,7 @@
 type Error struct {
 	// Exit is the exit code.
 	Exit Exit
-	// Code is the numbered result of the router; zero if none answered.
+	// Code is the result code that a router answered; zero if there is none.
 	Code result.Code
 	// Summary says what failed, in one short sentence.
 	Summary string
@@ -65,7 +65,7 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// advice is the exit code and next step for a result code.
+// advice holds the exit code and the next step for a result code.
 type advice struct {
 	exit Exit
 	next string
--- a/ctl/plan.go
+++ b/ctl/plan.go
@@ -15,7 +15,7 @@
 	Base config.Version
 	// Changes is the merge patch from Base to the directory.
 	Changes json.RawMessage
-	// Rows are the differences, for people to read. Empty means none.
+	// Rows are the differences in readable form; empty if there are none.
 	Rows []config.DiffRow
 }
 
@@ -24,13 +24,13 @@
 
 // Removed counts the objects that the plan removes.
 func (p Plan) Removed() int {
-	n := 0
+	count := 0
 	for _, row := range p.Rows {
 		if row.Kind == config.ChangeRemoved {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // LoadDir reads and validates a directory of TOML declarations.
@@ -42,14 +42,14 @@
 	return config.Declarations{}, &Error{
 		Exit:    ExitInvalid,
 		Summary: "the declarations in " + dir + " are not valid",
-		Details: lines(err),
+		Details: errorLines(err),
 		Next:    "correct the files named above; nothing was sent",
 		Cause:   err,
 	}
 }
 
-// lines returns one line for each error that err joins.
-func lines(err error) []string {
+// errorLines returns one line for each error that err joins.
+func errorLines(err error) []string {
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
 		return []string{err.Error()}
@@ -62,12 +62,12 @@
 }
 
 // Plan compares declarations with the newest version.
-func (c *Client) Plan(ctx context.Context, want config.Declarations) (Plan, error) {
+func (c *Client) Plan(ctx context.Context, wanted config.Declarations) (Plan, error) {
 	newest, err := c.Config(ctx, 0)
 	if err != nil {
 		return Plan{}, err
 	}
-	changes, rows, err := config.Diff(newest.Declarations, want)
+	changes, rows, err := config.Diff(newest.Declarations, wanted)
 	if err != nil {
 		return Plan{}, &Error{Exit: ExitFailure, Summary: "the difference cannot be written as a patch", Cause: err}
 	}
--- a/ctl/submit.go
+++ b/ctl/submit.go
@@ -14,17 +14,17 @@
 )
 
 // Submit sends a patch and returns the version that it made. An empty ID is
-// filled in. When the outcome is unknown it is sent again under the same id.
+// filled in. While the outcome is unknown, the patch is sent again with the same id.
 func (c *Client) Submit(ctx context.Context, patch config.Patch) (operator.PatchAccepted, error) {
 	if patch.ID == "" {
 		patch.ID = config.NewPatchID()
 	}
-	request := call{method: fasthttp.MethodPost, path: operator.PathPatches, body: patch}
-	return c.change(ctx, patch.ID, patch.Base, request)
+	request := apiRequest{method: fasthttp.MethodPost, path: operator.PathPatches, body: patch}
+	return c.sendChange(ctx, patch.ID, patch.Base, request)
 }
 
 // Rollback makes a new version with the declarations of an older one. An empty
-// ID is filled in; a Base of zero is read first.
+// ID is filled in; a Base of zero is replaced by the newest version.
 func (c *Client) Rollback(ctx context.Context, rollback operator.RollbackRequest) (operator.PatchAccepted, error) {
 	if rollback.ID == "" {
 		rollback.ID = config.NewPatchID()
@@ -36,15 +36,15 @@
 		}
 		rollback.Base = newest.Version
 	}
-	request := call{method: fasthttp.MethodPost, path: operator.PathRollback, body: rollback}
-	return c.change(ctx, rollback.ID, rollback.Base, request)
+	request := apiRequest{method: fasthttp.MethodPost, path: operator.PathRollback, body: rollback}
+	return c.sendChange(ctx, rollback.ID, rollback.Base, request)
 }
 
-// change sends a request that changes the configuration until its outcome is
-// settled or the attempts are used up. Once one send may have taken effect,
-// only an answer that settles the patch id ends the sending: a later "nothing
-// was changed" tells of that later send alone.
-func (c *Client) change(ctx context.Context, id string, base config.Version, request call) (operator.PatchAccepted, error) {
+// sendChange sends a request that changes the configuration until its outcome is
+// certain or the attempts are used up. Once a send may have taken effect, only an
+// answer that is final for the patch id ends the loop: a later "nothing was
+// changed" is about that later send alone.
+func (c *Client) sendChange(ctx context.Context, id string, base config.Version, request apiRequest) (operator.PatchAccepted, error) {
 	var accepted operator.PatchAccepted
 	var failures []error
 	unknown := false
@@ -57,10 +57,10 @@
 		}
 		failures = append(failures, err)
 		unknown = unknown || mayHaveTakenEffect(err)
-		if settles(err) {
+		if isFinal(err) {
 			return operator.PatchAccepted{}, err
 		}
-		if !unknown && (!triesNext(err) || attempt+1 == len(routers)) {
+		if !unknown && (!shouldTryNext(err) || attempt+1 == len(routers)) {
 			break
 		}
 		if unknown && attempt+1 < attempts && !pause(ctx, c.options.RetryEvery) {
@@ -70,7 +70,7 @@
 	if unknown {
 		return operator.PatchAccepted{}, outcomeUnknown(id, base, failures)
 	}
-	return operator.PatchAccepted{}, nothingDone(failures)
+	return operator.PatchAccepted{}, allFailed(failures)
 }
 
 // mayHaveTakenEffect reports whether a send that ended with err may have
@@ -78,15 +78,15 @@
 func mayHaveTakenEffect(err error) bool {
 	var transport *transportError
 	if errors.As(err, &transport) {
-		return transport.sent()
+		return transport.mayBeSent()
 	}
 	code := resultCode(err)
 	return code == result.CommitUnknown || code.Info().Ran == result.RanUnknown
 }
 
-// settles reports whether err holds for every send under the same id: the
-// router looked the id up and the patch cannot be accepted any more.
-func settles(err error) bool {
+// isFinal reports whether err applies to every send with the same id: the
+// router looked the id up, and the patch can no longer be accepted.
+func isFinal(err error) bool {
 	switch resultCode(err) {
 	case result.VersionConflict, result.InvalidPatch, result.InvalidDeclaration:
 		return true
@@ -95,6 +95,7 @@
 	}
 }
 
+// outcomeUnknown returns the error of a patch that may have been accepted.
 func outcomeUnknown(id string, base config.Version, failures []error) *Error {
 	e := &Error{
 		Exit:    ExitUnknown,
@@ -107,7 +108,7 @@
 	return e
 }
 
-// pause waits for d. It returns false if ctx ended first.
+// pause waits for d. It returns false if ctx ends first.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/ctl/submit_test.go
+++ b/ctl/submit_test.go
@@ -18,18 +18,18 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// scriptedRouter gives its answers in order, the last one for ever.
+// scriptedRouter gives its answers in order and repeats the last one.
 type scriptedRouter struct {
-	mu      sync.Mutex
-	answers []string
-	ids     []string
+	mu       sync.Mutex
+	answers  []string
+	patchIDs []string
 }
 
-// The answers besides a result code in digits.
+// The answers of a scriptedRouter. Any other answer is a result code in digits.
 const (
 	answerAccept  = "accept"
-	answerCut     = "cut"     // the connection closes without an answer
-	answerGarbage = "garbage" // status 200 with something else
+	answerCut     = "cut"     // closes the connection without an answer
+	answerGarbage = "garbage" // status 200 with a body that is not JSON
 )
 
 func (r *scriptedRouter) ServeHTTP(w http.ResponseWriter, req *http.Request) {
@@ -39,7 +39,7 @@
 	if err := json.NewDecoder(req.Body).Decode(&patch); err != nil {
 		panic(err)
 	}
-	r.ids = append(r.ids, patch.ID)
+	r.patchIDs = append(r.patchIDs, patch.ID)
 	answer := r.answers[0]
 	if len(r.answers) > 1 {
 		r.answers = r.answers[1:]
@@ -63,10 +63,10 @@
 func (r *scriptedRouter) received() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]string(nil), r.ids...)
+	return append([]string(nil), r.patchIDs...)
 }
 
-// testClient returns a client of the handlers' servers, with short pauses.
+// testClient starts a server for each handler and returns a client of them with short pauses.
 func testClient(t *testing.T, handlers ...http.Handler) *Client {
 	t.Helper()
 	options := Options{RetryEvery: time.Millisecond, PollEvery: time.Millisecond, Attempts: 5}
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestSubmitSettlesTheOutcome(t *testing.T) {
+func TestSubmitResendsUntilOutcomeIsKnown(t *testing.T) {
 	cases := []struct {
 		script string
 		exit   Exit
@@ -111,7 +111,7 @@
 		{"1008 accept", ExitOK, 2},
 		{"1008 1001", ExitConflict, 2},
 		{"cut 1004 1006 504 accept", ExitOK, 5},
-		// "Nothing was changed" of a later send says nothing about the first.
+		// That a later send changed nothing does not tell the outcome of the first.
 		{"cut 1004", ExitUnknown, 5},
 		{"cut 1006", ExitUnknown, 5},
 		{"cut", ExitUnknown, 5},
@@ -153,9 +153,9 @@
 
 func TestNextRouterIsTried(t *testing.T) {
 	cut := &scriptedRouter{answers: []string{answerCut}}
-	storeless := &scriptedRouter{answers: []string{"1004"}}
+	withoutStore := &scriptedRouter{answers: []string{"1004"}}
 	good := &scriptedRouter{answers: []string{answerAccept}}
-	client := testClient(t, storeless, good)
+	client := testClient(t, withoutStore, good)
 	client.options.Routers = append([]string{closedAddress(t)}, client.options.Routers...)
 	if _, err := client.Submit(context.Background(), config.Patch{}); err != nil {
 		t.Errorf("after a closed port and a router without the store: %v", err)
@@ -172,26 +172,28 @@
 	}
 }
 
-// statuses answers each status request with the next one, the last for ever.
-type statuses struct {
-	mu   sync.Mutex
-	list []operator.Status
-	left func() // called when the last one is given; nil for none
+// scriptedStatuses answers status requests with its statuses in order and repeats the last one.
+type scriptedStatuses struct {
+	mu        sync.Mutex
+	remaining []operator.Status
+	onLast    func() // called each time the last one is sent; nil for none
 }
 
-func (s *statuses) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (s *scriptedStatuses) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := json.NewEncoder(w).Encode(s.list[0]); err != nil {
+	if err := json.NewEncoder(w).Encode(s.remaining[0]); err != nil {
 		panic(err)
 	}
-	if len(s.list) > 1 {
-		s.list = s.list[1:]
-	} else if s.left != nil {
-		s.left()
+	if len(s.remaining) > 1 {
+		s.remaining = s.remaining[1:]
+	} else if s.onLast != nil {
+		s.onLast()
 	}
 }
 
+// fleetAt returns the status of a fleet with a router for each version; zero stands for one
+// that is unreachable.
 func fleetAt(versions ...config.Version) operator.Status {
 	var status operator.Status
 	for i, version := range versions {
@@ -206,21 +208,21 @@
 }
 
 func TestWaitUntilEveryListedRouterHasTheVersion(t *testing.T) {
-	polls := &statuses{list: []operator.Status{fleetAt(), fleetAt(3, 2), fleetAt(3, 0), fleetAt(3, 4)}}
+	polls := &scriptedStatuses{remaining: []operator.Status{fleetAt(), fleetAt(3, 2), fleetAt(3, 0), fleetAt(3, 4)}}
 	routers, err := testClient(t, polls).Wait(context.Background(), 3)
 	if err != nil || routers != 2 {
 		t.Fatalf("got %d, %v", routers, err)
 	}
 	polls.mu.Lock()
 	defer polls.mu.Unlock()
-	if len(polls.list) != 1 {
-		t.Errorf("returned with %d states to come", len(polls.list)-1)
+	if len(polls.remaining) != 1 {
+		t.Errorf("returned with %d states to come", len(polls.remaining)-1)
 	}
 }
 
-func TestWaitNamesWhoIsMissing(t *testing.T) {
+func TestWaitNamesMissingRouters(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	polls := &statuses{list: []operator.Status{fleetAt(3, 3, 0), fleetAt(3, 2, 0)}, left: cancel}
+	polls := &scriptedStatuses{remaining: []operator.Status{fleetAt(3, 3, 0), fleetAt(3, 2, 0)}, onLast: cancel}
 	_, err := testClient(t, polls).Wait(ctx, 3)
 	var e *Error
 	if !errors.As(err, &e) || e.Exit != ExitWaitTimeout {
--- a/ctl/wait.go
+++ b/ctl/wait.go
@@ -9,9 +9,9 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// Wait returns when every router of the platform's list has version, or a
-// newer one, in force. When ctx ends first, the error names who is missing.
-// It returns the number of routers.
+// Wait waits until every router of the platform's list has version, or a newer
+// one, in force. It returns the number of routers. If ctx ends first, the error
+// names the routers that are missing.
 func (c *Client) Wait(ctx context.Context, version config.Version) (int, error) {
 	var last operator.Status
 	var lastErr error
@@ -35,7 +35,7 @@
 	}
 }
 
-// missingRouters returns the listed routers without the version in force.
+// missingRouters returns the listed routers that do not have version or a newer one in force.
 func missingRouters(status operator.Status, version config.Version) []operator.RouterStatus {
 	var missing []operator.RouterStatus
 	for _, router := range status.Routers {
@@ -46,6 +46,8 @@
 	return missing
 }
 
+// waitTimeout returns the error of a wait that ended before the version was in force
+// everywhere. It names the routers that were missing in the last status.
 func waitTimeout(version config.Version, last operator.Status, lastErr error) *Error {
 	e := &Error{
 		Exit:    ExitWaitTimeout,
