--- a/ctl/cli/change.go
+++ b/ctl/cli/change.go
@@ -14,7 +14,7 @@
 	"github.com/walnutcove/walnutcove/operator"
 )
 
-// changeFlags are common to the commands that make a version.
+// changeFlags are the flags of all commands that make a version.
 type changeFlags struct {
 	ID     string `help:"Patch id, a UUID. Give the id of an earlier try whose outcome is unknown to send it again; otherwise a fresh one is made."`
 	Author string `help:"Who makes the change; kept in the history. Default: the user's name." env:"WALNUT_AUTHOR"`
@@ -41,13 +41,13 @@
 	return ""
 }
 
-// finish reports an accepted version and waits for it if asked to.
-func (a *app) finish(client *ctl.Client, flags changeFlags, accepted operator.PatchAccepted) error {
+// reportAccepted prints an accepted version and, with --wait, waits until it is in force.
+func (a *app) reportAccepted(client *ctl.Client, flags changeFlags, accepted operator.PatchAccepted) error {
 	a.printf("accepted version=%d patch=%s\n", accepted.Version, accepted.ID)
-	return a.wait(client, flags, accepted.Version)
+	return a.waitIfAsked(client, flags, accepted.Version)
 }
 
-func (a *app) wait(client *ctl.Client, flags changeFlags, version config.Version) error {
+func (a *app) waitIfAsked(client *ctl.Client, flags changeFlags, version config.Version) error {
 	if !flags.Wait {
 		return nil
 	}
@@ -64,44 +64,44 @@
 type applyCommand struct {
 	Dir        string `help:"Directory of *.toml declarations." short:"f" required:"" type:"existingdir" placeholder:"DIR"`
 	DryRun     bool   `help:"Print the differences and send nothing."`
-	AllowEmpty bool   `help:"Allow declarations without any workspace, pool and target, which remove everything."`
+	AllowEmpty bool   `help:"Allow declarations without any workspace, pool or target, which remove everything."`
 	changeFlags
 }
 
-// Run makes the configuration equal to the directory.
+// Run makes the configuration equal to the declarations in the directory.
 func (c *applyCommand) Run(a *app) error {
 	want, err := ctl.LoadDir(c.Dir)
 	if err != nil {
 		return err
 	}
 	if !c.AllowEmpty && len(want.Workspaces)+len(want.Pools)+len(want.Targets) == 0 {
-		return usage("%s declares nothing, which would remove everything; use --allow-empty if this is meant", c.Dir)
+		return usageError("%s declares nothing, which would remove everything; use --allow-empty if this is meant", c.Dir)
 	}
-	return a.ask(func(ctx context.Context, client *ctl.Client) error {
+	return a.withClient(func(ctx context.Context, client *ctl.Client) error {
 		plan, err := client.Plan(ctx, want)
 		if err != nil {
 			return err
 		}
 		if c.DryRun {
-			a.printRows(plan.Rows)
+			a.printDifferences(plan.Rows)
 			a.printf("dry-run base=%d differences=%d removed=%d\n", plan.Base, len(plan.Rows), plan.Removed())
 			return nil
 		}
 		if plan.Empty() {
 			a.printf("unchanged version=%d\n", plan.Base)
-			return a.wait(client, c.changeFlags, plan.Base)
+			return a.waitIfAsked(client, c.changeFlags, plan.Base)
 		}
 		accepted, err := a.submit(ctx, client, c.changeFlags, plan.Base, plan.Changes)
 		if err != nil {
-			return applyAgain(err)
+			return adviseReapply(err)
 		}
-		return a.finish(client, c.changeFlags, accepted)
+		return a.reportAccepted(client, c.changeFlags, accepted)
 	})
 }
 
-// applyAgain advises to apply again after an unknown outcome: apply compares
-// with the newest version first, so it does nothing if the patch was accepted.
-func applyAgain(err error) error {
+// adviseReapply replaces the advice after an unknown outcome by running apply again: it
+// compares with the newest version first, so it does nothing if the patch was accepted.
+func adviseReapply(err error) error {
 	var e *ctl.Error
 	if errors.As(err, &e) && e.Exit == ctl.ExitUnknown {
 		e.Next = "run the same apply again; it changes nothing if the patch was accepted"
@@ -129,21 +129,22 @@
 
 // Run sends one merge patch.
 func (c *patchCommand) Run(a *app) error {
-	changes, err := a.readFile(c.File)
+	changes, err := a.readPatch(c.File)
 	if err != nil {
 		return err
 	}
-	return a.ask(func(ctx context.Context, client *ctl.Client) error {
+	return a.withClient(func(ctx context.Context, client *ctl.Client) error {
 		accepted, err := a.submit(ctx, client, c.changeFlags, config.Version(c.Base), changes)
 		if err != nil {
 			return err
 		}
-		return a.finish(client, c.changeFlags, accepted)
+		return a.reportAccepted(client, c.changeFlags, accepted)
 	})
 }
 
-// readFile reads a patch and checks its form before anything is sent.
-func (a *app) readFile(name string) ([]byte, error) {
+// readPatch reads the merge patch in a file or on standard input and checks its form before
+// anything is sent.
+func (a *app) readPatch(name string) ([]byte, error) {
 	var raw []byte
 	var err error
 	if name == "-" {
@@ -152,7 +153,7 @@
 		raw, err = os.ReadFile(name)
 	}
 	if err != nil {
-		return nil, usage("the patch cannot be read: %v", err)
+		return nil, usageError("the patch cannot be read: %v", err)
 	}
 	patch, err := config.Patch{ID: config.NewPatchID(), Changes: raw}.Normalise()
 	if err != nil {
@@ -162,14 +163,14 @@
 }
 
 type rollbackCommand struct {
-	Version uint64 `arg:"" help:"Version whose declarations come back." placeholder:"N"`
+	Version uint64 `arg:"" help:"Version whose declarations are restored." placeholder:"N"`
 	Base    uint64 `help:"Newest version that you have seen. Default: read from the fleet." placeholder:"N"`
 	changeFlags
 }
 
 // Run makes a new version with the declarations of an older one.
 func (c *rollbackCommand) Run(a *app) error {
-	return a.ask(func(ctx context.Context, client *ctl.Client) error {
+	return a.withClient(func(ctx context.Context, client *ctl.Client) error {
 		base, err := c.base(ctx, client)
 		if err != nil {
 			return err
@@ -189,7 +190,7 @@
 		if err != nil {
 			return err
 		}
-		return a.finish(client, c.changeFlags, accepted)
+		return a.reportAccepted(client, c.changeFlags, accepted)
 	})
 }
 
@@ -210,7 +211,7 @@
 
 // Run starts the graceful shutdown of a router.
 func (c *drainCommand) Run(a *app) error {
-	return a.ask(func(ctx context.Context, client *ctl.Client) error {
+	return a.withClient(func(ctx context.Context, client *ctl.Client) error {
 		if err := client.Drain(ctx, c.Node); err != nil {
 			return err
 		}
--- a/ctl/cli/cli.go
+++ b/ctl/cli/cli.go
@@ -1,5 +1,5 @@
 // Package cli is the command line of walnutctl: it parses arguments with kong,
-// calls package ctl, and prints. Results go to standard output as
+// calls package ctl, and prints the results. Results go to standard output as
 // "word key=value ..." lines, tables, JSON or TOML; errors and progress go to
 // standard error.
 package cli
@@ -36,12 +36,12 @@
 	KeyFile string        `help:"File that holds the operator key. Without it WALNUT_OPERATOR_KEY is used." type:"path" env:"WALNUT_OPERATOR_KEY_FILE"`
 	Timeout time.Duration `help:"Time limit of the command, apart from --wait." default:"60s"`
 
-	Attempts int `help:"How often in all a patch of unknown outcome is sent." default:"10"`
+	Attempts int `help:"How often in total a patch with an unknown outcome is sent." default:"10"`
 
 	Apply    applyCommand    `cmd:"" help:"Make the fleet's configuration equal to a directory of TOML declarations."`
 	Patch    patchCommand    `cmd:"" help:"Send a JSON merge patch against a version."`
 	Get      getCommand      `cmd:"" help:"Print a version of the configuration."`
-	Diff     diffCommand     `cmd:"" help:"Print what apply would change; exit code 10 if anything."`
+	Diff     diffCommand     `cmd:"" help:"Print what apply would change; exit code 10 if there are differences."`
 	History  historyCommand  `cmd:"" help:"List accepted versions, newest first."`
 	Rollback rollbackCommand `cmd:"" help:"Make a new version with the declarations of an older one."`
 	Status   statusCommand   `cmd:"" help:"Show routers, targets, backlog and shards of the whole fleet."`
@@ -49,7 +49,7 @@
 	Keys     keysCommand     `cmd:"" help:"Make and hash keys."`
 }
 
-// app is what the commands share.
+// app holds the streams and global flags that the commands share.
 type app struct {
 	Streams
 	flags *commands
@@ -103,13 +103,14 @@
 	return e.Exit
 }
 
-// client returns a client for the flags. The key never stands on the command line.
+// client returns a client for the global flags. There is no flag for the key itself, so that
+// it never appears on a command line.
 func (a *app) client() (*ctl.Client, error) {
 	key := os.Getenv("WALNUT_OPERATOR_KEY")
 	if a.flags.KeyFile != "" {
 		raw, err := os.ReadFile(a.flags.KeyFile)
 		if err != nil {
-			return nil, usage("the key file cannot be read: %v", err)
+			return nil, usageError("the key file cannot be read: %v", err)
 		}
 		key = string(raw)
 	}
@@ -120,8 +121,8 @@
 	})
 }
 
-// ask runs f with a client, within the time limit of one command.
-func (a *app) ask(f func(ctx context.Context, client *ctl.Client) error) error {
+// withClient calls f with a client and a context that ends at the command's time limit.
+func (a *app) withClient(f func(ctx context.Context, client *ctl.Client) error) error {
 	client, err := a.client()
 	if err != nil {
 		return err
@@ -136,6 +137,6 @@
 
 func (a *app) progress(format string, args ...any) { fmt.Fprintf(a.Err, format, args...) }
 
-func usage(format string, args ...any) *ctl.Error {
+func usageError(format string, args ...any) *ctl.Error {
 	return &ctl.Error{Exit: ctl.ExitUsage, Summary: fmt.Sprintf(format, args...)}
 }
--- a/ctl/cli/cli_test.go
+++ b/ctl/cli/cli_test.go
@@ -22,8 +22,8 @@
 	return out.String(), errs.String(), exit
 }
 
-// TestCommands runs the scripts in testdata. Each has a fleet of its own. The
-// directives are: ctl (arguments, one command line; standard input after a
+// TestCommands runs the scripts in testdata, each with its own fleet. The
+// directives are: ctl (the arguments on one line, and standard input after a
 // blank line), file path=NAME, behind node=N version=V, caught-up,
 // lose-replies n=N, store down=true|false, drained.
 func TestCommands(t *testing.T) {
@@ -34,14 +34,14 @@
 		dir := t.TempDir()
 		t.Setenv("WALNUT_ROUTERS", f.serve(t))
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			return f.directive(t, d, dir)
+			return f.runDirective(t, d, dir)
 		})
 	})
 }
 
-func (f *fleet) directive(t *testing.T, d *datadriven.TestData, dir string) string {
+func (f *testFleet) runDirective(t *testing.T, d *datadriven.TestData, dir string) string {
 	if d.Cmd == "ctl" {
-		return runScripted(d, dir)
+		return runCtl(d, dir)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,7 +76,7 @@
 	return ""
 }
 
-func runScripted(d *datadriven.TestData, dir string) string {
+func runCtl(d *datadriven.TestData, dir string) string {
 	line, input, _ := strings.Cut(d.Input, "\n\n")
 	args := strings.Fields(strings.ReplaceAll(line, "$DIR", dir))
 	stdout, stderr, exit := run(input, args...)
@@ -84,9 +84,9 @@
 	return strings.ReplaceAll(text, dir, "$DIR")
 }
 
-// TestRacingOperators lets operators patch against the same versions while the
-// first answers are lost after the patch was accepted. Each operator takes the
-// next version after a conflict. Every patch must be accepted exactly once.
+// TestRacingOperators has several operators patch the same versions while the first
+// answers are lost after the patch was accepted. After a conflict an operator
+// patches the newest version. Every patch must be accepted exactly once.
 func TestRacingOperators(t *testing.T) {
 	const operators, patches = 4, 5
 	f := newFleet(t)
@@ -116,7 +116,8 @@
 	}
 }
 
-// patchUntilAccepted declares a workspace, with a fresh base after each conflict.
+// patchUntilAccepted declares a workspace. After each conflict it reads the newest version
+// and sends the patch against that.
 func patchUntilAccepted(router, workspace string) error {
 	changes := fmt.Sprintf(`{"workspaces":{%q:{"share":1}}}`, workspace)
 	for base := config.Version(0); ; {
--- a/ctl/cli/fleet_test.go
+++ b/ctl/cli/fleet_test.go
@@ -18,26 +18,26 @@
 	"github.com/walnutcove/walnutcove/store/memory"
 )
 
-// fleet is a Backend over a real configuration store: three routers, of which
-// the first answers.
-type fleet struct {
+// testFleet is a Backend with a real configuration store and three routers. The first one
+// serves the API.
+type testFleet struct {
 	store *configstore.Store
 
 	mu sync.Mutex
-	// lostReplies counts the accepted patches whose answer is still to be lost.
+	// lostReplies is how many more accepted patches fail as if their answer was lost.
 	lostReplies int
 	storeDown   bool
-	behind      map[string]config.Version // routers that stay on a version
+	behind      map[string]config.Version // routers that have an older version in force
 	drained     []string
 }
 
 var fleetNodes = []string{"ikeja-1", "lekki-1", "yaba-1"}
 
-func newFleet(t *testing.T) *fleet {
+func newFleet(t *testing.T) *testFleet {
 	t.Helper()
 	backing := memory.New(memory.Options{})
 	now := func() time.Time { return time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC) }
-	f := &fleet{
+	f := &testFleet{
 		store:  configstore.New(backing, backing.Objects(), configstore.Options{Now: now}),
 		behind: make(map[string]config.Version),
 	}
@@ -46,7 +46,7 @@
 }
 
 // serve starts the operator API on loopback and returns its address.
-func (f *fleet) serve(t *testing.T) string {
+func (f *testFleet) serve(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -67,7 +67,7 @@
 	return listener.Addr().String()
 }
 
-func (f *fleet) down() error {
+func (f *testFleet) storeError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.storeDown {
@@ -76,10 +76,10 @@
 	return nil
 }
 
-func (f *fleet) Ready() operator.Readiness { return operator.Readiness{Ready: true} }
+func (f *testFleet) Ready() operator.Readiness { return operator.Readiness{Ready: true} }
 
-func (f *fleet) Config(ctx context.Context, version config.Version) (*config.Snapshot, error) {
-	if err := f.down(); err != nil {
+func (f *testFleet) Config(ctx context.Context, version config.Version) (*config.Snapshot, error) {
+	if err := f.storeError(); err != nil {
 		return nil, err
 	}
 	if version == 0 {
@@ -88,8 +88,8 @@
 	return f.store.SnapshotAt(ctx, version)
 }
 
-func (f *fleet) Apply(ctx context.Context, patch config.Patch) (config.Version, error) {
-	if err := f.down(); err != nil {
+func (f *testFleet) Apply(ctx context.Context, patch config.Patch) (config.Version, error) {
+	if err := f.storeError(); err != nil {
 		return 0, err
 	}
 	accepted, err := f.store.Submit(ctx, nil, patch)
@@ -105,7 +105,7 @@
 	return accepted.Entry.Version, nil
 }
 
-func (f *fleet) History(ctx context.Context, before config.Version, limit int) ([]config.Entry, error) {
+func (f *testFleet) History(ctx context.Context, before config.Version, limit int) ([]config.Entry, error) {
 	if before == 0 {
 		newest, err := f.store.Load(ctx)
 		if err != nil {
@@ -119,7 +119,7 @@
 	return entries, err
 }
 
-func (f *fleet) Members(context.Context) ([]operator.Member, error) {
+func (f *testFleet) Members(context.Context) ([]operator.Member, error) {
 	var members []operator.Member
 	for _, node := range fleetNodes {
 		members = append(members, operator.Member{Node: node, DataCentre: node[:len(node)-2]})
@@ -127,7 +127,7 @@
 	return members, nil
 }
 
-func (f *fleet) Status(ctx context.Context, request operator.StatusRequest) (operator.Status, error) {
+func (f *testFleet) Status(ctx context.Context, request operator.StatusRequest) (operator.Status, error) {
 	newest, err := f.store.Load(ctx)
 	if err != nil {
 		return operator.Status{}, err
@@ -148,7 +148,7 @@
 	return status, nil
 }
 
-func (f *fleet) Drain(_ context.Context, node string) error {
+func (f *testFleet) Drain(_ context.Context, node string) error {
 	if !slices.Contains(fleetNodes, node) {
 		return result.New(result.UnknownRouter, "router %q is not in the platform's list", node)
 	}
--- a/ctl/cli/keys.go
+++ b/ctl/cli/keys.go
@@ -14,7 +14,7 @@
 	"github.com/walnutcove/walnutcove/peer/testkeys"
 )
 
-// maxKeyBytes bounds a key on standard input.
+// maxKeyBytes is the maximum length of a key on standard input.
 const maxKeyBytes = 4096
 
 type keysCommand struct {
@@ -24,15 +24,15 @@
 
 type hashCommand struct{}
 
-// Run prints the hash of a key. Space around the key does not count.
+// Run prints the hash of a key. Whitespace around the key is ignored.
 func (hashCommand) Run(a *app) error {
 	raw, err := io.ReadAll(io.LimitReader(a.In, maxKeyBytes+1))
 	if err != nil {
-		return usage("the key cannot be read: %v", err)
+		return usageError("the key cannot be read: %v", err)
 	}
 	key := bytes.TrimSpace(raw)
 	if len(key) == 0 || len(raw) > maxKeyBytes {
-		return usage("the key must have 1 to %d bytes on standard input", maxKeyBytes)
+		return usageError("the key must have 1 to %d bytes on standard input", maxKeyBytes)
 	}
 	digest := sha256.Sum256(key)
 	a.printf("%s\n", hex.EncodeToString(digest[:]))
@@ -50,13 +50,13 @@
 func (c *makePeerCommand) Run(a *app) error {
 	ca := filepath.Join(c.Dir, testkeys.CAFile)
 	if _, err := os.Stat(ca); err == nil && !c.Overwrite {
-		e := usage("%s exists; the authority's key is not kept, so no node can be added to it", ca)
+		e := usageError("%s exists; the authority's key is not kept, so no node can be added to it", ca)
 		e.Next = "make the keys of all routers again with --overwrite, or name another directory"
 		return e
 	}
 	err := testkeys.Make(c.Dir, c.Lifetime, c.Nodes...)
 	if errors.Is(err, testkeys.ErrBadName) {
-		return usage("%v", err)
+		return usageError("%v", err)
 	}
 	if err != nil {
 		return &ctl.Error{Exit: ctl.ExitFailure, Summary: "the keys cannot be written: " + err.Error(), Cause: err}
--- a/ctl/cli/read.go
+++ b/ctl/cli/read.go
@@ -23,7 +23,7 @@
 
 // Run prints one version.
 func (c *getCommand) Run(a *app) error {
-	return a.ask(func(ctx context.Context, client *ctl.Client) error {
+	return a.withClient(func(ctx context.Context, client *ctl.Client) error {
 		snapshot, err := client.Config(ctx, config.Version(c.Version))
 		if err != nil {
 			return err
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	return a.ask(func(ctx context.Context, client *ctl.Client) error {
+	return a.withClient(func(ctx context.Context, client *ctl.Client) error {
 		plan, err := client.Plan(ctx, want)
 		if err != nil {
 			return err
@@ -63,7 +63,7 @@
 		if c.Output == formatJSON {
 			err = a.printJSON(diffDocument{Base: plan.Base, Differences: append([]config.DiffRow{}, plan.Rows...)})
 		} else {
-			a.printRows(plan.Rows)
+			a.printDifferences(plan.Rows)
 		}
 		if err == nil && !plan.Empty() {
 			return &ctl.Error{Exit: ctl.ExitDifferent, Summary: "there are differences"}
@@ -85,7 +85,7 @@
 
 // Run lists accepted versions.
 func (c *historyCommand) Run(a *app) error {
-	return a.ask(func(ctx context.Context, client *ctl.Client) error {
+	return a.withClient(func(ctx context.Context, client *ctl.Client) error {
 		entries, err := client.History(ctx, c.Limit)
 		if err != nil {
 			return err
@@ -98,13 +98,13 @@
 }
 
 type statusCommand struct {
-	All    bool   `help:"List every router, target and workspace, also of a large fleet."`
+	All    bool   `help:"List every router, target and workspace, even of a large fleet."`
 	Output string `help:"Format: table or json." short:"o" enum:"table,json" default:"table"`
 }
 
 // Run shows the state of the fleet.
 func (c *statusCommand) Run(a *app) error {
-	return a.ask(func(ctx context.Context, client *ctl.Client) error {
+	return a.withClient(func(ctx context.Context, client *ctl.Client) error {
 		status, err := client.Status(ctx, true)
 		if err != nil {
 			return err
@@ -122,7 +122,7 @@
 	return encoder.Encode(document)
 }
 
-func (a *app) printRows(rows []config.DiffRow) {
+func (a *app) printDifferences(rows []config.DiffRow) {
 	for _, row := range rows {
 		a.printf("%s\n", row)
 	}
--- a/ctl/cli/summary.go
+++ b/ctl/cli/summary.go
@@ -8,23 +8,23 @@
 	"github.com/walnutcove/walnutcove/operator"
 )
 
-// mostRows is how many routers, targets or workspaces the status lists one by one: what
-// fits on a screen. Of more, it sums up and lists only those that need a look.
-const mostRows = 24
+// maxListedRows is up to how many routers, targets or workspaces the status lists all: as
+// many as fit on a screen. With more, it prints a summary and lists those that need attention.
+const maxListedRows = 24
 
-// group is what routers or targets are summed up by. The pool is empty for routers.
+// group is a line of a summary of routers or targets. The pool is empty for routers.
 type group struct{ pool, dataCentre string }
 
 func compareGroups(a, b group) int {
 	return cmp.Or(cmp.Compare(a.pool, b.pool), cmp.Compare(a.dataCentre, b.dataCentre))
 }
 
-// grouped collects rows by group, and returns the groups in order.
-func grouped[T any](rows []T, of func(T) group) ([]group, map[group][]T) {
+// groupRows collects rows by group, and returns the groups in order.
+func groupRows[T any](rows []T, groupOf func(T) group) ([]group, map[group][]T) {
 	byGroup := make(map[group][]T)
 	var groups []group
 	for _, row := range rows {
-		g := of(row)
+		g := groupOf(row)
 		if byGroup[g] == nil {
 			groups = append(groups, g)
 		}
@@ -34,7 +34,7 @@
 	return groups, byGroup
 }
 
-// count is how many rows a condition holds for.
+// count returns for how many rows a condition holds.
 func count[T any](rows []T, holds func(T) bool) int {
 	n := 0
 	for _, row := range rows {
@@ -45,7 +45,7 @@
 	return n
 }
 
-// sum adds a figure up over rows.
+// sum adds up a figure over rows.
 func sum[T any](rows []T, figure func(T) int) int {
 	total := 0
 	for _, row := range rows {
@@ -54,63 +54,65 @@
 	return total
 }
 
-// sumUpRouters writes a line for each data centre, and lists the routers that need a look.
-func (a *app) sumUpRouters(s operator.Status) error {
+// summariseRouters prints a line for each data centre, and lists the routers that need
+// attention.
+func (a *app) summariseRouters(s operator.Status) error {
 	t := newTable(a.Out, "DATA-CENTRE", "ROUTERS", "READY", "UNREACHABLE", "BEHIND", "LEAVING", "WAITING", "RUNNING")
-	groups, rows := grouped(s.Routers, func(r operator.RouterStatus) group { return group{dataCentre: r.DataCentre} })
+	groups, rows := groupRows(s.Routers, func(r operator.RouterStatus) group { return group{dataCentre: r.DataCentre} })
 	for _, g := range groups {
-		of := rows[g]
-		in := func(state operator.RouterState) int {
-			return count(of, func(r operator.RouterStatus) bool { return r.State == state })
+		members := rows[g]
+		countIn := func(state operator.RouterState) int {
+			return count(members, func(r operator.RouterStatus) bool { return r.State == state })
 		}
-		t.row(g.dataCentre, number(len(of)), number(in(operator.RouterReady)), number(in(operator.RouterUnreachable)),
-			number(count(of, func(r operator.RouterStatus) bool { return isBehind(r, s) })),
-			number(count(of, func(r operator.RouterStatus) bool { return r.Leaving })),
-			number(sum(of, func(r operator.RouterStatus) int { return r.Waiting })),
-			number(sum(of, func(r operator.RouterStatus) int { return r.Running })))
+		t.row(g.dataCentre, formatNumber(len(members)), formatNumber(countIn(operator.RouterReady)), formatNumber(countIn(operator.RouterUnreachable)),
+			formatNumber(count(members, func(r operator.RouterStatus) bool { return isBehind(r, s) })),
+			formatNumber(count(members, func(r operator.RouterStatus) bool { return r.Leaving })),
+			formatNumber(sum(members, func(r operator.RouterStatus) int { return r.Waiting })),
+			formatNumber(sum(members, func(r operator.RouterStatus) int { return r.Running })))
 	}
 	if err := t.w.Flush(); err != nil {
 		return err
 	}
-	return listMost(a, "routers not ready, behind, leaving or with an error", s.Routers, printRouters, func(r operator.RouterStatus) bool {
+	return listMatching(a, "routers not ready, behind, leaving or with an error", s.Routers, printRouters, func(r operator.RouterStatus) bool {
 		return r.State != operator.RouterReady || isBehind(r, s) || r.Leaving || r.Error != ""
 	})
 }
 
-// isBehind says whether a router that answers has an older version in force than another.
+// isBehind reports whether a router that answers has an older version in force than the
+// newest one.
 func isBehind(r operator.RouterStatus, s operator.Status) bool {
 	return r.State != operator.RouterUnreachable && r.Version < s.Newest
 }
 
-// sumUpTargets writes a line for each pool and data centre, and lists the targets that need
-// a look.
-func (a *app) sumUpTargets(rows []operator.TargetStatus) error {
+// summariseTargets prints a line for each pool and data centre, and lists the targets that
+// need attention.
+func (a *app) summariseTargets(rows []operator.TargetStatus) error {
 	t := newTable(a.Out, "POOL", "DATA-CENTRE", "TARGETS", "LIVE", "SUSPECT", "LEAVING", "EVACUATED", "UNKNOWN", "RUNNING", "SLOTS")
-	groups, byGroup := grouped(rows, func(r operator.TargetStatus) group { return group{r.Pool, r.DataCentre} })
+	groups, byGroup := groupRows(rows, func(r operator.TargetStatus) group { return group{r.Pool, r.DataCentre} })
 	for _, g := range groups {
-		of := byGroup[g]
-		in := func(health operator.TargetHealth) string {
-			return number(count(of, func(r operator.TargetStatus) bool { return r.Health == health }))
+		members := byGroup[g]
+		countIn := func(health operator.TargetHealth) string {
+			return formatNumber(count(members, func(r operator.TargetStatus) bool { return r.Health == health }))
 		}
-		t.row(g.pool, g.dataCentre, number(len(of)), in(operator.TargetLive), in(operator.TargetSuspect),
-			in(operator.TargetLeaving), in(operator.TargetEvacuated), in(operator.TargetUnknown),
-			number(sum(of, func(r operator.TargetStatus) int { return r.Running })),
-			number(sum(of, func(r operator.TargetStatus) int { return r.Slots })))
+		t.row(g.pool, g.dataCentre, formatNumber(len(members)), countIn(operator.TargetLive), countIn(operator.TargetSuspect),
+			countIn(operator.TargetLeaving), countIn(operator.TargetEvacuated), countIn(operator.TargetUnknown),
+			formatNumber(sum(members, func(r operator.TargetStatus) int { return r.Running })),
+			formatNumber(sum(members, func(r operator.TargetStatus) int { return r.Slots })))
 	}
 	if err := t.w.Flush(); err != nil {
 		return err
 	}
-	return listMost(a, "targets not live or not in their declared state", rows, printTargets, func(r operator.TargetStatus) bool {
+	return listMatching(a, "targets not live or not in their declared state", rows, printTargets, func(r operator.TargetStatus) bool {
 		return r.Health != operator.TargetLive || (r.Orders != "" && r.Orders != operator.OrdersDone)
 	})
 }
 
-// sumUpBacklog lists the workspaces that have the most requests waiting.
-func (a *app) sumUpBacklog(rows []operator.WorkspaceBacklog) error {
+// summariseBacklog lists the workspaces with the most waiting requests.
+func (a *app) summariseBacklog(rows []operator.WorkspaceBacklog) error {
 	rows = slices.Clone(rows)
 	slices.SortStableFunc(rows, func(x, y operator.WorkspaceBacklog) int { return cmp.Compare(y.Waiting, x.Waiting) })
-	rest := rows[mostRows:]
-	if err := printBacklog(a.Out, rows[:mostRows]); err != nil {
+	rest := rows[maxListedRows:]
+	if err := printBacklog(a.Out, rows[:maxListedRows]); err != nil {
 		return err
 	}
 	a.printf("%d workspaces more, with %d waiting; --all lists them\n", len(rest),
@@ -118,17 +120,18 @@
 	return nil
 }
 
-// listMost lists the rows that a condition holds for, up to a screen of them.
-func listMost[T any](a *app, what string, rows []T, list func(io.Writer, []T) error, holds func(T) bool) error {
-	found := slices.DeleteFunc(slices.Clone(rows), func(row T) bool { return !holds(row) })
-	a.printf("%d %s\n", len(found), what)
-	if len(found) == 0 {
+// listMatching prints how many rows a condition holds for and lists the first maxListedRows
+// of them.
+func listMatching[T any](a *app, what string, rows []T, printTable func(io.Writer, []T) error, holds func(T) bool) error {
+	matching := slices.DeleteFunc(slices.Clone(rows), func(row T) bool { return !holds(row) })
+	a.printf("%d %s\n", len(matching), what)
+	if len(matching) == 0 {
 		return nil
 	}
-	if err := list(a.Out, found[:min(len(found), mostRows)]); err != nil {
+	if err := printTable(a.Out, matching[:min(len(matching), maxListedRows)]); err != nil {
 		return err
 	}
-	if more := len(found) - mostRows; more > 0 {
+	if more := len(matching) - maxListedRows; more > 0 {
 		a.printf("%d more; --all lists them\n", more)
 	}
 	return nil
--- a/ctl/cli/summary_test.go
+++ b/ctl/cli/summary_test.go
@@ -9,7 +9,7 @@
 	"github.com/walnutcove/walnutcove/operator"
 )
 
-// largeFleet is the status of a fleet of 300 routers in which some need a look.
+// largeFleet returns the status of a fleet of 300 routers, some of which need attention.
 func largeFleet() operator.Status {
 	s := operator.Status{Newest: 7}
 	for n := range 300 {
@@ -37,8 +37,8 @@
 	return s
 }
 
-// TestStatusOfLargeFleet: the status of hundreds of routers fits on two screens, sums up
-// what is sound, and names what is not.
+// TestStatusOfLargeFleet checks that the status of hundreds of routers fits on two screens,
+// summarises what is healthy, and lists what is not.
 func TestStatusOfLargeFleet(t *testing.T) {
 	var out bytes.Buffer
 	a := &app{Streams: Streams{Out: &out}}
@@ -59,14 +59,14 @@
 			t.Errorf("no %q in:\n%s", want, out.String())
 		}
 	}
-	const screens = 80
-	if lines := strings.Count(out.String(), "\n"); lines > screens {
+	const maxLines = 80
+	if lines := strings.Count(out.String(), "\n"); lines > maxLines {
 		t.Errorf("%d lines", lines)
 	}
 }
 
-// TestStatusOfLargeFleetWhole lists everything where that is asked for.
-func TestStatusOfLargeFleetWhole(t *testing.T) {
+// TestStatusOfLargeFleetWithAll checks that everything is listed if all is set.
+func TestStatusOfLargeFleetWithAll(t *testing.T) {
 	var out bytes.Buffer
 	a := &app{Streams: Streams{Out: &out}}
 	if err := a.printStatus(largeFleet(), true); err != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestStatusOfSoundLargeFleet lists no router where none needs a look.
-func TestStatusOfSoundLargeFleet(t *testing.T) {
+// TestStatusOfHealthyLargeFleet checks that no router is listed if none needs attention.
+func TestStatusOfHealthyLargeFleet(t *testing.T) {
 	s := largeFleet()
 	for n := range s.Routers {
 		s.Routers[n].State, s.Routers[n].Version, s.Routers[n].Leaving, s.Routers[n].Error = operator.RouterReady, 7, false, ""
--- a/ctl/cli/table.go
+++ b/ctl/cli/table.go
@@ -11,13 +11,13 @@
 	"github.com/walnutcove/walnutcove/operator"
 )
 
-// table writes aligned columns. Empty cells are written as "-" so that the
-// columns can be cut by scripts.
+// table prints aligned columns. Empty cells are printed as "-" so that scripts
+// can split lines into columns.
 type table struct{ w *tabwriter.Writer }
 
-func newTable(w io.Writer, heads ...string) table {
+func newTable(w io.Writer, headers ...string) table {
 	t := table{w: tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)}
-	t.row(heads...)
+	t.row(headers...)
 	return t
 }
 
@@ -34,12 +34,12 @@
 	t := newTable(a.Out, "VERSION", "ACCEPTED", "PATCH", "OBJECTS", "AUTHOR", "NOTE")
 	for _, e := range entries {
 		note := strings.Join(strings.Fields(e.Note), " ")
-		t.row(number(e.Version), e.AcceptedAt.UTC().Format(time.RFC3339), e.PatchID, strconv.Itoa(e.Objects), e.Author, note)
+		t.row(formatNumber(e.Version), e.AcceptedAt.UTC().Format(time.RFC3339), e.PatchID, strconv.Itoa(e.Objects), e.Author, note)
 	}
 	return t.w.Flush()
 }
 
-// printStatus writes the state of the fleet; without all, large tables are summed up.
+// printStatus prints the state of the fleet; unless all is set, large tables are summarised.
 func (a *app) printStatus(s operator.Status, all bool) error {
 	a.printf("newest version=%d\n\nROUTERS\n", s.Newest)
 	if err := a.showRouters(s, all); err != nil {
@@ -58,34 +58,34 @@
 }
 
 func (a *app) showRouters(s operator.Status, all bool) error {
-	if all || len(s.Routers) <= mostRows {
+	if all || len(s.Routers) <= maxListedRows {
 		return printRouters(a.Out, s.Routers)
 	}
-	return a.sumUpRouters(s)
+	return a.summariseRouters(s)
 }
 
 func (a *app) showTargets(rows []operator.TargetStatus, all bool) error {
-	if all || len(rows) <= mostRows {
+	if all || len(rows) <= maxListedRows {
 		return printTargets(a.Out, rows)
 	}
-	return a.sumUpTargets(rows)
+	return a.summariseTargets(rows)
 }
 
 func (a *app) showBacklog(rows []operator.WorkspaceBacklog, all bool) error {
-	if all || len(rows) <= mostRows {
+	if all || len(rows) <= maxListedRows {
 		return printBacklog(a.Out, rows)
 	}
-	return a.sumUpBacklog(rows)
+	return a.summariseBacklog(rows)
 }
 
 func printRouters(w io.Writer, rows []operator.RouterStatus) error {
 	t := newTable(w, "NODE", "DATA-CENTRE", "STATE", "VERSION", "WAITING", "RUNNING", "LEAVING", "ERROR")
 	for _, r := range rows {
 		if r.State == operator.RouterUnreachable {
-			t.row(r.Node, r.DataCentre, string(r.State), "", "", "", yes(r.Leaving), r.Error)
+			t.row(r.Node, r.DataCentre, string(r.State), "", "", "", yesOrEmpty(r.Leaving), r.Error)
 			continue
 		}
-		t.row(r.Node, r.DataCentre, string(r.State), number(r.Version), number(r.Waiting), number(r.Running), yes(r.Leaving), r.Error)
+		t.row(r.Node, r.DataCentre, string(r.State), formatNumber(r.Version), formatNumber(r.Waiting), formatNumber(r.Running), yesOrEmpty(r.Leaving), r.Error)
 	}
 	return t.w.Flush()
 }
@@ -93,7 +93,7 @@
 func printShards(w io.Writer, rows []operator.ShardStatus) error {
 	t := newTable(w, "POOL", "DATA-CENTRE", "SCHEDULER", "WAITING", "RUNNING", "SLOTS")
 	for _, r := range rows {
-		t.row(r.Pool, r.DataCentre, r.Scheduler, number(r.Waiting), number(r.Running), number(r.Slots))
+		t.row(r.Pool, r.DataCentre, r.Scheduler, formatNumber(r.Waiting), formatNumber(r.Running), formatNumber(r.Slots))
 	}
 	return t.w.Flush()
 }
@@ -101,7 +101,7 @@
 func printTargets(w io.Writer, rows []operator.TargetStatus) error {
 	t := newTable(w, "TARGET", "POOL", "DATA-CENTRE", "HEALTH", "RUNNING", "SLOTS", "LOAD-AGE", "SCHEDULER", "ORDERS")
 	for _, r := range rows {
-		t.row(r.Name, r.Pool, r.DataCentre, string(r.Health), number(r.Running), number(r.Slots), age(r.LoadAgeMillis), r.Scheduler, r.Orders)
+		t.row(r.Name, r.Pool, r.DataCentre, string(r.Health), formatNumber(r.Running), formatNumber(r.Slots), formatAge(r.LoadAgeMillis), r.Scheduler, r.Orders)
 	}
 	return t.w.Flush()
 }
@@ -109,21 +109,21 @@
 func printBacklog(w io.Writer, rows []operator.WorkspaceBacklog) error {
 	t := newTable(w, "WORKSPACE", "WAITING", "BYTES", "RUNNING")
 	for _, r := range rows {
-		t.row(r.Workspace, number(r.Waiting), number(r.WaitingBytes), number(r.Running))
+		t.row(r.Workspace, formatNumber(r.Waiting), formatNumber(r.WaitingBytes), formatNumber(r.Running))
 	}
 	return t.w.Flush()
 }
 
-func number[T ~int | ~int64 | ~uint64](n T) string { return fmt.Sprint(n) }
+func formatNumber[T ~int | ~int64 | ~uint64](n T) string { return fmt.Sprint(n) }
 
-func yes(b bool) string {
+func yesOrEmpty(b bool) string {
 	if b {
 		return "yes"
 	}
 	return ""
 }
 
-func age(millis int64) string {
+func formatAge(millis int64) string {
 	if millis < 0 {
 		return ""
 	}
