--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -1,8 +1,8 @@
-// Package dialect describes how callers and targets spell what a request
-// needs: the names of headers, and what an answer's head says about the run.
-// The rest of the product asks a Dialect and knows no header of its own. Own is
-// the dialect of docs/CALLERS.md and docs/TARGETS.md; an adapter to another
-// system brings its own value.
+// Package dialect describes the HTTP headers that callers and targets use: the
+// names of request headers, and what an answer's head says about the run. The
+// rest of the product takes these names and rules from a Dialect. Own is the
+// dialect of docs/CALLERS.md and docs/TARGETS.md; an adapter to another system
+// defines its own Dialect.
 package dialect
 
 import (
@@ -19,20 +19,21 @@
 // Getter returns a header's value by its canonical name; empty if it is absent.
 type Getter func(name string) string
 
-// Dialect is one way of speaking with callers and targets. An empty header name
-// means that the dialect has no such header. It must not be changed in use.
+// Dialect holds the headers and rules of one protocol with callers and targets.
+// An empty header name means that the dialect has no such header. A Dialect must
+// not be changed once it is in use.
 type Dialect struct {
-	// RequestID carries the request's id to targets. If CallerSetsID, callers
-	// send it and the id in logs is theirs.
+	// RequestID carries the request's id to targets. If CallerSetsID is set, callers
+	// send the id, and it is the one in logs.
 	RequestID    string
 	CallerSetsID bool
-	// EchoesID says that targets repeat the id in each answer, so that an answer
-	// with another one belongs to another request.
+	// EchoesID says that targets repeat the request's id in each answer, so that an
+	// answer with another id belongs to another request.
 	EchoesID bool
-	// StatusPromises says that callers go by the HTTP status alone: 408, 421, 429
+	// StatusTellsNotRun says that callers look at the HTTP status alone: 408, 421, 429
 	// and 503 promise that the request did not run.
 	StatusPromises bool
-	// RetryFractions says that callers read fractions in Retry-After.
+	// FractionalRetryAfter says that callers accept fractions of a second in Retry-After.
 	RetryFractions bool
 	// Key carries a workspace's key from callers.
 	Key string
@@ -40,22 +41,22 @@
 	Deadline string
 	// Workspace tells targets the name of the key's workspace.
 	Workspace string
-	// ExpectTarget names the incarnation that is to run the request, so that a
-	// new owner of its address refuses it.
+	// ExpectTarget names the target incarnation that is to run the request, so that
+	// another one at the same address refuses it.
 	ExpectTarget string
-	// FetchFrom names the address of a target that keeps parts of the prompt,
-	// which the target is to fetch rather than read.
+	// FetchFrom carries the address of another target that has parts of the prompt in
+	// its cache. The target is to fetch them from there instead of computing them.
 	FetchFrom string
-	// ResumeAfter carries the id of the last event that a caller has.
+	// ResumeAfter carries the id of the last event that a caller has received.
 	ResumeAfter string
-	// Seal marks an answer as the target's own; a success without it is not one.
+	// Seal marks an answer as written by the target; a success without it does not count as one.
 	Seal string
-	// Reserved are headers that only this fleet sets: a caller's are dropped.
+	// Reserved are headers that only this fleet sets: those of callers are dropped.
 	Reserved []string
-	// UnframedEnds says that an answer without a length that ends with its
-	// connection is whole.
+	// CloseDelimited says that an answer without a length is complete when its
+	// connection is closed.
 	UnframedEnds bool
-	// RefusedNotRun says by an answer's head that the target refused the request
+	// RefusedNotRun reports by an answer's head whether the target refused the request
 	// and did not run it.
 	RefusedNotRun func(status int, header Getter) bool
 	// Notice reads what an answer's head says of the target itself; nil: nothing.
@@ -64,7 +65,7 @@
 	Work func(header Getter) control.Work
 }
 
-// Headers of the product's own dialect towards targets.
+// Headers between routers and targets in the product's own dialect.
 const (
 	// HeaderRequestID carries the request id.
 	HeaderRequestID = "Walnut-Request-Id"
@@ -81,8 +82,8 @@
 	},
 }
 
-// Owns says whether the fleet itself sets a header towards targets, so that a
-// caller's value must not pass. The name is canonical.
+// SetByFleet reports whether the fleet itself sets a header of requests to targets, so that
+// a caller's value must not be forwarded. The name is canonical.
 func (d *Dialect) Owns(name string) bool {
 	switch name {
 	case d.RequestID, d.Key, d.Deadline, d.Workspace, d.ExpectTarget, d.FetchFrom:
@@ -96,16 +97,16 @@
 	return false
 }
 
-// TimeLeft is a deadline as targets are told it: whole milliseconds, at least 1.
+// MillisLeft returns the value of the Deadline header: the whole milliseconds until the
+// deadline, at least 1.
 func TimeLeft(deadline, now time.Time) int64 {
 	return max(1, deadline.Sub(now).Milliseconds())
 }
 
-// maxRetryAfter is the longest advice of a target that is believed.
+// maxRetryAfter is the longest Retry-After of a target that is accepted; longer ones are ignored.
 const maxRetryAfter = time.Hour
 
-// RetryAfter reads the seconds of a Retry-After header; zero if there are none or they cannot
-// be read.
+// RetryAfter reads a Retry-After header in seconds; zero if it is absent or not a valid number.
 func RetryAfter(header Getter) time.Duration {
 	seconds, err := strconv.ParseFloat(header(fasthttp.HeaderRetryAfter), 64)
 	if err != nil || !(seconds >= 0 && seconds <= maxRetryAfter.Seconds()) {
