--- a/operator/backend.go
+++ b/operator/backend.go
@@ -14,8 +14,9 @@
 //	POST /operator/v1/drain            body: DrainRequest; answers DrainStarted
 //
 // /healthz and /readyz need no key. Everything else needs an operator key
-// ("Authorization: Bearer KEY") unless none is configured, which is allowed on
-// loopback only. Errors are ErrorBody documents with numbered result codes.
+// ("Authorization: Bearer KEY") unless none is configured, which is allowed only
+// on loopback or if Options.Open is set. Errors are ErrorBody documents with
+// numbered result codes.
 //
 // The package does not depend on how a router works: the router implements Backend.
 package operator
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -82,7 +82,7 @@
 	return hex.EncodeToString(digest[:])
 }
 
-// start serves the backend on loopback and returns the base URL.
+// startServer serves the backend on loopback and returns the base URL.
 func startServer(t *testing.T, backend Backend) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
