--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -32,9 +32,9 @@
 	EchoesID bool
 	// StatusTellsNotRun says that callers look at the HTTP status alone: 408, 421, 429
 	// and 503 promise that the request did not run.
-	StatusPromises bool
+	StatusTellsNotRun bool
 	// FractionalRetryAfter says that callers accept fractions of a second in Retry-After.
-	RetryFractions bool
+	FractionalRetryAfter bool
 	// Key carries a workspace's key from callers.
 	Key string
 	// Deadline carries how many milliseconds are left, from callers and to targets.
@@ -55,7 +55,7 @@
 	Reserved []string
 	// CloseDelimited says that an answer without a length is complete when its
 	// connection is closed.
-	UnframedEnds bool
+	CloseDelimited bool
 	// RefusedNotRun reports by an answer's head whether the target refused the request
 	// and did not run it.
 	RefusedNotRun func(status int, header Getter) bool
@@ -84,7 +84,7 @@
 
 // SetByFleet reports whether the fleet itself sets a header of requests to targets, so that
 // a caller's value must not be forwarded. The name is canonical.
-func (d *Dialect) Owns(name string) bool {
+func (d *Dialect) SetByFleet(name string) bool {
 	switch name {
 	case d.RequestID, d.Key, d.Deadline, d.Workspace, d.ExpectTarget, d.FetchFrom:
 		return name != ""
@@ -99,7 +99,7 @@
 
 // MillisLeft returns the value of the Deadline header: the whole milliseconds until the
 // deadline, at least 1.
-func TimeLeft(deadline, now time.Time) int64 {
+func MillisLeft(deadline, now time.Time) int64 {
 	return max(1, deadline.Sub(now).Milliseconds())
 }
 
--- a/front/answer.go
+++ b/front/answer.go
@@ -79,7 +79,7 @@
 // keep their own status.
 func (s *Server) httpStatus(refusal *result.Error) int {
 	status := refusal.Code.Info().Status
-	if !s.options.Dialect.StatusPromises {
+	if !s.options.Dialect.StatusTellsNotRun {
 		return status
 	}
 	promisesNotRun := status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests ||
@@ -110,7 +110,7 @@
 	if after <= 0 {
 		return
 	}
-	if s.options.Dialect.RetryFractions {
+	if s.options.Dialect.FractionalRetryAfter {
 		header.Set(headerRetryAfter, strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 		return
 	}
--- a/front/status_test.go
+++ b/front/status_test.go
@@ -13,7 +13,7 @@
 // 408, 421, 429 and 503 are used only for requests that did not run, and that every
 // request that did not run through no fault of the caller gets one of them.
 func TestStatusTellsWhetherRequestRan(t *testing.T) {
-	s := New(Options{Dialect: &dialect.Dialect{StatusPromises: true}}, nil)
+	s := New(Options{Dialect: &dialect.Dialect{StatusTellsNotRun: true}}, nil)
 	promises := map[int]bool{
 		http.StatusRequestTimeout:     true,
 		http.StatusMisdirectedRequest: true,
--- a/router/start.go
+++ b/router/start.go
@@ -229,7 +229,7 @@
 	options.Log = r.log
 	options.Dialect = r.dialect()
 	if r.managed != nil {
-		r.cacheWatcher = cachewatch.New(platform.NewCaches(r.targets), r.targetCacheChanged, r.log)
+		r.cacheWatcher = cachewatch.New(platform.NewCacheSource(r.targets), r.targetCacheChanged, r.log)
 		options.CloseAfterAnswer = r.overload.shouldCloseConn
 		options.Shed = r.overload.shouldShed
 		options.OnShed = r.countUnread
--- a/standin/managed/replica.go
+++ b/standin/managed/replica.go
@@ -192,15 +192,15 @@
 // serveKept answers the calls that tell what the replica keeps: the parts of the
 // prompts that it ran, in the order in which they came.
 func (r *Replica) serveKept(ctx *fasthttp.RequestCtx) {
-	list := string(ctx.Path()) == wire.PathKeptList
-	after := ctx.QueryArgs().GetUintOrZero(wire.ParamKeptAfter)
+	list := string(ctx.Path()) == wire.PathCacheList
+	after := ctx.QueryArgs().GetUintOrZero(wire.ParamCacheAfter)
 	if !list {
 		wait, _ := strconv.Atoi(string(ctx.Request.Header.Peek(wire.HeaderWait))) // none: no wait
 		time.Sleep(time.Duration(wait) * time.Millisecond)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	answer := wire.Kept{Epoch: json.RawMessage("1"), Next: uint64(len(r.kept))}
+	answer := wire.CacheContent{Epoch: json.RawMessage("1"), Next: uint64(len(r.kept))}
 	for n, part := range r.kept {
 		id, tokens, _ := strings.Cut(part, ":")
 		entry := []string{"\"\"", strconv.Quote(id), tokens, "\"m\""}
@@ -242,7 +242,7 @@
 	if r.isLeaving() {
 		ctx.Response.Header.Set(wire.HeaderLeaving, wire.LeavingValue)
 	}
-	if path := string(ctx.Path()); path == wire.PathKeptList || path == wire.PathKeptChanges {
+	if path := string(ctx.Path()); path == wire.PathCacheList || path == wire.PathCacheChanges {
 		r.serveKept(ctx)
 		return
 	}
--- a/targets/body.go
+++ b/targets/body.go
@@ -124,7 +124,7 @@
 	if err != io.EOF {
 		return n, b.fail(err)
 	}
-	if b.ex.client.options.Dialect.UnframedEnds {
+	if b.ex.client.options.Dialect.CloseDelimited {
 		b.finish(io.EOF, false)
 		return n, io.EOF
 	}
--- a/targets/httpclient.go
+++ b/targets/httpclient.go
@@ -207,7 +207,7 @@
 	header.SetRequestURI(req.Path)
 	header.SetHost(cmp.Or(req.Host, req.Address))
 	for name, value := range req.Header {
-		if !isFramingHeader(name) && !d.Owns(name) {
+		if !isFramingHeader(name) && !d.SetByFleet(name) {
 			header.Set(name, value)
 		}
 	}
@@ -220,7 +220,7 @@
 	setHeader(header, d.FetchFrom, req.FetchAddress)
 	setHeader(header, d.ResumeAfter, req.AfterEvent)
 	if !req.Deadline.IsZero() {
-		setHeader(header, d.Deadline, strconv.FormatInt(dialect.TimeLeft(req.Deadline, time.Now()), 10))
+		setHeader(header, d.Deadline, strconv.FormatInt(dialect.MillisLeft(req.Deadline, time.Now()), 10))
 	}
 	if req.Offset > 0 {
 		header.Set(HeaderResumeOffset, strconv.FormatInt(req.Offset, 10))
--- a/targets/stray_test.go
+++ b/targets/stray_test.go
@@ -16,10 +16,10 @@
 
 // echoDialect is a dialect whose targets echo the id of each request.
 var echoDialect = &dialect.Dialect{
-	RequestID:     "X-Id",
-	EchoesID:      true,
-	UnframedEnds:  true,
-	RefusedNotRun: func(int, dialect.Getter) bool { return false },
+	RequestID:      "X-Id",
+	EchoesID:       true,
+	CloseDelimited: true,
+	RefusedNotRun:  func(int, dialect.Getter) bool { return false },
 }
 
 // serveRaw answers each request on a connection with what answer returns for its id.
