--- a/config/apply.go
+++ b/config/apply.go
@@ -8,8 +8,7 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 )
 
-// Empty returns version zero: the state of a store to which nothing was
-// written.
+// Empty returns version zero: the state of a store that holds no versions.
 func Empty() *Snapshot {
 	return &Snapshot{Declarations: Declarations{
 		Workspaces: map[string]Workspace{},
@@ -19,9 +18,9 @@
 	}}
 }
 
-// Apply returns the version that follows s when the patch is accepted. Only
-// the objects that the patch names are decoded, merged and validated; maps
-// are copied, and s is not changed. Errors are *PatchError,
+// Apply applies a patch to s and returns the resulting next version. Only the
+// objects named by the patch are decoded, merged and validated; maps are
+// copied, and s is not modified. Errors are *PatchError,
 // *VersionConflictError or *ValidationError.
 func Apply(s *Snapshot, patch Patch) (*Snapshot, error) {
 	patch, err := patch.Normalise()
@@ -41,13 +40,13 @@
 	}
 	next.Version = s.Version + 1
 	next.PatchID = patch.ID
-	next.link = link{previous: s.Digest, patch: patch.hash()}
-	next.Digest = next.chain(next.content)
+	next.digestInputs = digestInputs{previousDigest: s.Digest, patchHash: patch.hash()}
+	next.Digest = next.computeDigest(next.content)
 	return next, nil
 }
 
-// merge builds the next content, validates what changed, and carries the
-// content sum and the index over.
+// merge builds the declarations of the next version, validates the changed
+// objects, and updates the content sum and the index incrementally.
 func merge(s *Snapshot, touched rawDocument) (*Snapshot, error) {
 	old := s.Declarations
 	problems := &problemList{}
@@ -93,7 +92,7 @@
 	return next
 }
 
-// mergeObject applies the merge patch of one object.
+// mergeObject applies a merge patch to one object.
 func mergeObject[T any](s section[T], name string, current T, exists bool, change json.RawMessage, problems *problemList) T {
 	encoded := []byte("{}")
 	if exists {
@@ -117,8 +116,8 @@
 
 func isNull(raw json.RawMessage) bool { return string(raw) == "null" }
 
-// NewEntry applies the patch to s and returns the history entry to be written
-// with the snapshot it makes. Errors are those of Apply.
+// NewEntry applies the patch to s and returns the history entry to store and
+// the resulting snapshot. Errors are those of Apply.
 func NewEntry(s *Snapshot, patch Patch, now time.Time) (Entry, *Snapshot, error) {
 	patch, err := patch.Normalise()
 	if err != nil {
@@ -133,8 +132,8 @@
 }
 
 // ApplyEntry applies an accepted entry to the version before it. Besides the
-// errors of Apply it returns *SequenceError when the entry is not the next one
-// and *DigestError when it leads to another content than its digest states.
+// errors of Apply it returns *SequenceError if the entry is not the next one,
+// and *DigestError if the resulting content does not match the entry's digest.
 func ApplyEntry(s *Snapshot, entry Entry) (*Snapshot, error) {
 	if entry.Version != s.Version+1 {
 		return nil, &SequenceError{Have: s.Version, Got: entry.Version}
--- a/config/apply_test.go
+++ b/config/apply_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// keyHash returns the hex hash of a key, as declarations hold it.
+// keyHash returns the hex hash of a key, in the form used in declarations.
 func keyHash(key string) string {
 	hash := HashKey([]byte(key))
 	return hex.EncodeToString(hash[:])
@@ -48,7 +48,7 @@
 	return mustApply(t, Empty(), sampleChanges())
 }
 
-func TestApplyMergesAndLeavesTheOldVersionAlone(t *testing.T) {
+func TestApplyMergesWithoutChangingTheOldVersion(t *testing.T) {
 	s := sample(t)
 	next := mustApply(t, s, `{"workspaces": {"bakery": {"share": 5, "key_hashes": ["`+keyHash("rye")+`"]}, "school": null}, "targets": {"d2": null}}`)
 	if next.Version != 2 || next.Declarations.Workspaces["bakery"].Share != 5 {
@@ -87,7 +87,7 @@
 	wantProblems(t, err, "workspaces.bakery.max_queued", "workspaces.bakery.share")
 }
 
-// wantProblems checks that err lists exactly these objects and fields in order.
+// wantProblems checks that err lists exactly these objects and fields, in order.
 func wantProblems(t *testing.T, err error, want ...string) {
 	t.Helper()
 	var invalid *ValidationError
--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -9,39 +9,39 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 )
 
-// The letter's size: 16,000 workspaces, 38 models, 3,800 replicas.
+// The size of the largest specified fleet: 16,000 workspaces, 38 models, 3,800 replicas.
 const (
-	largeWorkspaces = 16_000
-	largePools      = 38
-	largeTargets    = 3_800
+	largeFleetWorkspaces = 16_000
+	largeFleetPools      = 38
+	largeFleetTargets    = 3_800
 )
 
-// large returns a valid document of the letter's size.
-func large() Declarations {
+// largeFleet returns a valid document of that size.
+func largeFleet() Declarations {
 	d := Declarations{Workspaces: map[string]Workspace{}, Pools: map[string]Pool{}, Targets: map[string]Target{}}
-	for i := range largePools {
+	for i := range largeFleetPools {
 		d.Pools[fmt.Sprintf("pool-%02d", i)] = Pool{Kind: KindEngine, Models: []string{fmt.Sprintf("model-%02d", i)}}
 	}
-	for i := range largeTargets {
+	for i := range largeFleetTargets {
 		d.Targets[fmt.Sprintf("target-%04d", i)] = Target{
-			Pool:       fmt.Sprintf("pool-%02d", i%largePools),
+			Pool:       fmt.Sprintf("pool-%02d", i%largeFleetPools),
 			DataCentre: fmt.Sprintf("dc-%d", i%7),
 			Address:    fmt.Sprintf("10.0.%d.%d:8000", i/200, i%200+1),
 			Slots:      4,
 		}
 	}
-	for i := range largeWorkspaces {
+	for i := range largeFleetWorkspaces {
 		d.Workspaces[fmt.Sprintf("workspace-%05d", i)] = Workspace{
 			KeyHashes: []string{keyHash(fmt.Sprintf("key-%d", i))},
-			Pools:     []string{fmt.Sprintf("pool-%02d", i%largePools), fmt.Sprintf("pool-%02d", (i+1)%largePools)},
+			Pools:     []string{fmt.Sprintf("pool-%02d", i%largeFleetPools), fmt.Sprintf("pool-%02d", (i+1)%largeFleetPools)},
 		}
 	}
 	return WithDefaults(d)
 }
 
-func largeSnapshot(b *testing.B) *Snapshot {
+func largeFleetSnapshot(b *testing.B) *Snapshot {
 	b.Helper()
-	changes, _, err := Diff(Declarations{}, large())
+	changes, _, err := Diff(Declarations{}, largeFleet())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -59,9 +59,9 @@
 	"remove": `{"targets": {"target-0007": null}}`,
 }
 
-// BenchmarkApply is what every router does for each accepted version.
+// BenchmarkApply measures the work of every router for each accepted version.
 func BenchmarkApply(b *testing.B) {
-	s := largeSnapshot(b)
+	s := largeFleetSnapshot(b)
 	for _, name := range sortedNames(benchChanges) {
 		patch := patchOn(s, benchChanges[name])
 		b.Run(name, func(b *testing.B) {
@@ -77,20 +77,22 @@
 	}
 }
 
-// BenchmarkApplyWhole is the way not taken: the whole document is encoded,
-// merged, decoded, validated and indexed for each version.
-func BenchmarkApplyWhole(b *testing.B) {
-	s := largeSnapshot(b)
+// BenchmarkApplyByFullDecode measures the alternative to incremental updates:
+// encoding, merging, decoding, validating and indexing the complete document
+// for each version.
+func BenchmarkApplyByFullDecode(b *testing.B) {
+	s := largeFleetSnapshot(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := applyWhole(s.Declarations, []byte(benchChanges["share"])); err != nil {
+		if _, err := applyByFullDecode(s.Declarations, []byte(benchChanges["share"])); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// applyWhole merges over the whole document; tests use it as the reference.
-func applyWhole(d Declarations, changes []byte) (*Snapshot, error) {
+// applyByFullDecode applies changes to the complete encoded document. It is
+// the reference implementation for the tests.
+func applyByFullDecode(d Declarations, changes []byte) (*Snapshot, error) {
 	encoded, err := json.Marshal(d)
 	if err != nil {
 		return nil, err
@@ -108,9 +110,9 @@
 	return s, nil
 }
 
-// BenchmarkDecodeSnapshot is what a restarted router does once.
+// BenchmarkDecodeSnapshot measures the work of a router once after a restart.
 func BenchmarkDecodeSnapshot(b *testing.B) {
-	encoded, err := EncodeSnapshot(largeSnapshot(b))
+	encoded, err := EncodeSnapshot(largeFleetSnapshot(b))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -127,7 +129,7 @@
 
 // BenchmarkSnapshotHeap reports the live heap of one snapshot with its index.
 func BenchmarkSnapshotHeap(b *testing.B) {
-	encoded, err := EncodeSnapshot(largeSnapshot(b))
+	encoded, err := EncodeSnapshot(largeFleetSnapshot(b))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -151,9 +153,9 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkWorkspaceByKey is on every request.
+// BenchmarkWorkspaceByKey measures the key lookup of every request.
 func BenchmarkWorkspaceByKey(b *testing.B) {
-	index := largeSnapshot(b).Index()
+	index := largeFleetSnapshot(b).Index()
 	key := []byte("key-7")
 	for b.Loop() {
 		if _, ok := index.WorkspaceByKey(key); !ok {
--- a/config/declarations_test.go
+++ b/config/declarations_test.go
@@ -12,9 +12,10 @@
 
 // TestDeclarations runs the scripts in testdata/declarations:
 //
-//	load    files, each after a line "== name", read as one directory
-//	patch   a merge patch applied to what was loaded or patched last
-//	diff    like load, but prints the difference and keeps the old document
+//	load    loads files, each after a line "== name", as one directory
+//	patch   applies a merge patch to the current document
+//	diff    loads files like load, but prints the difference from the current
+//	        document and does not replace it
 func TestDeclarations(t *testing.T) {
 	current := Empty()
 	datadriven.RunTest(t, "testdata/declarations", func(t *testing.T, d *datadriven.TestData) string {
@@ -47,7 +48,7 @@
 	})
 }
 
-// errorText puts each problem on a line of its own.
+// errorText formats an error with each problem on a line of its own.
 func errorText(err error) string {
 	var invalid *ValidationError
 	if !errors.As(err, &invalid) {
@@ -82,7 +83,7 @@
 	return mustApply(t, Empty(), string(changes))
 }
 
-// fillHashes puts the hash of key x for each "HASH(x)".
+// fillHashes replaces each "HASH(x)" by the hash of key x.
 func fillHashes(text string) string {
 	for _, key := range []string{"bread", "chalk"} {
 		text = strings.ReplaceAll(text, "HASH("+key+")", keyHash(key))
@@ -90,7 +91,7 @@
 	return text
 }
 
-// writeFiles writes the files of a script into a new directory.
+// writeFiles writes the files of a script command into a new directory.
 func writeFiles(t *testing.T, input string) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/config/decode.go
+++ b/config/decode.go
@@ -11,7 +11,7 @@
 	"unicode/utf8"
 )
 
-// The sections of the document.
+// Names of the document's sections.
 const (
 	sectionWorkspaces = "workspaces"
 	sectionPools      = "pools"
@@ -19,13 +19,13 @@
 	sectionRoutes     = "routes"
 )
 
-// section describes one section of the document for the generic code.
+// section describes one section of the document to the generic functions.
 type section[T any] struct {
 	name     string
 	defaults func() T
-	// normalise makes equal declarations encode alike (empty and absent lists).
+	// normalise gives equal declarations the same encoding (empty and absent lists).
 	normalise func(T) T
-	fields    map[string]int // JSON name -> struct field
+	fields    map[string]int // JSON name -> index of the struct field
 }
 
 var (
@@ -74,8 +74,9 @@
 
 func (s section[T]) path(name string) string { return s.name + "." + name }
 
-// decode reads one object strictly: field names match exactly, unknown fields
-// and wrong types are problems, absent fields take their default.
+// decode decodes one object strictly: field names must match exactly, unknown
+// fields and wrong types are reported as problems, and absent fields take
+// their defaults.
 func (s section[T]) decode(name string, raw json.RawMessage, problems *problemList) T {
 	value := s.defaults()
 	var members map[string]json.RawMessage
@@ -91,7 +92,7 @@
 			continue
 		}
 		if err := json.Unmarshal(member, object.Field(i).Addr().Interface()); err != nil {
-			problems.add(s.path(name), field, "%s", typeReason(err))
+			problems.add(s.path(name), field, "%s", decodeErrorReason(err))
 		}
 	}
 	return s.normalise(value)
@@ -105,15 +106,15 @@
 	return all
 }
 
-func typeReason(err error) string {
+func decodeErrorReason(err error) string {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return fmt.Sprintf("must be %s, not %s", typeName(wrongType.Type), wrongType.Value)
+		return fmt.Sprintf("must be %s, not %s", jsonTypeName(wrongType.Type), wrongType.Value)
 	}
 	return "cannot be read"
 }
 
-func typeName(t reflect.Type) string {
+func jsonTypeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
 		return "a string"
@@ -130,7 +131,7 @@
 	}
 }
 
-// rawDocument is the document with its objects still encoded.
+// rawDocument is the document with its objects not yet decoded.
 type rawDocument struct {
 	Workspaces map[string]json.RawMessage `json:"workspaces"`
 	Pools      map[string]json.RawMessage `json:"pools"`
@@ -147,8 +148,8 @@
 	}
 }
 
-// DecodePatch reads a patch from JSON strictly and returns it normalised.
-// Errors are *PatchError.
+// DecodePatch strictly decodes a patch from JSON and normalises it. Errors are
+// *PatchError.
 func DecodePatch(data []byte) (Patch, error) {
 	var patch Patch
 	if err := checkDuplicateKeys(data); err != nil {
@@ -162,9 +163,9 @@
 	return patch.Normalise()
 }
 
-// DecodeDeclarations reads a whole JSON document strictly, fills defaults and
-// validates it. The error is a *PatchError when it is not JSON of the right
-// shape and a *ValidationError otherwise.
+// DecodeDeclarations strictly decodes a complete JSON document, fills in
+// defaults and validates it. The error is a *PatchError if the data is not
+// JSON of the right structure, and a *ValidationError otherwise.
 func DecodeDeclarations(data []byte) (Declarations, error) {
 	if err := checkDuplicateKeys(data); err != nil {
 		return Declarations{}, &PatchError{Path: "declarations", Reason: err.Error()}
@@ -172,7 +173,8 @@
 	return decodeDocument(data)
 }
 
-// decodeDocument is DecodeDeclarations for data that this package encoded.
+// decodeDocument is DecodeDeclarations for data encoded by this package, which
+// has no duplicate keys.
 func decodeDocument(data []byte) (Declarations, error) {
 	sections, err := decodeSections(data)
 	if err != nil {
@@ -184,8 +186,8 @@
 	return declarations, problems.err()
 }
 
-// decodeSections splits a document or merge patch into its objects. A section
-// that is null is refused: objects are removed by name.
+// decodeSections splits a document or merge patch into its objects. A null
+// section is rejected: objects can only be removed one by one, by name.
 func decodeSections(data []byte) (rawDocument, error) {
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(data, &members); err != nil || members == nil {
@@ -210,16 +212,17 @@
 	return document, nil
 }
 
-// checkDuplicateKeys refuses data that is not one JSON value or that names a
-// key twice in one object: which of the two counts would be up to the reader.
+// checkDuplicateKeys rejects data that is not a single JSON value or that
+// repeats a key within an object: which value counts would depend on the
+// decoder.
 func checkDuplicateKeys(data []byte) error {
 	if !json.Valid(data) || !utf8.Valid(data) {
 		return errors.New("is not valid JSON")
 	}
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber()
-	var open []map[string]bool // one per open container; nil for a list
-	key := false               // the next string is a key
+	var containers []map[string]bool // keys seen in each open object; nil for a list
+	expectKey := false               // whether a string in the next position is a key
 	for {
 		token, err := decoder.Token()
 		if err == io.EOF {
@@ -230,31 +233,31 @@
 		}
 		switch t := token.(type) {
 		case json.Delim:
-			open = nest(open, t)
-			key = len(open) > 0 && open[len(open)-1] != nil
+			containers = updateOpenContainers(containers, t)
+			expectKey = len(containers) > 0 && containers[len(containers)-1] != nil
 			continue
 		case string:
-			if key {
-				seen := open[len(open)-1]
+			if expectKey {
+				seen := containers[len(containers)-1]
 				if seen[t] {
 					return fmt.Errorf("names key %q twice", t)
 				}
 				seen[t] = true
-				key = false
+				expectKey = false
 				continue
 			}
 		}
-		key = len(open) > 0 && open[len(open)-1] != nil
+		expectKey = len(containers) > 0 && containers[len(containers)-1] != nil
 	}
 }
 
-func nest(open []map[string]bool, delim json.Delim) []map[string]bool {
+func updateOpenContainers(containers []map[string]bool, delim json.Delim) []map[string]bool {
 	switch delim {
 	case '{':
-		return append(open, map[string]bool{})
+		return append(containers, map[string]bool{})
 	case '[':
-		return append(open, nil)
+		return append(containers, nil)
 	default:
-		return open[:len(open)-1]
+		return containers[:len(containers)-1]
 	}
 }
--- a/config/defaults.go
+++ b/config/defaults.go
@@ -1,16 +1,16 @@
 package config
 
-// Defaults of fields that a declaration leaves out.
+// Defaults of fields that a declaration omits.
 const (
 	// DefaultShare is the weight of a workspace.
 	DefaultShare = 1.0
-	// DefaultMaxQueued bounds a workspace's waiting requests at one router.
+	// DefaultMaxQueued limits a workspace's queued requests at one router.
 	DefaultMaxQueued = 256
-	// DefaultMaxQueuedBytes bounds a workspace's waiting bytes at one router: 64 MiB.
+	// DefaultMaxQueuedBytes limits a workspace's queued body bytes at one router: 64 MiB.
 	DefaultMaxQueuedBytes = 64 << 20
 	// DefaultTypicalMillis is the slot time charged at grant, in milliseconds.
 	DefaultTypicalMillis = 1000
-	// DefaultSlots is how many requests a target runs at once.
+	// DefaultSlots is the number of requests that a target runs concurrently.
 	DefaultSlots = 1
 )
 
@@ -53,10 +53,10 @@
 	return normaliseTarget(t)
 }
 
-// WithDefaults returns a copy of d in which every field that is zero and has a
-// default is filled. It is meant for declarations built in Go; files and
-// patches get their defaults as they are decoded, so that a zero written there
-// is refused and not replaced.
+// WithDefaults returns a copy of d in which every zero field that has a
+// default is set to it. It is meant for declarations built in Go; files and
+// patches get their defaults during decoding, so that an explicit zero is
+// rejected rather than replaced.
 func WithDefaults(d Declarations) Declarations {
 	return Declarations{
 		Workspaces: mapValues(d.Workspaces, withWorkspaceDefaults),
--- a/config/diff.go
+++ b/config/diff.go
@@ -6,7 +6,7 @@
 	"reflect"
 )
 
-// ChangeKind says what a DiffRow does to its object.
+// ChangeKind is the kind of change that a DiffRow describes.
 type ChangeKind string
 
 // The kinds of change.
@@ -16,13 +16,13 @@
 	ChangeSet     ChangeKind = "set"
 )
 
-// DiffRow is one difference between two documents, for people to read.
+// DiffRow is one difference between two documents, in a form for display.
 type DiffRow struct {
 	Kind ChangeKind `json:"kind"`
 	// Object is the section and name, for example "workspaces.bakery".
 	Object string `json:"object"`
-	// Field, Old and New are set with ChangeSet. Old and New are JSON; empty
-	// means that the field is absent.
+	// Field, Old and New are set for ChangeSet only. Old and New are JSON;
+	// empty if the field is absent.
 	Field string `json:"field,omitempty"`
 	Old   string `json:"old,omitempty"`
 	New   string `json:"new,omitempty"`
@@ -47,8 +47,8 @@
 	return value
 }
 
-// Diff returns the merge patch that turns from into to, and its rows in order
-// of section, object and field. Equal documents give "{}" and no rows.
+// Diff returns the merge patch that turns from into to, and the differences
+// ordered by section, object and field. Equal documents give "{}" and no rows.
 func Diff(from, to Declarations) (json.RawMessage, []DiffRow, error) {
 	changes := make(map[string]map[string]json.RawMessage)
 	var rows []DiffRow
@@ -104,7 +104,7 @@
 	return names
 }
 
-// diffObject returns the merge patch and rows of one object.
+// diffObject returns the merge patch and the differences of one object.
 func diffObject[T any](s section[T], name string, old, next T, had, has bool) (json.RawMessage, []DiffRow, error) {
 	object := s.path(name)
 	if !has {
@@ -114,11 +114,11 @@
 		encoded, err := json.Marshal(s.normalise(next))
 		return encoded, []DiffRow{{Kind: ChangeAdded, Object: object}}, err
 	}
-	before, err := members(s.normalise(old))
+	before, err := marshalFields(s.normalise(old))
 	if err != nil {
 		return nil, nil, err
 	}
-	after, err := members(s.normalise(next))
+	after, err := marshalFields(s.normalise(next))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -139,7 +139,7 @@
 	return encoded, rows, err
 }
 
-func members(object any) (map[string]json.RawMessage, error) {
+func marshalFields(object any) (map[string]json.RawMessage, error) {
 	encoded, err := json.Marshal(object)
 	if err != nil {
 		return nil, fmt.Errorf("config: encode: %w", err)
--- a/config/digest.go
+++ b/config/digest.go
@@ -9,10 +9,10 @@
 )
 
 // Digest is a chained SHA-256 digest of a version: it covers the previous
-// version's digest, the patch and the whole resulting content. Two nodes with
-// the same version and digest hold the same content. It finds faults, not
-// forgeries: who may write versions is settled by the operators' keys.
-// Version zero has the zero digest.
+// version's digest, the patch and the complete resulting content. Two nodes
+// with the same version and digest hold the same content. It detects faults,
+// not forgeries: write access is controlled by the operators' keys. Version
+// zero has the zero digest.
 type Digest [sha256.Size]byte
 
 // String returns the digest in hex.
@@ -32,17 +32,18 @@
 	return nil
 }
 
-// link holds what a digest was made from besides the content.
-type link struct {
-	previous Digest
-	patch    Digest
+// digestInputs holds the inputs of a digest other than the version's number,
+// patch id and content.
+type digestInputs struct {
+	previousDigest Digest
+	patchHash      Digest
 }
 
-// chain computes the digest of s.
-func (s *Snapshot) chain(content contentSum) Digest {
+// computeDigest computes the digest of s from its content sum.
+func (s *Snapshot) computeDigest(content contentSum) Digest {
 	hash := sha256.New()
-	hash.Write(s.link.previous[:])
-	hash.Write(s.link.patch[:])
+	hash.Write(s.digestInputs.previousDigest[:])
+	hash.Write(s.digestInputs.patchHash[:])
 	hash.Write([]byte(s.PatchID))
 	hash.Write(binary.BigEndian.AppendUint64(nil, uint64(s.Version)))
 	for _, word := range content {
@@ -53,8 +54,9 @@
 	return digest
 }
 
-// contentSum is the sum of the hashes of all objects, word by word. Order does
-// not matter, and a changed object costs one subtraction and one addition.
+// contentSum is the sum of the hashes of all objects, added word by word. It is
+// independent of their order, and updating it for a changed object takes one
+// subtraction and one addition.
 type contentSum [4]uint64
 
 func (c *contentSum) add(hash [sha256.Size]byte) {
@@ -69,12 +71,12 @@
 	}
 }
 
-// hashObject hashes one object with its section and name.
+// hashObject hashes an object together with its section and name.
 func hashObject(sectionName, name string, object any) [sha256.Size]byte {
 	encoded, err := json.Marshal(object)
 	if err != nil {
-		// Declarations hold only strings, numbers, booleans and lists of
-		// strings; validation refuses numbers that are not finite.
+		// Unreachable: declarations hold only strings, numbers, booleans and
+		// lists of strings, and validation rejects numbers that are not finite.
 		panic(fmt.Sprintf("config: encode %s.%s: %v", sectionName, name, err))
 	}
 	data := make([]byte, 0, len(sectionName)+len(name)+2+len(encoded))
@@ -92,7 +94,8 @@
 	}
 }
 
-// updateSum moves sum from old to next for the touched names.
+// updateSum replaces the hashes of the touched objects of old in sum by those
+// of next.
 func updateSum[T any](sum *contentSum, s section[T], old, next map[string]T, touched map[string]json.RawMessage) {
 	for name := range touched {
 		if object, ok := old[name]; ok {
--- a/config/digest_test.go
+++ b/config/digest_test.go
@@ -17,7 +17,7 @@
 	return entry, next
 }
 
-// reencode sends an entry through JSON, as the store and peers do.
+// reencode encodes an entry to JSON and decodes it, as the store and peers do.
 func reencode(t *testing.T, entry Entry) Entry {
 	t.Helper()
 	encoded, err := json.Marshal(entry)
@@ -64,15 +64,15 @@
 	}
 }
 
-// The same patch over another past must not give the same digest, even if the
-// content comes out equal.
-func TestDigestDependsOnThePast(t *testing.T) {
+// The same patch on a different history must give a different digest, even if
+// the resulting content is equal.
+func TestDigestDependsOnHistory(t *testing.T) {
 	a := mustApply(t, sample(t), `{"workspaces": {"bakery": {"share": 3}}}`)
 	b := mustApply(t, sample(t), `{"workspaces": {"bakery": {"share": 4}}}`)
 	entry, next := mustEntry(t, a, `{"workspaces": {"bakery": {"share": 5}}}`)
 	var mismatch *DigestError
 	if _, err := ApplyEntry(b, entry); !errors.As(err, &mismatch) {
-		t.Fatalf("other past: %v", err)
+		t.Fatalf("different history: %v", err)
 	}
 	var gap *SequenceError
 	if _, err := ApplyEntry(next, entry); !errors.As(err, &gap) {
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestPatchForm(t *testing.T) {
+func TestMalformedPatchesAreRefused(t *testing.T) {
 	good := patchOn(Empty(), `{}`)
 	for path, change := range map[string]func(*Patch){
 		"id":      func(p *Patch) { p.ID = "seven" },
--- a/config/docs_test.go
+++ b/config/docs_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// The operators' page must name every field, and its example must load.
-func TestOperatorsPage(t *testing.T) {
+// TestConfigPageNamesEveryField checks that docs/CONFIG.md has a table row for
+// every field, and that its examples can be loaded.
+func TestConfigPageNamesEveryField(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "docs", "CONFIG.md"))
 	if err != nil {
 		t.Fatal(err)
--- a/config/errors.go
+++ b/config/errors.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// Problem is one fault in a configuration.
+// Problem is one validation failure of a configuration.
 type Problem struct {
 	// Object is the section and name, for example "workspaces.bakery".
 	Object string `json:"object"`
-	// Field is the field's name as it stands in TOML and JSON. It is empty
-	// when the fault is in the object itself.
+	// Field is the field's name in TOML and JSON. It is empty if the problem
+	// concerns the object as a whole.
 	Field string `json:"field,omitempty"`
 	// Reason is a short sentence without a full stop.
 	Reason string `json:"reason"`
@@ -25,7 +25,7 @@
 	return p.Object + "." + p.Field + ": " + p.Reason
 }
 
-// ValidationError lists every problem of a configuration, in order of object
+// ValidationError lists every problem of a configuration, ordered by object
 // and field.
 type ValidationError struct{ Problems []Problem }
 
@@ -38,9 +38,9 @@
 	return "config: not valid: " + strings.Join(lines, "; ")
 }
 
-// PatchError says that a patch cannot be read.
+// PatchError reports that a patch is malformed.
 type PatchError struct {
-	// Path is the place in the patch, for example "changes.workspaces".
+	// Path locates the problem in the patch, for example "changes.workspaces".
 	Path string
 	// Reason is a short sentence without a full stop.
 	Reason string
@@ -51,15 +51,15 @@
 	return fmt.Sprintf("config: patch %s: %s", e.Path, e.Reason)
 }
 
-// VersionConflictError says that a patch was not made against the newest
+// VersionConflictError reports that a patch was not made against the newest
 // version.
 type VersionConflictError struct {
-	// Base is the version that the patch names.
+	// Base is the version that the patch was made against.
 	Base Version
 	// Newest is the newest version known.
 	Newest Version
-	// WinnerPatchID is the id of the patch that took version Base+1. It is
-	// empty when that version does not exist or was not read.
+	// WinnerPatchID is the id of the patch accepted as version Base+1. It is
+	// empty if that version does not exist or was not read.
 	WinnerPatchID string
 }
 
@@ -72,7 +72,7 @@
 	return text
 }
 
-// DigestError says that a version's content does not match its digest.
+// DigestError reports that a version's content does not match its digest.
 type DigestError struct {
 	Version  Version
 	Stated   Digest
@@ -84,7 +84,8 @@
 	return fmt.Sprintf("config: version %d: digest %s stated, %s computed", e.Version, e.Stated, e.Computed)
 }
 
-// SequenceError says that an entry does not follow the snapshot it was applied to.
+// SequenceError reports that an entry is not the successor of the snapshot
+// that it was applied to.
 type SequenceError struct {
 	Have Version
 	Got  Version
@@ -95,35 +96,35 @@
 	return fmt.Sprintf("config: version %d does not follow version %d", e.Got, e.Have)
 }
 
-// problemList gathers problems.
-type problemList struct{ list []Problem }
+// problemList collects validation problems.
+type problemList struct{ problems []Problem }
 
 func (l *problemList) add(object, field, format string, args ...any) {
-	l.list = append(l.list, Problem{Object: object, Field: field, Reason: fmt.Sprintf(format, args...)})
+	l.problems = append(l.problems, Problem{Object: object, Field: field, Reason: fmt.Sprintf(format, args...)})
 }
 
-// addAll adds the problems of other, but for those of a field or object that
-// has a problem already: a value that could not be read needs no second one.
+// addAll adds the problems of other, except those of a field or object that
+// already has a problem: a value that could not be decoded is reported once.
 func (l *problemList) addAll(other *problemList) {
 	type place struct{ object, field string }
-	known := make(map[place]bool, len(l.list))
-	for _, p := range l.list {
+	known := make(map[place]bool, len(l.problems))
+	for _, p := range l.problems {
 		known[place{p.Object, p.Field}] = true
 	}
-	for _, p := range other.list {
+	for _, p := range other.problems {
 		if !known[place{p.Object, p.Field}] && !known[place{p.Object, ""}] {
-			l.list = append(l.list, p)
+			l.problems = append(l.problems, p)
 		}
 	}
 }
 
 // err returns a *ValidationError with the sorted problems, or nil.
 func (l *problemList) err() error {
-	if len(l.list) == 0 {
+	if len(l.problems) == 0 {
 		return nil
 	}
-	sort.SliceStable(l.list, func(i, j int) bool {
-		a, b := l.list[i], l.list[j]
+	sort.SliceStable(l.problems, func(i, j int) bool {
+		a, b := l.problems[i], l.problems[j]
 		if a.Object != b.Object {
 			return a.Object < b.Object
 		}
@@ -132,5 +133,5 @@
 		}
 		return a.Reason < b.Reason
 	})
-	return &ValidationError{Problems: l.list}
+	return &ValidationError{Problems: l.problems}
 }
--- a/config/index.go
+++ b/config/index.go
@@ -13,17 +13,17 @@
 // KeyHash is the SHA-256 digest of a workspace key.
 type KeyHash [sha256.Size]byte
 
-// HashKey returns the digest of a key as callers send it.
+// HashKey returns the digest of a key in the form in which callers send it.
 func HashKey(key []byte) KeyHash { return sha256.Sum256(key) }
 
-// Index answers the request path's questions about one version. It is
-// immutable: readers share it without locks.
+// Index holds the lookup tables that the request path needs for one version.
+// It is immutable, so readers share it without locks.
 type Index struct {
-	keys     map[uint64][]keyOwner // by the first eight bytes of the hash
-	models   map[string]string
-	prefixes []prefixPool // longest first
-	targets  map[string]map[string][]string
-	routes   routeTable
+	keysByPrefix      map[uint64][]keyOwner // by the first eight bytes of the hash
+	poolsByModel      map[string]string
+	poolsByPathPrefix []prefixPool // longest first
+	targetsByPool     map[string]map[string][]string
+	routes            routeTable
 }
 
 type keyOwner struct {
@@ -36,14 +36,14 @@
 	pool   string
 }
 
-func newIndex() *Index {
-	return &Index{keys: map[uint64][]keyOwner{}}
+func newEmptyIndex() *Index {
+	return &Index{keysByPrefix: map[uint64][]keyOwner{}}
 }
 
-// Index returns the index of the snapshot. It is built once.
+// Index returns the index of the snapshot, building it on the first call.
 func (s *Snapshot) Index() *Index {
 	s.indexOnce.Do(func() {
-		index := newIndex()
+		index := newEmptyIndex()
 		index.addKeys(s.Declarations.Workspaces)
 		index.setPools(s.Declarations.Pools)
 		index.setTargets(s.Declarations.Targets)
@@ -53,11 +53,11 @@
 	return s.index
 }
 
-// derive returns the index of next. Parts that did not change are shared.
+// derive returns the index of next. Tables without changes are shared with x.
 func (x *Index) derive(old, next Declarations, touched rawDocument) *Index {
-	derived := &Index{keys: x.keys, models: x.models, prefixes: x.prefixes, targets: x.targets, routes: x.routes}
-	if changed := changedKeys(old, next, touched); len(changed) > 0 {
-		derived.keys = maps.Clone(x.keys)
+	derived := &Index{keysByPrefix: x.keysByPrefix, poolsByModel: x.poolsByModel, poolsByPathPrefix: x.poolsByPathPrefix, targetsByPool: x.targetsByPool, routes: x.routes}
+	if changed := workspacesWithChangedKeys(old, next, touched); len(changed) > 0 {
+		derived.keysByPrefix = maps.Clone(x.keysByPrefix)
 		for _, name := range changed {
 			derived.removeKeys(name, old.Workspaces[name].KeyHashes)
 		}
@@ -77,8 +77,9 @@
 	return derived
 }
 
-// changedKeys names the workspaces whose key hashes differ.
-func changedKeys(old, next Declarations, touched rawDocument) []string {
+// workspacesWithChangedKeys returns the touched workspaces whose key hashes
+// differ between old and next.
+func workspacesWithChangedKeys(old, next Declarations, touched rawDocument) []string {
 	var changed []string
 	for name := range touched.Workspaces {
 		if !slices.Equal(old.Workspaces[name].KeyHashes, next.Workspaces[name].KeyHashes) {
@@ -100,8 +101,8 @@
 		if !ok {
 			continue // Not a hash: no key can match it.
 		}
-		slot := hash.slot()
-		x.keys[slot] = append(slices.Clip(x.keys[slot]), keyOwner{hash: hash, workspace: workspace})
+		bucket := hash.bucket()
+		x.keysByPrefix[bucket] = append(slices.Clip(x.keysByPrefix[bucket]), keyOwner{hash: hash, workspace: workspace})
 	}
 }
 
@@ -111,52 +112,52 @@
 		if !ok {
 			continue
 		}
-		slot := hash.slot()
-		kept := make([]keyOwner, 0, len(x.keys[slot]))
-		for _, owner := range x.keys[slot] {
+		bucket := hash.bucket()
+		kept := make([]keyOwner, 0, len(x.keysByPrefix[bucket]))
+		for _, owner := range x.keysByPrefix[bucket] {
 			if owner.hash != hash || owner.workspace != workspace {
 				kept = append(kept, owner)
 			}
 		}
 		if len(kept) == 0 {
-			delete(x.keys, slot)
+			delete(x.keysByPrefix, bucket)
 			continue
 		}
-		x.keys[slot] = kept
+		x.keysByPrefix[bucket] = kept
 	}
 }
 
 func (x *Index) setPools(pools map[string]Pool) {
-	x.models = make(map[string]string)
-	x.prefixes = nil
+	x.poolsByModel = make(map[string]string)
+	x.poolsByPathPrefix = nil
 	for _, name := range sortedNames(pools) {
 		pool := pools[name]
 		for _, model := range pool.Models {
-			x.models[model] = name
+			x.poolsByModel[model] = name
 		}
 		if pool.PathPrefix != "" {
-			x.prefixes = append(x.prefixes, prefixPool{prefix: pool.PathPrefix, pool: name})
+			x.poolsByPathPrefix = append(x.poolsByPathPrefix, prefixPool{prefix: pool.PathPrefix, pool: name})
 		}
 	}
-	sort.SliceStable(x.prefixes, func(i, j int) bool {
-		return len(x.prefixes[i].prefix) > len(x.prefixes[j].prefix)
+	sort.SliceStable(x.poolsByPathPrefix, func(i, j int) bool {
+		return len(x.poolsByPathPrefix[i].prefix) > len(x.poolsByPathPrefix[j].prefix)
 	})
 }
 
 func (x *Index) setTargets(targets map[string]Target) {
-	x.targets = make(map[string]map[string][]string)
+	x.targetsByPool = make(map[string]map[string][]string)
 	for _, name := range sortedNames(targets) {
 		target := targets[name]
-		dataCentres := x.targets[target.Pool]
+		dataCentres := x.targetsByPool[target.Pool]
 		if dataCentres == nil {
 			dataCentres = make(map[string][]string)
-			x.targets[target.Pool] = dataCentres
+			x.targetsByPool[target.Pool] = dataCentres
 		}
 		dataCentres[target.DataCentre] = append(dataCentres[target.DataCentre], name)
 	}
 }
 
-func (h KeyHash) slot() uint64 { return binary.BigEndian.Uint64(h[:8]) }
+func (h KeyHash) bucket() uint64 { return binary.BigEndian.Uint64(h[:8]) }
 
 // WorkspaceByKey returns the workspace that a key belongs to.
 func (x *Index) WorkspaceByKey(key []byte) (string, bool) {
@@ -165,11 +166,11 @@
 
 // WorkspaceByKeyHash returns the workspace that a key with this hash belongs
 // to. The hash is looked up by its first eight bytes and then compared in
-// constant time, also when nothing was found.
+// constant time, even if the lookup found no candidate.
 func (x *Index) WorkspaceByKeyHash(hash KeyHash) (string, bool) {
-	candidates := x.keys[hash.slot()]
+	candidates := x.keysByPrefix[hash.bucket()]
 	if len(candidates) == 0 {
-		candidates = noOwner
+		candidates = dummyOwner
 	}
 	name := ""
 	found := false
@@ -183,22 +184,22 @@
 	return name, found
 }
 
-// noOwner is compared against when a hash has no candidate.
-var noOwner = []keyOwner{{}}
+// dummyOwner is the comparison candidate for hashes without candidates.
+var dummyOwner = []keyOwner{{}}
 
 // PoolByModel returns the engine pool that serves a model.
 func (x *Index) PoolByModel(model string) (string, bool) {
-	pool, ok := x.models[model]
+	pool, ok := x.poolsByModel[model]
 	return pool, ok
 }
 
 // PoolByPath returns the service pool with the longest path prefix that
-// contains the path. Prefixes end at a slash: "/svc/deploy" contains
-// "/svc/deploy/site" and not "/svc/deployer". A query is ignored. The path
-// must have been cleaned of "." and ".." parts.
+// contains the path. Prefixes match whole path segments: "/svc/deploy" contains
+// "/svc/deploy/site" but not "/svc/deployer". A query is ignored. The path must
+// not contain "." or ".." segments.
 func (x *Index) PoolByPath(path string) (string, bool) {
 	path, _, _ = strings.Cut(path, "?")
-	for _, p := range x.prefixes {
+	for _, p := range x.poolsByPathPrefix {
 		rest, ok := strings.CutPrefix(path, p.prefix)
 		if ok && (rest == "" || rest[0] == '/') {
 			return p.pool, true
@@ -209,10 +210,10 @@
 
 // TargetsByDataCentre returns a pool's target names by data centre, each list
 // sorted. It must not be modified.
-func (x *Index) TargetsByDataCentre(pool string) map[string][]string { return x.targets[pool] }
+func (x *Index) TargetsByDataCentre(pool string) map[string][]string { return x.targetsByPool[pool] }
 
-// Models returns every served model, sorted.
-func (x *Index) Models() []string { return sortedNames(x.models) }
+// Models returns the names of all served models, sorted.
+func (x *Index) Models() []string { return sortedNames(x.poolsByModel) }
 
 func sortedNames[T any](objects map[string]T) []string {
 	return slices.Sorted(maps.Keys(objects))
--- a/config/load.go
+++ b/config/load.go
@@ -11,18 +11,18 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// fileExtension marks the files that LoadDir reads.
+// fileExtension is the extension of the files that LoadDir reads.
 const fileExtension = ".toml"
 
-// FileError is a fault in one declarations file.
+// FileError is a problem in one declarations file.
 type FileError struct {
 	// File is the file's base name.
 	File string
 	// Key is the TOML key, for example "workspaces.bakery.share". It is empty
-	// when the file as a whole cannot be read.
+	// if the file as a whole cannot be read.
 	Key string
-	// Reason is a short sentence without a full stop. It names line and column
-	// when the file is not valid TOML.
+	// Reason is a short sentence without a full stop. It gives the line and
+	// column if the file is not valid TOML.
 	Reason string
 }
 
@@ -34,10 +34,10 @@
 	return fmt.Sprintf("config: %s: %s: %s", e.File, e.Key, e.Reason)
 }
 
-// LoadDir reads every *.toml file of a directory into one document. A file may
-// hold any mix of [workspaces.x], [pools.x] and [targets.x]; an object must
-// stand in one file only. Defaults are filled and the document is validated.
-// The error joins one *FileError for each fault found.
+// LoadDir reads all *.toml files of a directory into one document. A file may
+// hold any mix of [workspaces.x], [pools.x], [targets.x] and [routes.x]; each
+// object must be declared in one file only. Defaults are filled in and the
+// document is validated. The error joins one *FileError for each problem.
 func LoadDir(dir string) (Declarations, error) {
 	entries, err := os.ReadDir(dir) // Sorted by name.
 	if err != nil {
@@ -50,35 +50,35 @@
 			continue
 		}
 		found = true
-		l.read(filepath.Join(dir, entry.Name()))
+		l.readFile(filepath.Join(dir, entry.Name()))
 	}
 	if !found {
 		return Declarations{}, &FileError{File: filepath.Base(dir), Reason: "holds no *" + fileExtension + " file"}
 	}
-	return l.finish()
+	return l.decodeAndValidate()
 }
 
-// loader gathers the objects of several files.
+// loader collects the objects of several files into one document.
 type loader struct {
 	document rawDocument
-	files    map[string]string // object -> file
+	files    map[string]string // object -> file that declares it that declares it that declares it
 	errs     []error
 }
 
-func (l *loader) fail(file, key, format string, args ...any) {
+func (l *loader) addError(file, key, format string, args ...any) {
 	l.errs = append(l.errs, &FileError{File: file, Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
-func (l *loader) read(path string) {
+func (l *loader) readFile(path string) {
 	file := filepath.Base(path)
 	data, err := os.ReadFile(path)
 	if err != nil {
-		l.fail(file, "", "cannot be read: %v", errors.Unwrap(err))
+		l.addError(file, "", "cannot be read: %v", errors.Unwrap(err))
 		return
 	}
 	var sections map[string]any
 	if err := toml.Unmarshal(data, &sections); err != nil {
-		l.fail(file, "", "%s", tomlReason(err))
+		l.addError(file, "", "%s", tomlReason(err))
 		return
 	}
 	for _, name := range sortedNames(sections) {
@@ -98,12 +98,12 @@
 func (l *loader) addSection(file, name string, value any) {
 	into := l.section(name)
 	if into == nil {
-		l.fail(file, name, "unknown section")
+		l.addError(file, name, "unknown section")
 		return
 	}
 	objects, ok := value.(map[string]any)
 	if !ok {
-		l.fail(file, name, "must be a table of tables by name")
+		l.addError(file, name, "must be a table of tables by name")
 		return
 	}
 	if *into == nil {
@@ -131,34 +131,34 @@
 
 func (l *loader) addObject(file, key, name string, value any, into map[string]json.RawMessage) {
 	if first, taken := l.files[key]; taken {
-		l.fail(file, key, "is also declared in %s", first)
+		l.addError(file, key, "is also declared in %s", first)
 		return
 	}
 	l.files[key] = file
 	fields, ok := value.(map[string]any)
 	if !ok {
-		l.fail(file, key, "must be a table")
+		l.addError(file, key, "must be a table")
 		return
 	}
 	for _, field := range sortedNames(fields) {
 		if _, err := json.Marshal(fields[field]); err != nil {
-			l.fail(file, key+"."+field, "holds a value that is not allowed here")
+			l.addError(file, key+"."+field, "holds a value that is not allowed here")
 			delete(fields, field)
 		}
 	}
 	encoded, err := json.Marshal(fields)
 	if err != nil {
-		l.fail(file, key, "cannot be encoded: %v", err)
+		l.addError(file, key, "cannot be encoded: %v", err)
 		return
 	}
 	into[name] = encoded
 }
 
-// finish decodes and validates what was read.
-func (l *loader) finish() (Declarations, error) {
+// decodeAndValidate decodes and validates the collected objects.
+func (l *loader) decodeAndValidate() (Declarations, error) {
 	problems := &problemList{}
 	declarations := l.document.decode(problems)
-	if len(l.errs) == 0 { // Objects of a file that failed would all be missing.
+	if len(l.errs) == 0 { // Else objects of unreadable files would be reported as undeclared.
 		problems.addAll(validateAll(declarations))
 	}
 	var invalid *ValidationError
@@ -168,7 +168,7 @@
 			if p.Field != "" {
 				key += "." + p.Field
 			}
-			l.fail(l.files[p.Object], key, "%s", p.Reason)
+			l.addError(l.files[p.Object], key, "%s", p.Reason)
 		}
 	}
 	if len(l.errs) > 0 {
--- a/config/ordered.go
+++ b/config/ordered.go
@@ -2,14 +2,14 @@
 
 import "strings"
 
-// MaxLoadModels bounds the models that one target shall have loaded.
+// MaxLoadModels limits the models that one target can be ordered to load.
 const MaxLoadModels = 64
 
-// Ordered says whether a state of the target is declared that it may have to
-// be ordered to take.
+// HasOrders reports whether the declaration prescribes loaded models or a role,
+// which the target may have to be ordered to adopt.
 func (t Target) Ordered() bool { return len(t.LoadModels) > 0 || t.Role != "" }
 
-// checkOrders checks the state that a target shall have.
+// checkOrders checks the loaded models and the role prescribed for a target.
 func checkOrders(d Declarations, object string, t Target, problems *problemList) {
 	if len(t.LoadModels) > MaxLoadModels {
 		problems.add(object, "load_models", "holds over %d models", MaxLoadModels)
@@ -21,15 +21,16 @@
 	}
 	checkNoRepeats(object, "load_models", t.LoadModels, problems)
 	if t.Role != "" {
-		if reason := nameReason(t.Role); reason != "" {
+		if reason := invalidNameReason(t.Role); reason != "" {
 			problems.add(object, "role", "%s", reason)
 		}
 	}
-	checkOrderedPool(d, object, t, problems)
+	checkOrdersPoolKind(d, object, t, problems)
 }
 
-// checkOrderedPool refuses a state for a target that is no engine.
-func checkOrderedPool(d Declarations, object string, t Target, problems *problemList) {
+// checkOrdersPoolKind rejects loaded models and a role for a target outside an
+// engine pool.
+func checkOrdersPoolKind(d Declarations, object string, t Target, problems *problemList) {
 	pool, ok := d.Pools[t.Pool]
 	if !ok || pool.Kind == KindEngine {
 		return
@@ -42,9 +43,9 @@
 	}
 }
 
-// checkOrdersOfPools checks the untouched targets of the touched pools, whose
-// kind may have changed.
-func checkOrdersOfPools(d Declarations, touched rawDocument, problems *problemList) {
+// checkOrdersOfUntouchedTargets checks the untouched targets of touched pools,
+// whose kind may have changed.
+func checkOrdersOfUntouchedTargets(d Declarations, touched rawDocument, problems *problemList) {
 	if len(touched.Pools) == 0 {
 		return
 	}
@@ -52,26 +53,26 @@
 		_, poolTouched := touched.Pools[target.Pool]
 		_, checked := touched.Targets[name]
 		if poolTouched && !checked {
-			checkOrderedPool(d, targetSection.path(name), target, problems)
+			checkOrdersPoolKind(d, targetSection.path(name), target, problems)
 		}
 	}
 }
 
-// validArtifact says whether text names a model with an optional version and
-// adapter. A model's own name may hold slashes.
+// validArtifact reports whether text names a model with an optional version
+// and adapter. A model's own name may contain slashes.
 func validArtifact(text string) bool {
 	if !validModel(text) || strings.Count(text, "@") > 1 {
 		return false
 	}
 	model, version, versioned := strings.Cut(text, "@")
-	if !validPathNames(model) {
+	if !hasNoEmptySegment(model) {
 		return false
 	}
-	return !versioned || validPathNames(version)
+	return !versioned || hasNoEmptySegment(version)
 }
 
-// validPathNames says whether no part between slashes is empty.
-func validPathNames(text string) bool {
+// hasNoEmptySegment reports whether no slash-separated segment of text is empty.
+func hasNoEmptySegment(text string) bool {
 	for _, part := range strings.Split(text, "/") {
 		if part == "" {
 			return false
--- a/config/patch.go
+++ b/config/patch.go
@@ -12,24 +12,24 @@
 
 // Limits of a patch.
 const (
-	// MaxPatchBytes bounds the changes of one patch: 8 MiB.
+	// MaxPatchBytes limits the encoded changes of one patch: 8 MiB.
 	MaxPatchBytes = 8 << 20
-	// MaxNoteBytes bounds Author and Note, each.
+	// MaxNoteBytes limits Author and Note, each.
 	MaxNoteBytes = 1000
 )
 
 // Patch is one operator's change to the configuration.
 type Patch struct {
-	// ID is a UUID chosen by the sender. Sending a patch again under the same
-	// ID is idempotent.
+	// ID is a UUID chosen by the sender. Resending a patch with the same ID is
+	// idempotent.
 	ID string `json:"id"`
 	// Base is the version that the patch was made against.
 	Base Version `json:"base"`
-	// Author says who made the patch.
+	// Author identifies the operator who made the patch.
 	Author string `json:"author,omitempty"`
-	// Note says why, in the author's words.
+	// Note is the author's reason for the change.
 	Note string `json:"note,omitempty"`
-	// Changes is a JSON merge patch (RFC 7396) over the Declarations.
+	// Changes is a JSON merge patch (RFC 7396) to the Declarations.
 	Changes json.RawMessage `json:"changes"`
 }
 
@@ -39,18 +39,19 @@
 	Version Version `json:"version"`
 	// Patch is the accepted patch.
 	Patch Patch `json:"patch"`
-	// AcceptedAt is the accepting router's clock. It is information only.
+	// AcceptedAt is the time of acceptance by the accepting router's clock. It is
+	// informational only.
 	AcceptedAt time.Time `json:"accepted_at"`
 	// Digest is the version's digest.
 	Digest Digest `json:"digest"`
 }
 
-// NewPatchID returns a fresh random patch id.
+// NewPatchID returns a new random patch id.
 func NewPatchID() string { return uuid.NewString() }
 
-// Normalise checks the patch's form and returns it with its id and changes in
-// canonical spelling, in which they are hashed and stored. Errors are
-// *PatchError.
+// Normalise checks that the patch is well formed and returns it with its id
+// and changes in the canonical form in which they are hashed and stored.
+// Errors are *PatchError.
 func (p Patch) Normalise() (Patch, error) {
 	id, err := uuid.Parse(p.ID)
 	if err != nil || id == uuid.Nil {
@@ -77,8 +78,8 @@
 	return p, nil
 }
 
-// checkText bounds a text and refuses invalid UTF-8, which would not survive
-// its encoding and so change the patch's hash.
+// checkText limits the length of a text and rejects invalid UTF-8, which JSON
+// encoding would replace and so change the patch's hash.
 func checkText(path, text string) error {
 	if len(text) > MaxNoteBytes {
 		return &PatchError{Path: path, Reason: fmt.Sprintf("is over %d bytes", MaxNoteBytes)}
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// SameContent says whether two normalised patches have the same id and
-// changes. The base may differ.
+// SameContent reports whether two normalised patches have the same id and
+// changes. Their bases may differ.
 func (p Patch) SameContent(other Patch) bool {
 	return p.ID == other.ID && string(p.Changes) == string(other.Changes)
 }
@@ -99,7 +100,7 @@
 func (p Patch) hash() Digest {
 	encoded, err := json.Marshal(p)
 	if err != nil {
-		panic(fmt.Sprintf("config: encode patch: %v", err)) // Normalise has checked Changes.
+		panic(fmt.Sprintf("config: encode patch: %v", err)) // Unreachable: Normalise has checked Changes.
 	}
 	return sha256.Sum256(encoded)
 }
--- a/config/property_test.go
+++ b/config/property_test.go
@@ -11,14 +11,16 @@
 	"pgregory.net/rapid"
 )
 
-// genName draws from few names so that references hit and miss.
+// genName draws from a small set of names, so that some references resolve and
+// others do not.
 func genName(prefix string) *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string {
 		return fmt.Sprintf("%s%d", prefix, rapid.IntRange(0, 4).Draw(t, prefix))
 	})
 }
 
-// genObject draws some of the given fields; each value is JSON.
+// genObject draws an object with some of the given fields, or null. Field
+// values are JSON.
 func genObject(fields map[string][]string) *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string {
 		if rapid.IntRange(0, 5).Draw(t, "remove") == 0 {
@@ -88,9 +90,10 @@
 	return "{" + strings.Join(sections, ", ") + "}"
 })
 
-// checkAgainstWhole compares Apply with a merge, decoding and validation of the
-// whole document, and returns the next version, or s if the patch is refused.
-func checkAgainstWhole(t interface{ Fatalf(string, ...any) }, s *Snapshot, changes string) *Snapshot {
+// checkAgainstFullDecode compares Apply with merging, decoding and validating
+// the complete document. It returns the next version, or s if the patch is
+// rejected.
+func checkAgainstFullDecode(t interface{ Fatalf(string, ...any) }, s *Snapshot, changes string) *Snapshot {
 	before, _ := json.Marshal(s.Declarations)
 	next, err := Apply(s, patchOn(s, changes))
 	if after, _ := json.Marshal(s.Declarations); string(before) != string(after) {
@@ -100,7 +103,7 @@
 	if errors.As(err, &broken) {
 		return s
 	}
-	whole, wholeErr := applyWhole(s.Declarations, []byte(changes))
+	whole, wholeErr := applyByFullDecode(s.Declarations, []byte(changes))
 	if (err == nil) != (wholeErr == nil) {
 		t.Fatalf("%s\non %s\nincremental: %v\nwhole: %v", changes, before, err, wholeErr)
 	}
@@ -120,11 +123,11 @@
 
 func checkIndexes(t interface{ Fatalf(string, ...any) }, got, want *Snapshot) {
 	a, b := got.Index(), want.Index()
-	if !reflect.DeepEqual(a.models, b.models) || !reflect.DeepEqual(a.targets, b.targets) || !reflect.DeepEqual(a.prefixes, b.prefixes) {
+	if !reflect.DeepEqual(a.poolsByModel, b.poolsByModel) || !reflect.DeepEqual(a.targetsByPool, b.targetsByPool) || !reflect.DeepEqual(a.poolsByPathPrefix, b.poolsByPathPrefix) {
 		t.Fatalf("indexes differ: %+v and %+v", a, b)
 	}
-	if len(a.keys) != len(b.keys) {
-		t.Fatalf("%d keys, want %d", len(a.keys), len(b.keys))
+	if len(a.keysByPrefix) != len(b.keysByPrefix) {
+		t.Fatalf("%d keys, want %d", len(a.keysByPrefix), len(b.keysByPrefix))
 	}
 	for name, workspace := range want.Declarations.Workspaces {
 		for _, text := range workspace.KeyHashes {
@@ -150,12 +153,12 @@
 	}
 }
 
-func TestIncrementalEqualsWhole(t *testing.T) {
+func TestIncrementalApplyEqualsFullDecode(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
-		s := mustSample(t)
+		s := propertySample(t)
 		for range rapid.IntRange(1, 12).Draw(t, "patches") {
-			next := checkAgainstWhole(t, s, genChanges.Draw(t, "changes"))
+			next := checkAgainstFullDecode(t, s, genChanges.Draw(t, "changes"))
 			if next != s {
 				accepted++
 			}
@@ -163,12 +166,13 @@
 		}
 	})
 	if accepted == 0 {
-		t.Fatal("no patch was accepted: the test compared refusals only")
+		t.Fatal("no patch was accepted: the test compared rejections only")
 	}
 }
 
-// mustSample is a small valid start whose names the generators draw from.
-func mustSample(t interface{ Fatalf(string, ...any) }) *Snapshot {
+// propertySample returns a small valid snapshot with names that the generators
+// draw from.
+func propertySample(t interface{ Fatalf(string, ...any) }) *Snapshot {
 	changes := `{"pools": {"p0": {"kind": "engine", "models": ["m0"]}, "p1": {"kind": "engine", "models": ["m1"]},
 		"p2": {"kind": "service", "path_prefix": "/svc/a"}},
 		"targets": {"t0": {"pool": "p0", "data_centre": "ikeja", "address": "127.0.0.1:7001"}},
@@ -180,9 +184,9 @@
 	return s
 }
 
-func TestDiffLeadsFromOneToTheOther(t *testing.T) {
+func TestDiffPatchTransformsFromIntoTo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from := mustSample(t)
+		from := propertySample(t)
 		to := from
 		for range rapid.IntRange(0, 6).Draw(t, "patches") {
 			if next, err := Apply(to, patchOn(to, genChanges.Draw(t, "changes"))); err == nil {
@@ -218,6 +222,6 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, changes string) {
-		checkAgainstWhole(t, mustSample(t), changes)
+		checkAgainstFullDecode(t, propertySample(t), changes)
 	})
 }
--- a/config/revision_test.go
+++ b/config/revision_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRevisionOrdersByEraFirst guards against taking a counter for an order across the store's
-// return from an older copy.
+// TestRevisionOrdersByEraFirst guards against comparing counters alone: a store restored from
+// an older copy starts a new era and reuses lower counter values.
 func TestRevisionOrdersByEraFirst(t *testing.T) {
 	ordered := []Revision{0, 1, 500, NewRevision(1, 0), NewRevision(1, 900), NewRevision(2, 3), NewRevision(2, maxCounter), NewRevision(3, 0)}
 	for i, r := range ordered[1:] {
--- a/config/route.go
+++ b/config/route.go
@@ -7,65 +7,65 @@
 	"time"
 )
 
-// RouteKind says what may be done with a request after it was sent once.
+// RouteKind determines whether a request may be repeated after it was sent.
 type RouteKind string
 
 // The kinds of route.
 const (
-	// RouteIdempotent requests may run more than once.
+	// RouteIdempotent is for requests that may run more than once.
 	RouteIdempotent RouteKind = "idempotent"
-	// RouteNonIdempotent requests run at most once.
+	// RouteNonIdempotent is for requests that must run at most once.
 	RouteNonIdempotent RouteKind = "non-idempotent"
-	// RouteStream answers are event streams. A stream is non-idempotent unless
-	// the route says that it resumes.
+	// RouteStream is for requests answered by event streams. A stream is
+	// non-idempotent unless the route sets Resumes.
 	RouteStream RouteKind = "stream"
 )
 
-// Route sends the requests of one host and path prefix to pools.
+// Route assigns the requests for a host and path prefix to pools.
 type Route struct {
 	// Host is the host name that callers send, without a port.
 	Host string `json:"host" toml:"host"`
-	// Prefix is a path prefix that begins and ends with a slash. Among the
-	// routes of a host the longest prefix of the path wins.
+	// Prefix is a path prefix that begins and ends with a slash. Of a host's
+	// routes, the one with the longest matching prefix is used.
 	Prefix string `json:"prefix" toml:"prefix"`
-	// Split lists the pools that serve the route, by weight.
+	// Split lists the pools that serve the route, with their weights.
 	Split []RouteShare `json:"split" toml:"split"`
-	// Kind says what may be repeated.
+	// Kind determines whether requests may be repeated.
 	Kind RouteKind `json:"kind" toml:"kind"`
-	// Resumes says that a broken stream may go on at another target.
+	// Resumes allows a broken stream to continue at another target.
 	Resumes bool `json:"resumes,omitempty" toml:"resumes,omitempty"`
 	// Public routes need no workspace key.
 	Public bool `json:"public,omitempty" toml:"public,omitempty"`
-	// Attempts bounds the targets that may run one request. Default 1.
+	// Attempts limits the number of targets that may run one request. Default 1.
 	Attempts int `json:"attempts,omitempty" toml:"attempts,omitempty"`
-	// TimeoutMillis bounds the time to the end of an answer; zero: only the
-	// caller's deadline does.
+	// TimeoutMillis limits the time to the end of an answer; zero: limited by
+	// the caller's deadline only.
 	TimeoutMillis int `json:"timeout_millis,omitempty" toml:"timeout_millis,omitempty"`
-	// ObjectiveMillis is the time within which an answer, or a stream's first
-	// event, is on time; zero: there is no objective.
+	// ObjectiveMillis is the time within which an answer, or the first event of
+	// a stream, counts as on time; zero: no objective.
 	ObjectiveMillis int `json:"objective_millis,omitempty" toml:"objective_millis,omitempty"`
-	// PauseMillis is the longest pause between two events of a stream that is
-	// on time; zero: there is no bound.
+	// PauseMillis is the longest pause between two events for a stream to be on
+	// time; zero: no limit.
 	PauseMillis int `json:"pause_millis,omitempty" toml:"pause_millis,omitempty"`
-	// Regions, if not empty, restricts its requests to targets in these regions.
+	// Regions, if not empty, restricts the route's requests to targets in these regions.
 	Regions []string `json:"regions,omitempty" toml:"regions,omitempty"`
 	// Priority ranks requests; 0 is the highest.
 	Priority int `json:"priority,omitempty" toml:"priority,omitempty"`
 }
 
-// RouteShare is one pool of a route's split.
+// RouteShare is a pool's share of a route's requests.
 type RouteShare struct {
 	// Pool is the pool's name.
 	Pool string `json:"pool" toml:"pool"`
-	// Weight is the pool's part of the requests, relative to the others'.
+	// Weight is the pool's share of the requests, relative to the other weights.
 	Weight int `json:"weight" toml:"weight"`
 }
 
-// MaxRouteMillis bounds the times of a route: one day.
+// MaxRouteMillis is the upper limit of a route's times: one day.
 const MaxRouteMillis = 24 * 60 * 60 * 1000
 
-// IsIdempotent says whether a request may run more than once as long as its
-// caller has seen nothing of an answer.
+// IsIdempotent reports whether a request may run more than once, as long as its
+// caller has received no part of an answer.
 func (r Route) IsIdempotent() bool {
 	return r.Kind == RouteIdempotent || (r.Kind == RouteStream && r.Resumes)
 }
@@ -73,13 +73,14 @@
 // Timeout is the route's time limit; zero if it has none.
 func (r Route) Timeout() time.Duration { return time.Duration(r.TimeoutMillis) * time.Millisecond }
 
-// Objective is the time within which an answer is on time; zero if there is none.
+// Objective is the time within which an answer counts as on time; zero if there
+// is no objective.
 func (r Route) Objective() time.Duration {
 	return time.Duration(r.ObjectiveMillis) * time.Millisecond
 }
 
-// Pick returns the pool of a request by its weight. The same point, from 0 up
-// to but without 1, gives the same pool.
+// PickPool selects the pool for a request in proportion to the weights. point
+// is in [0, 1); equal points select the same pool.
 func (r Route) Pick(point float64) string {
 	total := 0
 	for _, share := range r.Split {
@@ -114,7 +115,7 @@
 	return r
 }
 
-// checkRoute lists the problems of one route.
+// checkRoute adds the problems of one route.
 func checkRoute(d Declarations, name string, r Route, problems *problemList) {
 	object := routeSection.path(name)
 	checkName(object, name, problems)
@@ -159,7 +160,7 @@
 	}
 }
 
-// pools names the pools of the split.
+// pools returns the names of the pools in the split.
 func (r Route) pools() []string {
 	names := make([]string, 0, len(r.Split))
 	for _, share := range r.Split {
@@ -168,7 +169,7 @@
 	return names
 }
 
-// checkRoutesUnique refuses two routes of one host and prefix.
+// checkRoutesUnique rejects routes with the same host and prefix.
 func checkRoutesUnique(routes map[string]Route, problems *problemList) {
 	seen := make(map[string]string, len(routes))
 	for _, name := range sortedNames(routes) {
@@ -187,7 +188,7 @@
 	Name string
 }
 
-// routeTable finds routes by host; the longest prefix stands first.
+// routeTable holds the routes by host, longest prefix first.
 type routeTable map[string][]*NamedRoute
 
 func newRouteTable(routes map[string]Route) routeTable {
@@ -206,8 +207,8 @@
 	return table
 }
 
-// RouteOf returns the route of a request, or nil. The host may carry a port,
-// and the path a query.
+// RouteOf returns the route of a request, or nil if there is none. The host may
+// include a port and the path a query.
 func (x *Index) RouteOf(host, path string) *NamedRoute {
 	if name, _, hasPort := strings.Cut(host, ":"); hasPort {
 		host = name
@@ -221,25 +222,27 @@
 	return nil
 }
 
-// String names the order of a snapshot for logs.
+// String formats the order for logs.
 func (o Order) String() string { return fmt.Sprintf("%d at %s", o.Version, o.Targets) }
 
-// Order ranks snapshots: by version, and for one version by the revision of
-// the listing that the targets were read from. A node only moves upwards.
+// SnapshotOrder ranks snapshots: by version, and within a version by the revision of
+// the target listing. A node never goes back to a snapshot of lower order.
 type Order struct {
 	// Version is the configuration version.
 	Version Version
-	// Config is Snapshot.ConfigRevision. It tells writings of one version apart.
+	// Config is Snapshot.ConfigRevision. It distinguishes contents published
+	// under the same version.
 	Config Revision
-	// Targets is the revision of the listing of targets; zero if the targets
-	// are part of the version.
+	// Targets is the revision of the target listing; zero if the targets are
+	// part of the version.
 	Targets Revision
-	// Lapsed is Snapshot.TargetsLapsed. It counts at this router only.
+	// Lapsed is Snapshot.TargetsLapsed. It is local to this router.
 	Lapsed uint64
 }
 
-// After says that a snapshot of this order may replace one of the other:
-// no part lies below the other's, and one lies above.
+// After reports whether a snapshot of order o may replace one of order other:
+// no component is lower, and at least one is higher. Config is compared only
+// within one version.
 func (o Order) After(other Order) bool {
 	if o.Version < other.Version || o.Targets < other.Targets || o.Lapsed < other.Lapsed {
 		return false
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// wholeSnapshot is the encoded form of a Snapshot: the document and what its
-// digest was made from, so that the reader can compute the digest again.
-type wholeSnapshot struct {
+// encodedSnapshot is the encoded form of a Snapshot: the document and the other
+// inputs of its digest, so that the reader can recompute the digest.
+type encodedSnapshot struct {
 	Version      Version      `json:"version"`
 	PatchID      string       `json:"patch_id"`
 	Digest       Digest       `json:"digest"`
@@ -16,14 +16,14 @@
 	Declarations Declarations `json:"declarations"`
 }
 
-// EncodeSnapshot encodes a snapshot whole, for the object store and for peers.
+// EncodeSnapshot encodes a complete snapshot for the object store and for peers.
 func EncodeSnapshot(s *Snapshot) ([]byte, error) {
-	encoded, err := json.Marshal(wholeSnapshot{
+	encoded, err := json.Marshal(encodedSnapshot{
 		Version:      s.Version,
 		PatchID:      s.PatchID,
 		Digest:       s.Digest,
-		Previous:     s.link.previous,
-		Patch:        s.link.patch,
+		Previous:     s.digestInputs.previousDigest,
+		Patch:        s.digestInputs.patchHash,
 		Declarations: s.Declarations,
 	})
 	if err != nil {
@@ -32,26 +32,27 @@
 	return encoded, nil
 }
 
-// DecodeSnapshot reads what EncodeSnapshot wrote, validates it and checks its
-// digest. Errors are *PatchError, *ValidationError or *DigestError.
+// DecodeSnapshot decodes the output of EncodeSnapshot, validates the
+// declarations and verifies the digest. Errors are *PatchError,
+// *ValidationError or *DigestError.
 func DecodeSnapshot(data []byte) (*Snapshot, error) {
-	var whole struct {
-		wholeSnapshot
+	var encoded struct {
+		encodedSnapshot
 		Declarations json.RawMessage `json:"declarations"`
 	}
-	if err := json.Unmarshal(data, &whole); err != nil {
+	if err := json.Unmarshal(data, &encoded); err != nil {
 		return nil, &PatchError{Path: "snapshot", Reason: err.Error()}
 	}
-	declarations, err := decodeDocument(whole.Declarations)
+	declarations, err := decodeDocument(encoded.Declarations)
 	if err != nil {
 		return nil, err
 	}
 	s := &Snapshot{
-		Version:      whole.Version,
-		PatchID:      whole.PatchID,
+		Version:      encoded.Version,
+		PatchID:      encoded.PatchID,
 		Declarations: declarations,
-		Digest:       whole.Digest,
-		link:         link{previous: whole.Previous, patch: whole.Patch},
+		Digest:       encoded.Digest,
+		digestInputs: digestInputs{previousDigest: encoded.Previous, patchHash: encoded.Patch},
 	}
 	if err := s.checkDigest(); err != nil {
 		return nil, err
@@ -61,7 +62,7 @@
 
 func (s *Snapshot) checkDigest() error {
 	content := s.contentSum()
-	computed := s.chain(content)
+	computed := s.computeDigest(content)
 	if s.Version == 0 && content == (contentSum{}) {
 		computed = Digest{}
 	}
--- a/config/types.go
+++ b/config/types.go
@@ -1,7 +1,8 @@
-// Package config holds what operators declare: workspaces, pools and targets,
-// as numbered versions. A patch names the version it was made against; the
-// accepted result is the next version. A Snapshot is immutable once built:
-// readers keep it without locks, and a node swaps it whole and only upwards.
+// Package config holds the operators' declarations of workspaces, pools,
+// targets and routes as numbered versions. A patch names the version that it
+// was made against; accepting it creates the next version. A Snapshot is
+// immutable once built: readers use it without locks, and a node replaces it as
+// a whole and only by a newer one.
 //
 // A patch is a JSON merge patch (RFC 7396) over the Declarations document:
 //
@@ -10,11 +11,11 @@
 
 import "sync"
 
-// Version numbers an accepted configuration. The first accepted version is 1;
-// zero means "none yet".
+// Version is the number of an accepted configuration. The first accepted
+// version is 1; zero means "none yet".
 type Version uint64
 
-// PoolKind says how a pool's targets are called.
+// PoolKind determines how a pool's targets are called.
 type PoolKind string
 
 // The kinds of pool.
@@ -25,75 +26,75 @@
 	KindService PoolKind = "service"
 )
 
-// Declarations is the whole configuration document. Objects are keyed by name.
+// Declarations is the complete configuration document, with objects keyed by
+// name.
 type Declarations struct {
-	// Workspaces by name.
 	Workspaces map[string]Workspace `json:"workspaces" toml:"workspaces"`
-	// Pools by name.
-	Pools map[string]Pool `json:"pools" toml:"pools"`
-	// Targets by name.
-	Targets map[string]Target `json:"targets" toml:"targets"`
-	// Routes by name. A fleet without routes finds pools by model and path
-	// prefix; see Pool.
+	Pools      map[string]Pool      `json:"pools" toml:"pools"`
+	Targets    map[string]Target    `json:"targets" toml:"targets"`
+	// Routes may be empty: requests then select pools by model and path prefix;
+	// see Pool.
 	Routes map[string]Route `json:"routes,omitempty" toml:"routes,omitempty"`
 }
 
 // Workspace is one tenant.
 type Workspace struct {
-	// Share is the workspace's weight, over 0. Default 1.
+	// Share is the workspace's scheduling weight, over 0. Default 1.
 	Share float64 `json:"share" toml:"share"`
 	// KeyHashes are hex SHA-256 digests of the workspace's keys.
 	KeyHashes []string `json:"key_hashes" toml:"key_hashes"`
-	// Pools are the pools that the workspace may reach.
+	// Pools are the pools that the workspace may use.
 	Pools []string `json:"pools" toml:"pools"`
-	// Targets, if not empty, narrows the workspace to these targets.
+	// Targets, if not empty, restricts the workspace's requests to these targets.
 	Targets []string `json:"targets,omitempty" toml:"targets,omitempty"`
-	// Regions, if not empty, restricts its requests to targets in these regions.
+	// Regions, if not empty, restricts the workspace's requests to targets in these regions.
 	Regions []string `json:"regions,omitempty" toml:"regions,omitempty"`
-	// MaxQueued bounds the requests waiting at one router. Default 256.
+	// MaxQueued limits the requests queued at one router. Default 256.
 	MaxQueued int `json:"max_queued,omitempty" toml:"max_queued,omitempty"`
-	// MaxQueuedBytes bounds the body bytes waiting at one router. Default 64 MiB.
+	// MaxQueuedBytes limits the body bytes queued at one router. Default 64 MiB.
 	MaxQueuedBytes int64 `json:"max_queued_bytes,omitempty" toml:"max_queued_bytes,omitempty"`
 }
 
 // Pool is a set of targets that can serve the same requests.
 type Pool struct {
-	// Kind says how the targets are called.
+	// Kind determines how the targets are called.
 	Kind PoolKind `json:"kind" toml:"kind"`
 	// Models are the model names served by an engine pool.
 	Models []string `json:"models,omitempty" toml:"models,omitempty"`
 	// PathPrefix is where a service pool is mounted, for example "/svc/deploy".
 	PathPrefix string `json:"path_prefix,omitempty" toml:"path_prefix,omitempty"`
-	// NonIdempotent marks every call to the pool as non-idempotent, whether
-	// or not the caller marks it.
+	// NonIdempotent makes every call to the pool non-idempotent, even if the
+	// caller does not mark it so.
 	NonIdempotent bool `json:"non_idempotent,omitempty" toml:"non_idempotent,omitempty"`
 	// TypicalMillis is the slot time charged at grant when the caller gives no
 	// hint. Default 1000.
 	TypicalMillis int `json:"typical_millis,omitempty" toml:"typical_millis,omitempty"`
-	// OneQueue schedules all targets of the pool in one queue, whatever their
-	// data centre. It suits a pool whose data centres are near to each other: one
-	// scheduler then sees every placement.
+	// OneQueue schedules all targets of the pool in one queue across data centres,
+	// so that one scheduler makes every placement. It suits a pool whose data
+	// centres are close to each other.
 	OneQueue bool `json:"one_queue,omitempty" toml:"one_queue,omitempty"`
-	// ColdStartMillis is how long a target is cold after a start. A cold target is slow and
+	// ColdStartMillis is how long a target stays cold after a start. A cold target is slow and
 	// tolerates about ColdPerSecond requests per second. If either is zero, targets start warm.
 	ColdStartMillis int     `json:"cold_start_millis,omitempty" toml:"cold_start_millis,omitempty"`
 	ColdPerSecond   float64 `json:"cold_per_second,omitempty" toml:"cold_per_second,omitempty"`
-	// Tokens says that the work of the pool's targets is counted in tokens; nil:
-	// in slot time.
+	// Tokens, if set, makes scheduling account for the targets' work in tokens
+	// instead of slot time.
 	Tokens *TokenWork `json:"tokens,omitempty" toml:"tokens,omitempty"`
 }
 
 // TokenWork describes targets that read prompts and generate tokens.
 type TokenWork struct {
-	// PerSecond is about what all targets of the pool do together: each token
-	// read counts once, each token generated twice. Zero: not known.
+	// PerSecond is the approximate throughput of all targets of the pool
+	// together: each token read counts once, each token generated twice. Zero:
+	// not known.
 	PerSecond float64 `json:"per_second,omitempty" toml:"per_second,omitempty"`
-	// MemoryTokens is how many tokens of prompts and answers one target holds.
+	// MemoryTokens is how many tokens of prompts and answers one target can hold
+	// in memory.
 	MemoryTokens int64 `json:"memory_tokens,omitempty" toml:"memory_tokens,omitempty"`
-	// FetchedPerSecond is how many tokens a second one target fetches from what
-	// another keeps; zero: targets cannot.
+	// FetchedPerSecond is how many cached tokens a second one target can fetch
+	// from another; zero: targets cannot fetch.
 	FetchedPerSecond float64 `json:"fetched_per_second,omitempty" toml:"fetched_per_second,omitempty"`
-	// EventTokens is how many tokens one event of a stream holds. Default 1.
+	// EventTokens is the number of tokens in one event of a stream. Default 1.
 	EventTokens int `json:"event_tokens,omitempty" toml:"event_tokens,omitempty"`
 }
 
@@ -101,65 +102,65 @@
 type Target struct {
 	// Pool is the pool that the target belongs to.
 	Pool string `json:"pool" toml:"pool"`
-	// DataCentre is where the target runs.
+	// DataCentre is the data centre that the target runs in.
 	DataCentre string `json:"data_centre" toml:"data_centre"`
 	// Region is the region of the data centre; empty: not known. Routes and workspaces that
-	// declare regions use only targets in these.
+	// declare regions use only targets in those.
 	Region string `json:"region,omitempty" toml:"region,omitempty"`
-	// Address is "ip:port"; host names are refused.
+	// Address is "ip:port"; host names are rejected.
 	Address string `json:"address" toml:"address"`
-	// Slots is how many requests the target runs well at once. Default 1.
+	// Slots is the number of requests that the target runs well concurrently. Default 1.
 	Slots int `json:"slots" toml:"slots"`
-	// ChecksFencing says that the target refuses orders with an old fencing number.
+	// ChecksFencing declares that the target refuses orders with an old fencing number.
 	ChecksFencing bool `json:"checks_fencing,omitempty" toml:"checks_fencing,omitempty"`
-	// Resumes says that the target can resume a stream by offset.
+	// Resumes declares that the target can resume a stream by offset.
 	Resumes bool `json:"resumes,omitempty" toml:"resumes,omitempty"`
-	// Start tells one start of the target from the next, where the platform lists
-	// targets: its time in milliseconds; zero: not known. Operators leave it out.
+	// Start is the target's start time in milliseconds, which distinguishes its starts if the
+	// platform lists the targets; zero: not known. Operators omit it.
 	Start int64 `json:"start,omitempty" toml:"start,omitempty"`
-	// ColdMillis is the remaining cold time that the target last reported. Operators leave it out.
+	// ColdMillis is the remaining cold time that the target last reported. Operators omit it.
 	ColdMillis int `json:"cold_millis,omitempty" toml:"cold_millis,omitempty"`
-	// Leaving says that the target takes no new work.
+	// Leaving declares that the target takes no new work.
 	Leaving bool `json:"leaving,omitempty" toml:"leaving,omitempty"`
-	// Evacuated says that the target's data centre is being evacuated. The target takes no new
-	// work until the evacuation ends. Routers set it; operators leave it out.
+	// Evacuated is set while the target's data centre is being evacuated. The target takes no
+	// new work until the evacuation ends. Routers set it; operators omit it.
 	Evacuated bool `json:"evacuated,omitempty" toml:"evacuated,omitempty"`
-	// LoadModels are the models that the target shall have loaded, and no
-	// others, each as "model", "model@version", "model/adapter" or
+	// LoadModels lists exactly the models that the target must have loaded,
+	// each as "model", "model@version", "model/adapter" or
 	// "model@version/adapter". Empty: the target is not ordered to load or
-	// unload. Only for engine pools; see package orders.
+	// unload models. Only for engine pools; see package orders.
 	LoadModels []string `json:"load_models,omitempty" toml:"load_models,omitempty"`
-	// Role is the role that the target shall have, for example "prefill".
-	// Empty: it is not ordered to change it. Only for engine pools.
+	// Role is the role that the target must have, for example "prefill".
+	// Empty: the target is not ordered to change its role. Only for engine pools.
 	Role string `json:"role,omitempty" toml:"role,omitempty"`
 }
 
 // TakesWork reports whether new requests may be sent to the target.
 func (t Target) TakesWork() bool { return !t.Leaving && !t.Evacuated }
 
-// Snapshot is one immutable version in force. It is shared by pointer and must
-// not be copied. Apply, Empty and DecodeSnapshot make snapshots.
+// Snapshot is one immutable configuration version. It is shared by pointer and
+// must not be copied. Apply, Empty and DecodeSnapshot create snapshots.
 type Snapshot struct {
-	// Version numbers the snapshot.
+	// Version is the version's number.
 	Version Version `json:"version"`
-	// PatchID is the id of the patch that made the version.
+	// PatchID is the id of the patch that created the version.
 	PatchID string `json:"patch_id"`
-	// Declarations is the whole document. It must not be modified.
+	// Declarations is the complete document. It must not be modified.
 	Declarations Declarations `json:"declarations"`
-	// Digest chains the version to every version before it; see Digest.
+	// Digest chains the version to all versions before it; see Digest.
 	Digest Digest `json:"digest"`
-	// TargetsRevision is the revision of the listing that the targets were read
-	// from; zero if operators declare the targets as part of the version.
+	// TargetsRevision is the revision of the target listing that the targets were
+	// read from; zero if operators declare the targets as part of the version.
 	TargetsRevision Revision `json:"targets_revision,omitempty"`
 	// ConfigRevision is the highest revision among this version and the evacuations, for
-	// versions that the platform publishes. It tells apart versions with the same number: one
-	// that the platform lost may be rewritten with other content.
+	// versions that the platform publishes. It distinguishes versions with the same number: a
+	// version that the platform lost may be written again with different content.
 	ConfigRevision Revision `json:"-"`
-	// TargetsLapsed counts the targets that this router took off the listing after it had
-	// doubted their removal. The listing without them has no revision of its own.
+	// TargetsLapsed counts the targets that this router removed itself, after it had at first
+	// kept them despite a listing without them. The result has no listing revision of its own.
 	TargetsLapsed uint64 `json:"-"`
 
-	link link
+	digestInputs digestInputs
 
 	contentOnce sync.Once
 	content     contentSum
--- a/config/validate.go
+++ b/config/validate.go
@@ -9,38 +9,38 @@
 	"strings"
 )
 
-// Limits that validation enforces.
+// Limits enforced by validation.
 const (
-	// MaxNameBytes bounds the names of workspaces, pools, targets and data centres.
+	// MaxNameBytes limits the names of workspaces, pools, targets and data centres.
 	MaxNameBytes = 100
-	// MaxModelBytes bounds a model's name.
+	// MaxModelBytes limits a model's name.
 	MaxModelBytes = 200
-	// MinShare and MaxShare bound a workspace's share.
+	// MinShare and MaxShare limit a workspace's share.
 	MinShare = 1e-6
 	MaxShare = 1e6
-	// MaxSlots bounds a target's slots.
+	// MaxSlots limits a target's slots.
 	MaxSlots = 100_000
-	// MaxTypicalMillis bounds a pool's typical slot time: one day.
+	// MaxTypicalMillis limits a pool's typical slot time and its cold start time: one day.
 	MaxTypicalMillis = 24 * 60 * 60 * 1000
-	// MaxColdPerSecond bounds the request rate that a pool declares for its cold targets.
+	// MaxColdPerSecond limits the request rate that a pool declares for its cold targets.
 	MaxColdPerSecond = 100_000
 )
 
-// Validate checks a whole document. The error is a *ValidationError that lists
-// every problem. Defaults must have been filled.
+// Validate checks a complete document. The error is a *ValidationError that
+// lists every problem. Defaults must already be filled in.
 func Validate(d Declarations) error {
 	return validateAll(d).err()
 }
 
 func validateAll(d Declarations) *problemList {
-	everything := rawDocument{
+	allNames := rawDocument{
 		Workspaces: namesOf(d.Workspaces),
 		Pools:      namesOf(d.Pools),
 		Targets:    namesOf(d.Targets),
 		Routes:     namesOf(d.Routes),
 	}
 	problems := &problemList{}
-	validateTouched(d, everything, newIndex(), problems)
+	validateTouched(d, allNames, newEmptyIndex(), problems)
 	return problems
 }
 
@@ -52,9 +52,9 @@
 	return names
 }
 
-// validateTouched checks the touched objects of d and whatever the removed
-// ones were referred to by. before is the index of the version before, whose
-// untouched objects are valid.
+// validateTouched checks the touched objects of d, and the untouched objects
+// that refer to removed ones. before is the index of the previous version,
+// whose untouched objects are valid.
 func validateTouched(d Declarations, touched rawDocument, before *Index, problems *problemList) {
 	for name := range touched.Workspaces {
 		if workspace, ok := d.Workspaces[name]; ok {
@@ -80,7 +80,7 @@
 		checkRoutesUnique(d.Routes, problems)
 	}
 	checkKeyOwners(d, touched, before, problems)
-	checkOrdersOfPools(d, touched, problems)
+	checkOrdersOfUntouchedTargets(d, touched, problems)
 	if len(touched.Pools) > 0 {
 		checkPoolsUnique(d.Pools, problems)
 	}
@@ -88,13 +88,13 @@
 }
 
 func checkName(object, name string, problems *problemList) {
-	if reason := nameReason(name); reason != "" {
+	if reason := invalidNameReason(name); reason != "" {
 		problems.add(object, "", "name %s", reason)
 	}
 }
 
-// nameReason returns why a name is refused, or "".
-func nameReason(name string) string {
+// invalidNameReason returns why a name is invalid, or "" if it is valid.
+func invalidNameReason(name string) string {
 	if name == "" {
 		return "is empty"
 	}
@@ -258,7 +258,7 @@
 	} else if _, ok := d.Pools[t.Pool]; !ok {
 		problems.add(object, "pool", "pool %q is not declared", t.Pool)
 	}
-	if reason := nameReason(t.DataCentre); reason != "" {
+	if reason := invalidNameReason(t.DataCentre); reason != "" {
 		problems.add(object, "data_centre", "%s", reason)
 	}
 	if !validAddress(t.Address) {
@@ -279,7 +279,7 @@
 	return ip.Zone() == "" && !ip.IsUnspecified() && !ip.IsMulticast()
 }
 
-// checkKeyOwners refuses a key hash that two workspaces hold.
+// checkKeyOwners rejects key hashes that belong to more than one workspace.
 func checkKeyOwners(d Declarations, touched rawDocument, before *Index, problems *problemList) {
 	owners := make(map[string]string)
 	names := sortedNames(touched.Workspaces)
@@ -287,7 +287,7 @@
 		for _, hash := range d.Workspaces[name].KeyHashes {
 			owner, taken := owners[hash]
 			if !taken {
-				owner, taken = untouchedOwner(hash, touched, before)
+				owner, taken = ownerAmongUntouched(hash, touched, before)
 			}
 			if taken && owner != name {
 				problems.add(workspaceSection.path(name), "key_hashes", "%q belongs to workspace %q", hash, owner)
@@ -297,7 +297,7 @@
 	}
 }
 
-func untouchedOwner(hash string, touched rawDocument, before *Index) (string, bool) {
+func ownerAmongUntouched(hash string, touched rawDocument, before *Index) (string, bool) {
 	parsed, ok := parseKeyHash(hash)
 	if !ok {
 		return "", false
@@ -310,7 +310,8 @@
 	return owner, !changed
 }
 
-// checkPoolsUnique refuses a model or path prefix that two pools hold.
+// checkPoolsUnique rejects models and path prefixes that belong to more than
+// one pool.
 func checkPoolsUnique(pools map[string]Pool, problems *problemList) {
 	models := make(map[string]string)
 	prefixes := make(map[string]string)
@@ -332,7 +333,7 @@
 	}
 }
 
-// checkRemoved refuses the removal of pools and targets that untouched objects
+// checkRemoved rejects the removal of pools and targets that untouched objects
 // still refer to.
 func checkRemoved(d Declarations, touched rawDocument, problems *problemList) {
 	pools := removedNames(d.Pools, touched.Pools)
@@ -345,18 +346,18 @@
 			continue
 		}
 		object := workspaceSection.path(name)
-		addReferences(object, "pools", "pool", workspace.Pools, pools, problems)
-		addReferences(object, "targets", "target", workspace.Targets, targets, problems)
+		addDanglingReferences(object, "pools", "pool", workspace.Pools, pools, problems)
+		addDanglingReferences(object, "targets", "target", workspace.Targets, targets, problems)
 	}
 	for name, target := range d.Targets {
 		if _, checked := touched.Targets[name]; checked {
 			continue
 		}
-		addReferences(targetSection.path(name), "pool", "pool", []string{target.Pool}, pools, problems)
+		addDanglingReferences(targetSection.path(name), "pool", "pool", []string{target.Pool}, pools, problems)
 	}
 	for name, route := range d.Routes {
 		if _, checked := touched.Routes[name]; !checked {
-			addReferences(routeSection.path(name), "split", "pool", route.pools(), pools, problems)
+			addDanglingReferences(routeSection.path(name), "split", "pool", route.pools(), pools, problems)
 		}
 	}
 }
@@ -371,7 +372,7 @@
 	return removed
 }
 
-func addReferences(object, field, kind string, references, removed []string, problems *problemList) {
+func addDanglingReferences(object, field, kind string, references, removed []string, problems *problemList) {
 	for _, name := range references {
 		if slices.Contains(removed, name) {
 			problems.add(object, field, "%s %q is not declared", kind, name)
