--- a/config/errors.go
+++ b/config/errors.go
@@ -81,7 +81,7 @@
 
 // Error implements error.
 func (e *DigestError) Error() string {
-	return fmt.Sprintf("config: version %d: digest %s stated, %s computed", e.Version, e.Stated, e.Computed)
+	return fmt.Sprintf("config: version %d: expected digest %s, computed %s", e.Version, e.Stated, e.Computed)
 }
 
 // SequenceError reports that an entry is not the successor of the snapshot
--- a/config/store/errors.go
+++ b/config/store/errors.go
@@ -6,7 +6,7 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// UnknownVersionError says that a version does not exist.
+// UnknownVersionError reports that a version does not exist.
 type UnknownVersionError struct{ Version config.Version }
 
 // Error implements error.
@@ -14,8 +14,8 @@
 	return fmt.Sprintf("config store: version %d does not exist", e.Version)
 }
 
-// CommitUnknownError says that a patch may have been accepted. Sending it
-// again under the same id is safe and finds out.
+// CommitUnknownError reports that a patch may or may not have been accepted.
+// Resubmitting it with the same id is safe and returns the outcome.
 type CommitUnknownError struct {
 	PatchID string
 	// Cause is the last error of the platform.
@@ -30,8 +30,9 @@
 // Unwrap returns the last error of the platform.
 func (e *CommitUnknownError) Unwrap() error { return e.Cause }
 
-// CorruptError says that a row or object does not hold what it should.
+// CorruptError reports that a row or object has invalid or unexpected content.
 type CorruptError struct {
+	// Key is the row's key or the object's name.
 	Key    string
 	Reason string
 }
--- a/config/store/faults_test.go
+++ b/config/store/faults_test.go
@@ -14,7 +14,8 @@
 	"github.com/walnutcove/walnutcove/store/memory"
 )
 
-// faultyTable lets a test replace single calls. A nil function passes through.
+// faultyTable lets a test replace the commits to TableVersions and the reads of
+// a table. Calls pass through where the function is nil.
 type faultyTable struct {
 	store.Table
 	commit func(ctx context.Context, ops []store.Op) error
@@ -35,7 +36,7 @@
 	return f.Table.Get(ctx, table, key)
 }
 
-func newFaulty(t *testing.T) (*Store, *faultyTable, *Store) {
+func newFaultyStore(t *testing.T) (*Store, *faultyTable, *Store) {
 	t.Helper()
 	healthy, backing := newStore(t)
 	faulty := &faultyTable{Table: backing}
@@ -44,7 +45,7 @@
 	return s, faulty, healthy
 }
 
-func head(t *testing.T, s *Store) config.Version {
+func newestVersion(t *testing.T, s *Store) config.Version {
 	t.Helper()
 	newest, err := s.Load(context.Background())
 	if err != nil {
@@ -53,15 +54,15 @@
 	return newest.Version
 }
 
-func TestRaceHasOneWinner(t *testing.T) {
+func TestConcurrentSubmitsHaveOneWinner(t *testing.T) {
 	s, _ := newStore(t)
-	fill(t, s, 3)
+	submitVersions(t, s, 3)
 	const operators = 16
 	var wg sync.WaitGroup
 	patches := make([]config.Patch, operators)
 	errs := make([]error, operators)
 	for i := range operators {
-		patches[i] = numbered(3)
+		patches[i] = numberedPatch(3)
 		wg.Go(func() { _, errs[i] = s.Submit(context.Background(), nil, patches[i]) })
 	}
 	wg.Wait()
@@ -81,14 +82,14 @@
 			t.Errorf("a loser got %v", err)
 		}
 	}
-	if got := head(t, s); got != 4 {
+	if got := newestVersion(t, s); got != 4 {
 		t.Fatalf("head %d", got)
 	}
 }
 
-func TestOnePatchSentFromManyRoutersAtOnceCountsOnce(t *testing.T) {
+func TestPatchSubmittedConcurrentlyIsAcceptedOnce(t *testing.T) {
 	s, _ := newStore(t)
-	p := numbered(0)
+	p := numberedPatch(0)
 	var wg sync.WaitGroup
 	for range 16 {
 		wg.Go(func() {
@@ -99,16 +100,16 @@
 		})
 	}
 	wg.Wait()
-	if got := head(t, s); got != 1 {
+	if got := newestVersion(t, s); got != 1 {
 		t.Fatalf("head %d", got)
 	}
 }
 
-// The other router's insert lands between this router's look for the patch id
-// and its reading of the newest version.
-func TestPatchAcceptedElsewhereMeanwhileIsNoConflict(t *testing.T) {
-	s, faulty, healthy := newFaulty(t)
-	p := numbered(0)
+// Another router accepts the same patch between this router's lookup of the
+// patch id and its reading of the newest version.
+func TestPatchAcceptedMeanwhileElsewhereIsNoConflict(t *testing.T) {
+	s, faulty, healthy := newFaultyStore(t)
+	p := numberedPatch(0)
 	faulty.get = func(ctx context.Context, table, key string) (store.Row, error) {
 		faulty.get = nil
 		row, err := faulty.Table.Get(ctx, table, key)
@@ -142,7 +143,7 @@
 			if err := pass(ctx, ops); err != nil {
 				return err
 			}
-			return pass(ctx, ops) // The second send meets the first.
+			return pass(ctx, ops) // The second insert conflicts with the first.
 		},
 		"then refused, then written": func(pass call, calls int, ctx context.Context, ops []store.Op) error {
 			switch calls {
@@ -156,37 +157,37 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, faulty, healthy := newFaulty(t)
+			s, faulty, healthy := newFaultyStore(t)
 			calls := 0
 			faulty.commit = func(ctx context.Context, ops []store.Op) error {
 				calls++
 				return fault(faulty.Table.Commit, calls, ctx, ops)
 			}
-			accepted := submit(t, s, numbered(0))
-			if accepted.Entry.Version != 1 || accepted.Snapshot == nil || head(t, healthy) != 1 {
-				t.Fatalf("accepted %d, head %d", accepted.Entry.Version, head(t, healthy))
+			accepted := submit(t, s, numberedPatch(0))
+			if accepted.Entry.Version != 1 || accepted.Snapshot == nil || newestVersion(t, healthy) != 1 {
+				t.Fatalf("accepted %d, head %d", accepted.Entry.Version, newestVersion(t, healthy))
 			}
 		})
 	}
 }
 
-func TestLostReplyOfALoser(t *testing.T) {
-	s, faulty, healthy := newFaulty(t)
-	winner := numbered(0)
+func TestLostReplyOfAConflictingPatch(t *testing.T) {
+	s, faulty, healthy := newFaultyStore(t)
+	winner := numberedPatch(0)
 	faulty.commit = func(context.Context, []store.Op) error {
 		submit(t, healthy, winner)
-		submit(t, healthy, numbered(1))
+		submit(t, healthy, numberedPatch(1))
 		return store.ErrUnknown
 	}
-	_, err := s.Submit(context.Background(), nil, numbered(0))
+	_, err := s.Submit(context.Background(), nil, numberedPatch(0))
 	var conflict *config.VersionConflictError
 	if !errors.As(err, &conflict) || conflict.WinnerPatchID != winner.ID || conflict.Newest != 2 {
 		t.Fatalf("error %v", err)
 	}
 }
 
-func TestOutageAfterALostReplyIsUnknownAndCanBeSentAgain(t *testing.T) {
-	s, faulty, healthy := newFaulty(t)
+func TestOutageAfterLostReplyIsUnknownAndRetryable(t *testing.T) {
+	s, faulty, healthy := newFaultyStore(t)
 	faulty.commit = func(ctx context.Context, ops []store.Op) error {
 		if err := faulty.Table.Commit(ctx, ops); err != nil {
 			return err
@@ -197,26 +198,26 @@
 		}
 		return store.ErrUnknown
 	}
-	p := numbered(0)
+	p := numberedPatch(0)
 	_, err := s.Submit(context.Background(), nil, p)
 	var unknown *CommitUnknownError
 	if !errors.As(err, &unknown) || unknown.PatchID != p.ID {
 		t.Fatalf("error %v", err)
 	}
 	again := submit(t, healthy, p)
-	if again.Entry.Version != 1 || head(t, healthy) != 1 {
-		t.Fatalf("accepted again as %d, head %d", again.Entry.Version, head(t, healthy))
+	if again.Entry.Version != 1 || newestVersion(t, healthy) != 1 {
+		t.Fatalf("accepted again as %d, head %d", again.Entry.Version, newestVersion(t, healthy))
 	}
 }
 
 func TestRefusedWriteChangesNothing(t *testing.T) {
 	for _, refusal := range []error{store.ErrUnavailable, store.ErrInvalid} {
-		s, faulty, healthy := newFaulty(t)
+		s, faulty, healthy := newFaultyStore(t)
 		faulty.commit = func(context.Context, []store.Op) error { return refusal }
-		_, err := s.Submit(context.Background(), nil, numbered(0))
+		_, err := s.Submit(context.Background(), nil, numberedPatch(0))
 		var unknown *CommitUnknownError
-		if !errors.Is(err, refusal) || errors.As(err, &unknown) || head(t, healthy) != 0 {
-			t.Fatalf("error %v, head %d", err, head(t, healthy))
+		if !errors.Is(err, refusal) || errors.As(err, &unknown) || newestVersion(t, healthy) != 0 {
+			t.Fatalf("error %v, head %d", err, newestVersion(t, healthy))
 		}
 	}
 }
@@ -225,12 +226,13 @@
 	s, _ := newStore(t)
 	_, err := s.Submit(context.Background(), nil, patch(0, `{"workspaces": {"bakery": {"share": -1}}}`))
 	var invalid *config.ValidationError
-	if !errors.As(err, &invalid) || head(t, s) != 0 {
-		t.Fatalf("error %v, head %d", err, head(t, s))
+	if !errors.As(err, &invalid) || newestVersion(t, s) != 0 {
+		t.Fatalf("error %v, head %d", err, newestVersion(t, s))
 	}
 }
 
-// faultyObjects refuses names, or returns another content for them.
+// faultyObjects fails writes with putErr if set, and returns replaced content
+// for the names in content.
 type faultyObjects struct {
 	store.Objects
 	content map[string][]byte
@@ -251,34 +253,34 @@
 	return f.Objects.Get(ctx, name)
 }
 
-func TestDamagedSnapshotIsPassedOver(t *testing.T) {
+func TestDamagedSnapshotIsSkipped(t *testing.T) {
 	s, backing := newStore(t)
-	fill(t, s, 23)
+	submitVersions(t, s, 23)
 	damaged := &faultyObjects{Objects: backing.Objects(), content: map[string][]byte{snapshotName(20): []byte("{")}}
 	reader := New(backing, damaged, Options{})
-	if got := head(t, reader); got != 23 {
+	if got := newestVersion(t, reader); got != 23 {
 		t.Fatalf("head %d", got)
 	}
 	damaged.content[snapshotName(10)] = nil
-	if got := head(t, reader); got != 23 {
+	if got := newestVersion(t, reader); got != 23 {
 		t.Fatalf("head %d without any snapshot", got)
 	}
 }
 
-func TestSnapshotIsTriedAgainAfterAFailure(t *testing.T) {
+func TestSnapshotIsRetriedAfterAFailure(t *testing.T) {
 	backing := memory.New(memory.Options{})
 	objects := &faultyObjects{Objects: backing.Objects(), putErr: store.ErrUnavailable}
 	s := New(backing, objects, Options{SnapshotEvery: 10})
-	fill(t, s, 10)
+	submitVersions(t, s, 10)
 	objects.putErr = nil
-	submit(t, s, numbered(10))
+	submit(t, s, numberedPatch(10))
 	s.Wait()
-	if got, err := s.nearestVersion(context.Background(), 99); err != nil || got != 11 {
+	if got, err := s.nearestSnapshotVersion(context.Background(), 99); err != nil || got != 11 {
 		t.Fatalf("newest snapshot %d, %v", got, err)
 	}
 }
 
-// largeChanges declares enough workspaces to pass InlineBytes.
+// largeChanges declares enough workspaces to exceed MaxInlineBytes.
 func largeChanges() json.RawMessage {
 	var changes bytes.Buffer
 	changes.WriteString(`{"workspaces":{`)
@@ -289,7 +291,7 @@
 	return changes.Bytes()
 }
 
-func TestLargeChangesLieInTheObjectStore(t *testing.T) {
+func TestLargeChangesAreKeptInTheObjectStore(t *testing.T) {
 	s, backing := newStore(t)
 	p := patch(0, string(largeChanges()))
 	submit(t, s, p)
@@ -311,32 +313,33 @@
 	objects := &faultyObjects{Objects: backing.Objects(), putErr: store.ErrUnknown}
 	s := New(backing, objects, Options{})
 	_, err := s.Submit(context.Background(), nil, patch(0, string(largeChanges())))
-	if !errors.Is(err, store.ErrUnavailable) || head(t, s) != 0 {
-		t.Fatalf("error %v, head %d", err, head(t, s))
+	if !errors.Is(err, store.ErrUnavailable) || newestVersion(t, s) != 0 {
+		t.Fatalf("error %v, head %d", err, newestVersion(t, s))
 	}
 }
 
-// A router whose past is not the store's must not chain a version to it.
-func TestSubmitFromAnotherPastChainsToTheStore(t *testing.T) {
+// A router whose history differs from the store's must not chain a new version
+// to its own history.
+func TestSubmitWithForeignHistoryUsesTheStoredHistory(t *testing.T) {
 	other, _ := newStore(t)
-	fill(t, other, 3)
-	strangers, err := other.Load(context.Background())
+	submitVersions(t, other, 3)
+	foreign, err := other.Load(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, stored := range []config.Version{3, 4} { // the same number, and newer
+	for _, stored := range []config.Version{3, 4} { // with the same version number, and with a newer one
 		s, _ := newStore(t)
-		fill(t, s, stored)
-		accepted, err := s.Submit(context.Background(), strangers, numbered(stored))
+		submitVersions(t, s, stored)
+		accepted, err := s.Submit(context.Background(), foreign, numberedPatch(stored))
 		if err != nil || accepted.Entry.Version != stored+1 {
 			t.Fatalf("accepted %d, %v", accepted.Entry.Version, err)
 		}
-		if got := head(t, s); got != stored+1 {
+		if got := newestVersion(t, s); got != stored+1 {
 			t.Fatalf("head %d", got)
 		}
 	}
 	empty, _ := newStore(t)
-	_, err = empty.Submit(context.Background(), strangers, numbered(3))
+	_, err = empty.Submit(context.Background(), foreign, numberedPatch(3))
 	var conflict *config.VersionConflictError
 	if !errors.As(err, &conflict) || conflict.Newest != 0 {
 		t.Fatalf("on an emptied store: %v", err)
@@ -345,7 +348,7 @@
 
 func TestAlteredRowIsRefused(t *testing.T) {
 	s, backing := newStore(t)
-	fill(t, s, 2)
+	submitVersions(t, s, 2)
 	row, err := backing.Get(context.Background(), TableVersions, versionKey(2))
 	if err != nil {
 		t.Fatal(err)
--- a/config/store/row.go
+++ b/config/store/row.go
@@ -16,14 +16,15 @@
 // entryRow is the value of a row of TableVersions.
 type entryRow struct {
 	config.Entry
-	// ChangesObject names the object that holds Patch.Changes when they are
-	// over InlineBytes.
+	// ChangesObject is the name of the object that holds Patch.Changes if they
+	// exceed MaxInlineBytes.
 	ChangesObject string `json:"changes_object,omitempty"`
 }
 
-// encodeRow returns the row's value. Large changes are written to the object
-// store first, under a name made from their content, so that a row never names
-// an object that is not there. Nothing is accepted until the row is inserted.
+// encodeRow returns the value of an entry's row. Large changes are first written
+// to the object store, under a name derived from their content, so that a row
+// never refers to a missing object. The entry is not accepted until the row is
+// inserted.
 func (s *Store) encodeRow(ctx context.Context, entry config.Entry) ([]byte, error) {
 	row := entryRow{Entry: entry}
 	if len(entry.Patch.Changes) > InlineBytes {
@@ -41,7 +42,8 @@
 	return value, nil
 }
 
-// parseRow reads a row of TableVersions without changes that lie elsewhere.
+// parseRow decodes a row of TableVersions, without changes that are kept in the
+// object store.
 func parseRow(row store.Row) (entryRow, error) {
 	var decoded entryRow
 	if err := json.Unmarshal(row.Value, &decoded); err != nil {
@@ -53,7 +55,8 @@
 	return decoded, nil
 }
 
-// decodeRow reads a row of TableVersions with its changes.
+// decodeRow decodes a row of TableVersions and reads changes that are kept in
+// the object store.
 func (s *Store) decodeRow(ctx context.Context, row store.Row) (config.Entry, error) {
 	decoded, err := parseRow(row)
 	if err != nil {
@@ -74,15 +77,15 @@
 	return entry, nil
 }
 
-// insertOps is the transaction that accepts an entry.
+// insertOps returns the operations of the transaction that accepts an entry.
 func (s *Store) insertOps(ctx context.Context, entry config.Entry) ([]store.Op, error) {
 	value, err := s.encodeRow(ctx, entry)
 	if err != nil {
 		return nil, err
 	}
-	number := strconv.AppendUint(nil, uint64(entry.Version), 10)
+	versionText := strconv.AppendUint(nil, uint64(entry.Version), 10)
 	return []store.Op{
 		{Kind: store.OpInsert, Table: TableVersions, Key: versionKey(entry.Version), Value: value},
-		{Kind: store.OpInsert, Table: TablePatches, Key: entry.Patch.ID, Value: number},
+		{Kind: store.OpInsert, Table: TablePatches, Key: entry.Patch.ID, Value: versionText},
 	}, nil
 }
--- a/config/store/snapshot.go
+++ b/config/store/snapshot.go
@@ -11,32 +11,33 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// snapshotKey sorts newer snapshots first, so that a scan from a version's key
-// finds the nearest whole snapshot at or before it.
+// snapshotKey returns the row key of a snapshot. Keys of newer snapshots sort
+// first, so that a scan from a version's key finds the newest snapshot at or
+// before that version.
 func snapshotKey(version config.Version) string {
 	return fmt.Sprintf("%020d", math.MaxUint64-uint64(version))
 }
 
-// Load returns the newest version: the newest whole snapshot and the patches
-// after it. An empty store yields version zero.
+// Load returns the newest version, built from the newest stored snapshot and
+// the patches after it. An empty store yields version zero.
 func (s *Store) Load(ctx context.Context) (*config.Snapshot, error) {
-	start, err := s.nearest(ctx, math.MaxUint64)
+	start, err := s.nearestSnapshot(ctx, math.MaxUint64)
 	if err != nil {
 		return nil, err
 	}
 	return s.CatchUp(ctx, start)
 }
 
-// SnapshotAt returns an older version in full. The error is
+// SnapshotAt returns the snapshot of a given version. The error is
 // *UnknownVersionError if the version does not exist.
 func (s *Store) SnapshotAt(ctx context.Context, version config.Version) (*config.Snapshot, error) {
-	at, err := s.nearest(ctx, version)
+	snapshot, err := s.nearestSnapshot(ctx, version)
 	if err != nil {
 		return nil, err
 	}
-	for at.Version < version {
-		limit := min(s.options.PageSize, int(version-at.Version))
-		entries, err := s.since(ctx, at.Version, limit)
+	for snapshot.Version < version {
+		limit := min(s.options.PageSize, int(version-snapshot.Version))
+		entries, err := s.scanEntries(ctx, snapshot.Version, limit)
 		if err != nil {
 			return nil, err
 		}
@@ -44,20 +45,20 @@
 			return nil, &UnknownVersionError{Version: version}
 		}
 		for _, entry := range entries {
-			if at, err = config.ApplyEntry(at, entry); err != nil {
+			if snapshot, err = config.ApplyEntry(snapshot, entry); err != nil {
 				return nil, err
 			}
 		}
 	}
-	return at, nil
+	return snapshot, nil
 }
 
-// nearest returns the newest readable whole snapshot at or before a version,
-// or version zero if there is none. A snapshot that is missing or damaged is
-// logged and passed over: the entries lead to the same content.
-func (s *Store) nearest(ctx context.Context, version config.Version) (*config.Snapshot, error) {
+// nearestSnapshot returns the newest readable stored snapshot at or before a
+// version, or version zero if there is none. A missing or damaged snapshot is
+// logged and skipped: the entries lead to the same content.
+func (s *Store) nearestSnapshot(ctx context.Context, version config.Version) (*config.Snapshot, error) {
 	for {
-		found, err := s.nearestVersion(ctx, version)
+		found, err := s.nearestSnapshotVersion(ctx, version)
 		if err != nil {
 			return nil, err
 		}
@@ -71,8 +72,8 @@
 		if errors.Is(err, store.ErrUnavailable) || ctx.Err() != nil {
 			return nil, err
 		}
-		readFailures.Inc()
-		s.options.Log.Warn("config: Whole snapshot passed over.", "version", found, "error", err)
+		snapshotReadFailures.Inc()
+		s.options.Log.Warn("config: Skipping unreadable snapshot.", "version", found, "error", err)
 		version = found - 1
 	}
 }
@@ -93,7 +94,7 @@
 	return snapshot, nil
 }
 
-func (s *Store) nearestVersion(ctx context.Context, version config.Version) (config.Version, error) {
+func (s *Store) nearestSnapshotVersion(ctx context.Context, version config.Version) (config.Version, error) {
 	rows, err := s.table.Scan(ctx, TableSnapshots, snapshotKey(version), 1)
 	if err != nil {
 		return 0, fmt.Errorf("config store: scan snapshots: %w", err)
@@ -110,40 +111,41 @@
 
 func snapshotName(version config.Version) string { return SnapshotPrefix + versionKey(version) }
 
-// snapshotInBackground writes a whole snapshot if the last one is far enough
-// behind. A failure is logged; the next accepted version tries again.
-func (s *Store) snapshotInBackground(snapshot *config.Snapshot) {
-	if !s.writing.TryLock() {
+// saveSnapshotInBackground stores a snapshot if SnapshotEvery versions have
+// passed since the last one, unless one is being written already. A failure is
+// logged, and the next accepted version tries again.
+func (s *Store) saveSnapshotInBackground(snapshot *config.Snapshot) {
+	if !s.snapshotMu.TryLock() {
 		return
 	}
-	s.snapshots.Go(func() {
-		defer s.writing.Unlock()
+	s.snapshotWrites.Go(func() {
+		defer s.snapshotMu.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), s.options.SnapshotTimeout)
 		defer cancel()
-		if err := s.saveIfDue(ctx, snapshot); err != nil {
-			writeFailures.Inc()
-			s.options.Log.Warn("config: Whole snapshot not written.", "version", snapshot.Version, "error", err)
+		if err := s.saveSnapshotIfDue(ctx, snapshot); err != nil {
+			snapshotWriteFailures.Inc()
+			s.options.Log.Warn("config: Snapshot not written.", "version", snapshot.Version, "error", err)
 		}
 	})
 }
 
-// Wait returns when no whole snapshot is being written.
-func (s *Store) Wait() { s.snapshots.Wait() }
+// Wait waits until no snapshot is being written.
+func (s *Store) Wait() { s.snapshotWrites.Wait() }
 
-func (s *Store) saveIfDue(ctx context.Context, snapshot *config.Snapshot) error {
-	last, err := s.nearestVersion(ctx, math.MaxUint64)
+func (s *Store) saveSnapshotIfDue(ctx context.Context, snapshot *config.Snapshot) error {
+	newest, err := s.nearestSnapshotVersion(ctx, math.MaxUint64)
 	if err != nil {
 		return err
 	}
-	if snapshot.Version < last+config.Version(s.options.SnapshotEvery) {
+	if snapshot.Version < newest+config.Version(s.options.SnapshotEvery) {
 		return nil
 	}
-	return s.save(ctx, snapshot)
+	return s.saveSnapshot(ctx, snapshot)
 }
 
-// save writes the object before the row that names it, so that a row always
-// names a whole object.
-func (s *Store) save(ctx context.Context, snapshot *config.Snapshot) error {
+// saveSnapshot writes the object before the row that refers to it, so that a
+// row always refers to a complete object.
+func (s *Store) saveSnapshot(ctx context.Context, snapshot *config.Snapshot) error {
 	data, err := config.EncodeSnapshot(snapshot)
 	if err != nil {
 		return err
--- a/config/store/store.go
+++ b/config/store/store.go
@@ -2,11 +2,12 @@
 // table service.
 //
 // Every version is one row of TableVersions, keyed by its zero-padded number,
-// that holds the accepted patch; large changes lie in the object store. A patch is accepted by inserting row base+1
-// on condition that it does not exist, in one transaction with a row of
-// TablePatches that makes the patch id idempotent. Every SnapshotEvery
-// versions a whole snapshot goes to the object store, so that a restarted
-// router reads one object and a few rows.
+// that holds the accepted patch; large changes are kept in the object store. A
+// patch is accepted by inserting row base+1 on condition that it does not
+// exist, in one transaction with a row of TablePatches that makes submissions
+// idempotent by patch id. Every SnapshotEvery versions a complete snapshot is
+// written to the object store, so that a restarted router reads one object and
+// a few rows.
 package store
 
 import (
@@ -28,52 +29,55 @@
 	TableVersions = "config_versions"
 	// TablePatches holds one row per accepted patch id: the version's number.
 	TablePatches = "config_patches"
-	// TableSnapshots holds one row per whole snapshot, newest first.
+	// TableSnapshots holds one row per stored snapshot, newest first.
 	TableSnapshots = "config_snapshots"
-	// SnapshotPrefix begins the names of whole snapshots in the object store.
+	// SnapshotPrefix is the prefix of the names of snapshots in the object store.
 	SnapshotPrefix = "config/snapshot-"
-	// ChangesPrefix begins the names of changes that are too large for a row.
+	// ChangesPrefix is the prefix of the names of changes in the object store.
 	ChangesPrefix = "config/changes-"
 )
 
-// InlineBytes is the size of changes up to which they are kept in the row
-// itself. The platform's limit for a row is 1 MiB.
+// MaxInlineBytes is the maximum size of changes that are kept in the row
+// itself. The platform limits a row to 1 MiB.
 const InlineBytes = 256 << 10
 
 // Defaults of Options.
 const (
-	// DefaultSnapshotEvery is the number of versions between whole snapshots.
+	// DefaultSnapshotEvery is the number of versions between stored snapshots.
 	DefaultSnapshotEvery = 100
 	// DefaultPageSize is the number of rows read in one scan.
 	DefaultPageSize = 200
-	// DefaultSnapshotTimeout bounds the writing of a whole snapshot.
+	// DefaultSnapshotTimeout limits the time for writing a snapshot.
 	DefaultSnapshotTimeout = 10 * time.Second
 )
 
 // Options configures a Store. Zero fields take the defaults.
 type Options struct {
-	SnapshotEvery   int
-	PageSize        int
+	// SnapshotEvery is the number of versions between stored snapshots.
+	SnapshotEvery int
+	// PageSize is the number of rows read in one scan.
+	PageSize int
+	// SnapshotTimeout limits the time for writing a snapshot.
 	SnapshotTimeout time.Duration
 	// Now is the clock for Entry.AcceptedAt. Default time.Now.
 	Now func() time.Time
-	// Log takes the store's messages. Default slog.Default().
+	// Log receives the store's messages. Default slog.Default().
 	Log *slog.Logger
 }
 
-// Store reads and writes configuration versions. It keeps no state of its own
+// Store reads and writes configuration versions. It has no state of its own
 // besides the snapshot being written, so any number of routers may use the
-// same tables. Its methods may be called concurrently.
+// same tables. Its methods are safe for concurrent use.
 type Store struct {
 	table   store.Table
 	objects store.Objects
 	options Options
 
-	writing   sync.Mutex // held while a whole snapshot is written
-	snapshots sync.WaitGroup
+	snapshotMu     sync.Mutex // held while a snapshot is being written
+	snapshotWrites sync.WaitGroup
 }
 
-// New returns a Store over the platform's services.
+// New returns a Store that uses the platform's table and object services.
 func New(table store.Table, objects store.Objects, options Options) *Store {
 	if options.SnapshotEvery <= 0 {
 		options.SnapshotEvery = DefaultSnapshotEvery
@@ -93,16 +97,16 @@
 	return &Store{table: table, objects: objects, options: options}
 }
 
-// versionKey is the row key of a version: 20 digits, so that keys sort by number.
+// versionKey returns the row key of a version: 20 digits, so that keys sort by number.
 func versionKey(version config.Version) string { return fmt.Sprintf("%020d", version) }
 
-// Since returns the entries after a version, oldest first and without gaps, at
-// most one page. An empty result means that after is the newest version.
+// Since returns at most one page of entries after a version, oldest first and
+// without gaps. An empty result means that after is the newest version.
 func (s *Store) Since(ctx context.Context, after config.Version) ([]config.Entry, error) {
-	return s.since(ctx, after, s.options.PageSize)
+	return s.scanEntries(ctx, after, s.options.PageSize)
 }
 
-func (s *Store) since(ctx context.Context, after config.Version, limit int) ([]config.Entry, error) {
+func (s *Store) scanEntries(ctx context.Context, after config.Version, limit int) ([]config.Entry, error) {
 	rows, err := s.table.Scan(ctx, TableVersions, versionKey(after+1), limit)
 	if err != nil {
 		return nil, fmt.Errorf("config store: scan versions: %w", err)
@@ -122,8 +126,8 @@
 	return entries, nil
 }
 
-// Entry returns one version of the history. The error is *UnknownVersionError
-// if the version does not exist.
+// Entry returns the history entry of one version. The error is
+// *UnknownVersionError if the version does not exist.
 func (s *Store) Entry(ctx context.Context, version config.Version) (config.Entry, error) {
 	row, err := s.readRow(ctx, version)
 	if err != nil {
@@ -143,12 +147,12 @@
 	return row, nil
 }
 
-// History returns up to limit entries from a version on, oldest first.
+// History returns up to limit entries starting at version from, oldest first.
 func (s *Store) History(ctx context.Context, from config.Version, limit int) ([]config.Entry, error) {
 	after := max(from, 1) - 1
 	var entries []config.Entry
 	for len(entries) < limit {
-		page, err := s.since(ctx, after, min(limit-len(entries), s.options.PageSize))
+		page, err := s.scanEntries(ctx, after, min(limit-len(entries), s.options.PageSize))
 		if err != nil {
 			return nil, err
 		}
@@ -161,8 +165,8 @@
 	return entries, nil
 }
 
-// CatchUp applies every later entry of the store to from and returns the
-// newest snapshot, which is from itself if there is none.
+// CatchUp applies all later entries of the store to from and returns the newest
+// snapshot, which is from itself if there are none.
 func (s *Store) CatchUp(ctx context.Context, from *config.Snapshot) (*config.Snapshot, error) {
 	for {
 		entries, err := s.Since(ctx, from.Version)
@@ -180,7 +184,7 @@
 	}
 }
 
-// patchVersion returns the version that a patch id was accepted under.
+// patchVersion returns the version that a patch id was accepted as, if any.
 func (s *Store) patchVersion(ctx context.Context, id string) (config.Version, bool, error) {
 	row, err := s.table.Get(ctx, TablePatches, id)
 	if errors.Is(err, store.ErrNotFound) {
--- a/config/store/store_test.go
+++ b/config/store/store_test.go
@@ -23,8 +23,9 @@
 	return config.Patch{ID: config.NewPatchID(), Base: base, Changes: json.RawMessage(changes)}
 }
 
-// numbered changes one share so that every version differs.
-func numbered(base config.Version) config.Patch {
+// numberedPatch returns a patch that sets a share to the version's number, so
+// that every version differs.
+func numberedPatch(base config.Version) config.Patch {
 	return patch(base, fmt.Sprintf(`{"workspaces": {"bakery": {"share": %d}}}`, base+1))
 }
 
@@ -37,10 +38,10 @@
 	return accepted
 }
 
-func fill(t *testing.T, s *Store, to config.Version) {
+func submitVersions(t *testing.T, s *Store, to config.Version) {
 	t.Helper()
 	for base := config.Version(0); base < to; base++ {
-		submit(t, s, numbered(base))
+		submit(t, s, numberedPatch(base))
 		s.Wait()
 	}
 }
@@ -53,11 +54,11 @@
 	}
 }
 
-func TestSameIDAgainReturnsTheSameVersion(t *testing.T) {
+func TestResubmittedIDReturnsTheSameVersion(t *testing.T) {
 	s, _ := newStore(t)
-	p := numbered(0)
+	p := numberedPatch(0)
 	first := submit(t, s, p)
-	submit(t, s, numbered(1))
+	submit(t, s, numberedPatch(1))
 	again := submit(t, s, p)
 	p.Base = 2
 	rebased := submit(t, s, p)
@@ -71,13 +72,13 @@
 	}
 }
 
-func TestStaleBaseIsToldTheWinnerAndTheNewest(t *testing.T) {
+func TestStaleBaseReportsWinnerAndNewest(t *testing.T) {
 	s, _ := newStore(t)
-	fill(t, s, 1)
-	winner := submit(t, s, numbered(1))
-	fillFrom := numbered(2)
+	submitVersions(t, s, 1)
+	winner := submit(t, s, numberedPatch(1))
+	fillFrom := numberedPatch(2)
 	submit(t, s, fillFrom)
-	_, err := s.Submit(context.Background(), nil, numbered(1))
+	_, err := s.Submit(context.Background(), nil, numberedPatch(1))
 	var conflict *config.VersionConflictError
 	if !errors.As(err, &conflict) {
 		t.Fatalf("error %v", err)
@@ -89,8 +90,8 @@
 
 func TestSnapshotsHistoryAndRollback(t *testing.T) {
 	s, _ := newStore(t)
-	fill(t, s, 25)
-	if nearest, err := s.nearestVersion(context.Background(), 19); err != nil || nearest != 10 {
+	submitVersions(t, s, 25)
+	if nearest, err := s.nearestSnapshotVersion(context.Background(), 19); err != nil || nearest != 10 {
 		t.Fatalf("nearest snapshot to 19: %d, %v", nearest, err)
 	}
 	loaded, err := s.Load(context.Background())
--- a/config/store/submit.go
+++ b/config/store/submit.go
@@ -11,28 +11,30 @@
 )
 
 const (
-	// maxCommitAttempts bounds how often one Submit sends the same insert.
+	// maxCommitAttempts limits how often one Submit sends the same insert.
 	maxCommitAttempts = 4
-	// commitRetryDelay is the wait before the insert is sent the second time.
+	// commitRetryDelay is the delay before the first retry of an insert.
 	commitRetryDelay = 25 * time.Millisecond
 )
 
 // Accepted is the outcome of a successful Submit.
 type Accepted struct {
-	// Entry is the accepted version. Its Digest proves its content.
+	// Entry is the history entry of the accepted version. Its Digest covers the
+	// version's content.
 	Entry config.Entry
-	// Snapshot is the accepted version in full. It is nil when the patch had
-	// been accepted by an earlier Submit.
+	// Snapshot is the complete accepted version. It is nil if the patch was
+	// accepted by an earlier Submit.
 	Snapshot *config.Snapshot
 }
 
-// Submit accepts a patch as the next version. known is any version the caller
-// holds, usually the one in force; nil loads the newest.
+// Submit accepts a patch as the next version. known is any version that the
+// caller holds, usually the one in force; if nil, the newest is loaded.
 //
-// Submit is idempotent on the patch id: a patch accepted before returns its
-// entry again. Errors are *config.PatchError, *config.ValidationError,
-// *config.VersionConflictError with the newest version, *CommitUnknownError,
-// and otherwise platform errors with which nothing was changed.
+// Submit is idempotent by patch id: for a patch that was accepted before it
+// returns the same entry. Errors are *config.PatchError,
+// *config.ValidationError, *config.VersionConflictError with the newest
+// version, *CommitUnknownError, and otherwise platform errors, after which
+// nothing was changed.
 func (s *Store) Submit(ctx context.Context, known *config.Snapshot, patch config.Patch) (Accepted, error) {
 	patch, err := patch.Normalise()
 	if err != nil {
@@ -45,12 +47,12 @@
 	if found {
 		return Accepted{Entry: entry}, nil
 	}
-	newest, err := s.newest(ctx, known)
+	newest, err := s.verifiedNewest(ctx, known)
 	if err != nil {
 		return Accepted{}, err
 	}
 	if patch.Base != newest.Version {
-		return s.settleTaken(ctx, patch, newest.Version)
+		return s.resolveTakenVersion(ctx, patch, newest.Version)
 	}
 	entry, next, err := config.NewEntry(newest, patch, s.options.Now())
 	if err != nil {
@@ -59,29 +61,30 @@
 	return s.commit(ctx, entry, next)
 }
 
-// newest returns the newest version, proved against the store's own digest: a
-// version chained to another past would be refused by every router. A known
-// version that is not of the store's past is given up for the store's own.
-func (s *Store) newest(ctx context.Context, known *config.Snapshot) (*config.Snapshot, error) {
+// verifiedNewest returns the newest version after comparing it with the stored
+// digest: a version chained to a different history would be rejected by every
+// router. If the known version is not part of the stored history, the newest
+// version is loaded from the store instead.
+func (s *Store) verifiedNewest(ctx context.Context, known *config.Snapshot) (*config.Snapshot, error) {
 	if known != nil {
 		newest, err := s.CatchUp(ctx, known)
 		if err == nil {
-			err = s.checkStored(ctx, newest)
+			err = s.verifyStoredDigest(ctx, newest)
 		}
-		if err == nil || !isDifferentPast(err) {
+		if err == nil || !isHistoryMismatch(err) {
 			return newest, err
 		}
-		s.options.Log.Warn("config: Version in force is not the store's.", "version", known.Version, "error", err)
+		s.options.Log.Warn("config: Known version is not in the stored history, loading the newest.", "version", known.Version, "error", err)
 	}
 	newest, err := s.Load(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return newest, s.checkStored(ctx, newest)
+	return newest, s.verifyStoredDigest(ctx, newest)
 }
 
-// checkStored compares a version's digest with the one in its row.
-func (s *Store) checkStored(ctx context.Context, snapshot *config.Snapshot) error {
+// verifyStoredDigest compares a snapshot's digest with the one in the version's row.
+func (s *Store) verifyStoredDigest(ctx context.Context, snapshot *config.Snapshot) error {
 	if snapshot.Version == 0 {
 		return nil
 	}
@@ -99,58 +102,60 @@
 	return nil
 }
 
-func isDifferentPast(err error) bool {
+func isHistoryMismatch(err error) bool {
 	var digest *config.DigestError
 	var absent *UnknownVersionError
 	return errors.As(err, &digest) || errors.As(err, &absent)
 }
 
-// commit inserts the entry. A lost reply is followed by a read; if the row is
-// not there the insert is sent again, which is safe: it can succeed only once.
+// commit inserts the entry. If the outcome is unknown, it reads the rows; if
+// they do not exist, it sends the insert again, which is safe since the insert
+// can succeed only once.
 func (s *Store) commit(ctx context.Context, entry config.Entry, next *config.Snapshot) (Accepted, error) {
 	ops, err := s.insertOps(ctx, entry)
 	if err != nil {
 		return Accepted{}, err
 	}
-	var last error
-	sent := false // an insert without a known outcome is on its way
+	var lastErr error
+	maybeWritten := false // an earlier attempt has an unknown outcome
 	for attempt := 0; attempt < maxCommitAttempts && ctx.Err() == nil; attempt++ {
-		last = s.table.Commit(ctx, ops)
-		if last == nil {
-			return s.accepted(entry, next), nil
+		lastErr = s.table.Commit(ctx, ops)
+		if lastErr == nil {
+			return s.acceptedHere(entry, next), nil
 		}
-		if notWritten(last) && !sent {
-			return Accepted{}, fmt.Errorf("config store: insert version %d: %w", entry.Version, last)
+		if isNotWritten(lastErr) && !maybeWritten {
+			return Accepted{}, fmt.Errorf("config store: insert version %d: %w", entry.Version, lastErr)
 		}
-		sent = true
-		accepted, settled, err := s.readBack(ctx, entry, next)
-		if settled {
+		maybeWritten = true
+		accepted, resolved, err := s.readBack(ctx, entry, next)
+		if resolved {
 			return accepted, err
 		}
 		if err != nil {
-			last = err
+			lastErr = err
 		}
 		if attempt+1 < maxCommitAttempts {
 			commitRetries.Inc()
-			pause(ctx, attempt)
+			waitBeforeRetry(ctx, attempt)
 		}
 	}
-	return Accepted{}, &CommitUnknownError{PatchID: entry.Patch.ID, Cause: last}
+	return Accepted{}, &CommitUnknownError{PatchID: entry.Patch.ID, Cause: lastErr}
 }
 
-// accepted is the outcome of an insert that this router made itself.
-func (s *Store) accepted(entry config.Entry, next *config.Snapshot) Accepted {
-	s.snapshotInBackground(next)
+// acceptedHere returns the outcome of an insert made by this router, and starts
+// storing a snapshot if one is due.
+func (s *Store) acceptedHere(entry config.Entry, next *config.Snapshot) Accepted {
+	s.saveSnapshotInBackground(next)
 	return Accepted{Entry: entry, Snapshot: next}
 }
 
-// notWritten says that a failed commit surely wrote nothing.
-func notWritten(err error) bool {
+// isNotWritten reports whether a failed commit certainly wrote nothing.
+func isNotWritten(err error) bool {
 	return errors.Is(err, store.ErrUnavailable) || errors.Is(err, store.ErrInvalid)
 }
 
-// pause waits before an insert is sent again, twice as long each time.
-func pause(ctx context.Context, attempt int) {
+// waitBeforeRetry waits before an insert is sent again, twice as long each time.
+func waitBeforeRetry(ctx context.Context, attempt int) {
 	timer := time.NewTimer(commitRetryDelay << attempt)
 	defer timer.Stop()
 	select {
@@ -159,8 +164,9 @@
 	}
 }
 
-// readBack finds out what became of an insert. It is settled when the patch id
-// or the version is taken, by this patch or another.
+// readBack reads the outcome of an insert. The outcome is resolved, as the
+// second result reports, if the patch id or the version is taken, by this patch
+// or another.
 func (s *Store) readBack(ctx context.Context, entry config.Entry, next *config.Snapshot) (Accepted, bool, error) {
 	written, found, err := s.findAccepted(ctx, entry.Patch)
 	var reused *config.PatchError
@@ -171,7 +177,7 @@
 		return Accepted{}, false, err
 	}
 	if found && written.Digest == entry.Digest {
-		return s.accepted(written, next), true, nil
+		return s.acceptedHere(written, next), true, nil
 	}
 	if found {
 		return Accepted{Entry: written}, true, nil
@@ -184,15 +190,15 @@
 	if err != nil {
 		return Accepted{}, false, err
 	}
-	accepted, err := s.settleTaken(ctx, entry.Patch, entry.Version)
+	accepted, err := s.resolveTakenVersion(ctx, entry.Patch, entry.Version)
 	var conflict *config.VersionConflictError
 	return accepted, err == nil || errors.As(err, &conflict), err
 }
 
-// settleTaken answers a patch whose version is taken. It looks for the patch
-// itself again: the same patch may have been accepted through another router
-// since the last look.
-func (s *Store) settleTaken(ctx context.Context, patch config.Patch, newest config.Version) (Accepted, error) {
+// resolveTakenVersion returns the outcome of a patch whose version is taken. It
+// looks up the patch id again: the same patch may have been accepted through
+// another router since the last lookup.
+func (s *Store) resolveTakenVersion(ctx context.Context, patch config.Patch, newest config.Version) (Accepted, error) {
 	entry, found, err := s.findAccepted(ctx, patch)
 	if err != nil {
 		return Accepted{}, err
@@ -200,11 +206,11 @@
 	if found {
 		return Accepted{Entry: entry}, nil
 	}
-	return Accepted{}, s.conflict(ctx, patch, newest)
+	return Accepted{}, s.conflictError(ctx, patch, newest)
 }
 
-// findAccepted returns the entry that a patch id was accepted under. The id of
-// an accepted patch with other changes is refused with *config.PatchError.
+// findAccepted returns the entry that a patch id was accepted as, if any. The
+// error is *config.PatchError if the id was accepted with other changes.
 func (s *Store) findAccepted(ctx context.Context, patch config.Patch) (config.Entry, bool, error) {
 	version, found, err := s.patchVersion(ctx, patch.ID)
 	if err != nil || !found {
@@ -221,38 +227,40 @@
 	return entry, true, nil
 }
 
-// conflict builds the answer to a patch that is not against the newest
-// version. What cannot be read is left out: the conflict itself is certain.
-func (s *Store) conflict(ctx context.Context, patch config.Patch, newest config.Version) error {
-	refusal := &config.VersionConflictError{Base: patch.Base, Newest: newest}
+// conflictError builds the error for a patch that is not against the newest
+// version. Details that cannot be read are omitted: the conflict itself is
+// certain.
+func (s *Store) conflictError(ctx context.Context, patch config.Patch, newest config.Version) error {
+	conflict := &config.VersionConflictError{Base: patch.Base, Newest: newest}
 	if winner, err := s.Entry(ctx, patch.Base+1); err == nil {
-		refusal.WinnerPatchID = winner.Patch.ID
+		conflict.WinnerPatchID = winner.Patch.ID
 	}
 	for {
-		entries, err := s.Since(ctx, refusal.Newest)
+		entries, err := s.Since(ctx, conflict.Newest)
 		if err != nil || len(entries) == 0 {
-			return refusal
+			return conflict
 		}
-		refusal.Newest = entries[len(entries)-1].Version
+		conflict.Newest = entries[len(entries)-1].Version
 	}
 }
 
-// RollbackRequest asks for a new version with the content of an older one.
+// RollbackRequest requests a new version with the content of an older one.
 type RollbackRequest struct {
 	// ID is a UUID that makes a resend idempotent.
 	ID string
 	// Base is the newest version that the operator has seen.
 	Base config.Version
-	// To is the version whose content comes back.
+	// To is the version whose content is restored.
 	To config.Version
-	// Author and Note are kept in the history.
+	// Author and Note are recorded in the history.
 	Author string
 	Note   string
 }
 
-// Rollback submits the patch that leads from version Base to the content of
-// version To. The patch depends on two immutable versions only, so a resend
-// submits the same one. Errors are those of Submit and *UnknownVersionError.
+// Rollback submits the patch that turns version Base into the content of
+// version To. The patch depends only on two immutable versions, so a repeated
+// request submits the same patch. Errors are those of Submit and
+// *UnknownVersionError.
 func (s *Store) Rollback(ctx context.Context, known *config.Snapshot, request RollbackRequest) (Accepted, error) {
 	from, err := s.SnapshotAt(ctx, request.Base)
 	if err != nil {
