--- a/config/errors.go
+++ b/config/errors.go
@@ -74,21 +74,25 @@
 
 // DigestError reports that a version's content does not match its digest.
 type DigestError struct {
-	Version  Version
-	Stated   Digest
+	Version Version
+	// Stated is the digest that came with the version.
+	Stated Digest
+	// Computed is the digest of the content, as computed by the reader.
 	Computed Digest
 }
 
 // Error implements error.
 func (e *DigestError) Error() string {
-	return fmt.Sprintf("config: version %d: expected digest %s, computed %s", e.Version, e.Stated, e.Computed)
+	return fmt.Sprintf("config: version %d: stated digest %s does not match computed digest %s", e.Version, e.Stated, e.Computed)
 }
 
 // SequenceError reports that an entry is not the successor of the snapshot
 // that it was applied to.
 type SequenceError struct {
+	// Have is the snapshot's version.
 	Have Version
-	Got  Version
+	// Got is the entry's version.
+	Got Version
 }
 
 // Error implements error.
--- a/config/follower/fleet_test.go
+++ b/config/follower/fleet_test.go
@@ -12,22 +12,23 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// fleet connects followers by name. Answers pass through their encoding.
-type fleet struct {
+// peerNetwork is a PeerFetcher that connects followers by name. Responses are
+// encoded and decoded as between routers.
+type peerNetwork struct {
 	mu    sync.Mutex
 	nodes map[string]*Follower
 	calls int
 }
 
-func newFleet() *fleet { return &fleet{nodes: make(map[string]*Follower)} }
+func newPeerNetwork() *peerNetwork { return &peerNetwork{nodes: make(map[string]*Follower)} }
 
-func (n *fleet) add(name string, f *Follower) {
+func (n *peerNetwork) add(name string, f *Follower) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nodes[name] = f
 }
 
-func (n *fleet) Fetch(_ context.Context, node string, from config.Version) (Update, error) {
+func (n *peerNetwork) Fetch(_ context.Context, node string, from config.Version) (Update, error) {
 	n.mu.Lock()
 	n.calls++
 	f := n.nodes[node]
@@ -46,20 +47,20 @@
 	return DecodeUpdate(encoded)
 }
 
-// switchable is a source that can be turned off.
-type switchable struct {
+// switchableSource is a Source that can be made unavailable.
+type switchableSource struct {
 	Source
 	mu   sync.Mutex
 	down bool
 }
 
-func (s *switchable) set(down bool) {
+func (s *switchableSource) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-func (s *switchable) err() error {
+func (s *switchableSource) err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -68,42 +69,42 @@
 	return nil
 }
 
-func (s *switchable) Since(ctx context.Context, after config.Version) ([]config.Entry, error) {
+func (s *switchableSource) Since(ctx context.Context, after config.Version) ([]config.Entry, error) {
 	if err := s.err(); err != nil {
 		return nil, err
 	}
 	return s.Source.Since(ctx, after)
 }
 
-func (s *switchable) Load(ctx context.Context) (*config.Snapshot, error) {
+func (s *switchableSource) Load(ctx context.Context) (*config.Snapshot, error) {
 	if err := s.err(); err != nil {
 		return nil, err
 	}
 	return s.Source.Load(ctx)
 }
 
-// fetchFunc is a PeerFetcher made of a function.
+// fetchFunc is a function that implements PeerFetcher.
 type fetchFunc func(ctx context.Context, node string, from config.Version) (Update, error)
 
 func (f fetchFunc) Fetch(ctx context.Context, node string, from config.Version) (Update, error) {
 	return f(ctx, node, from)
 }
 
-// deadStore is a source in an outage that never ends.
-func deadStore() *switchable { return &switchable{down: true} }
+// unavailableSource returns a source that is never available.
+func unavailableSource() *switchableSource { return &switchableSource{down: true} }
 
-func TestVersionsSpreadThroughAnOutage(t *testing.T) {
+func TestVersionsSpreadDuringAStoreOutage(t *testing.T) {
 	s := newStore(t)
-	network := newFleet()
-	first, firstSeen := start(t, Options{Source: s, Peers: network})
+	network := newPeerNetwork()
+	first, firstSeen := startFollower(t, Options{Source: s, Peers: network})
 	network.add("first", first)
 	submit(t, s, 0)
 	firstSeen.waitFor(t, 1)
 
-	// All others never reach the store; each hears of the one before it.
+	// The other nodes never reach the store; each fetches from the one before it.
 	previous := "first"
 	for _, name := range []string{"second", "third"} {
-		f, seen := start(t, Options{Source: deadStore(), Peers: network})
+		f, seen := startFollower(t, Options{Source: unavailableSource(), Peers: network})
 		network.add(name, f)
 		f.VersionSeen(previous, 1)
 		seen.waitFor(t, 1)
@@ -115,16 +116,16 @@
 	}
 }
 
-func TestRestartedNodeIsNotReadyUntilSomeoneAnswers(t *testing.T) {
+func TestRestartedNodeIsNotReadyUntilStoreOrPeerAnswers(t *testing.T) {
 	s := newStore(t)
 	submit(t, s, 0)
-	source := &switchable{Source: s, down: true}
+	source := &switchableSource{Source: s, down: true}
 	failing := make(chan struct{}, 100)
 	peers := fetchFunc(func(context.Context, string, config.Version) (Update, error) {
 		failing <- struct{}{}
 		return Update{}, errors.New("cut off")
 	})
-	f, seen := start(t, Options{Source: source, Peers: peers})
+	f, seen := startFollower(t, Options{Source: source, Peers: peers})
 	f.VersionSeen("peer", 1)
 	<-failing
 	select {
@@ -135,22 +136,22 @@
 	if f.Current() != nil {
 		t.Fatalf("version %v without an answer", f.Current())
 	}
-	source.set(false)
+	source.setDown(false)
 	seen.waitFor(t, 1)
 	waitReady(t, f)
 }
 
-func TestRestartedNodeTakesAWholeSnapshotFromAPeer(t *testing.T) {
+func TestRestartedNodeFetchesSnapshotFromPeer(t *testing.T) {
 	s := newStore(t)
-	network := newFleet()
-	peer, peerSeen := start(t, Options{Source: s, KeepEntries: 3})
+	network := newPeerNetwork()
+	peer, peerSeen := startFollower(t, Options{Source: s, KeepEntries: 3})
 	network.add("peer", peer)
 	peerSeen.waitFor(t, 0)
 	for base := config.Version(0); base < 10; base++ {
 		submit(t, s, base)
 	}
 	peerSeen.waitFor(t, 10)
-	f, seen := start(t, Options{Source: deadStore(), Peers: network})
+	f, seen := startFollower(t, Options{Source: unavailableSource(), Peers: network})
 	f.VersionSeen("peer", 10)
 	seen.waitFor(t, 10)
 	if got := seen.versions(); len(got) != 1 {
@@ -158,8 +159,9 @@
 	}
 }
 
-// history makes versions 1 to n and returns their entries and snapshots.
-func history(t *testing.T, n config.Version) ([]config.Entry, []*config.Snapshot) {
+// makeHistory creates versions 1 to n and returns their entries, and the
+// snapshots of versions 0 to n.
+func makeHistory(t *testing.T, n config.Version) ([]config.Entry, []*config.Snapshot) {
 	t.Helper()
 	s := newStore(t)
 	snapshots := []*config.Snapshot{config.Empty()}
@@ -172,22 +174,22 @@
 	return entries, snapshots
 }
 
-func TestCrossedAndLateAnswersNeverLowerTheVersion(t *testing.T) {
-	entries, snapshots := history(t, 6)
-	r := newRecorder()
+func TestReorderedResponsesNeverLowerTheVersion(t *testing.T) {
+	entries, snapshots := makeHistory(t, 6)
+	r := newVersionRecorder()
 	f := New(Options{OnChange: r.onChange})
-	for _, o := range []offer{
+	for _, c := range []candidate{
 		{snapshot: snapshots[3]},
-		{snapshot: snapshots[1]}, // a late answer of the store
-		{entries: entries[0:2]},  // a late answer of a peer
-		{entries: entries[1:4]},  // half of it is known
-		{snapshot: snapshots[4]}, // the same version again
+		{snapshot: snapshots[1]}, // a late response of the store
+		{entries: entries[0:2]},  // a late response of a peer
+		{entries: entries[1:4]},  // partly known
+		{snapshot: snapshots[4]}, // the current version again
 		{entries: entries[4:], snapshot: snapshots[2]},
 		{entries: entries[5:]},
 		{snapshot: snapshots[0]},
 	} {
-		if err := f.apply(o); err != nil {
-			t.Fatalf("offer refused: %v", err)
+		if err := f.apply(c); err != nil {
+			t.Fatalf("candidate rejected: %v", err)
 		}
 	}
 	want := []config.Version{3, 4, 6}
@@ -196,26 +198,26 @@
 	}
 }
 
-func TestOffersThatDoNotFitAreRefused(t *testing.T) {
-	entries, snapshots := history(t, 4)
-	others, otherSnapshots := history(t, 4) // the same numbers, another past
+func TestInapplicableUpdatesAreRejected(t *testing.T) {
+	entries, snapshots := makeHistory(t, 4)
+	others, otherSnapshots := makeHistory(t, 4) // the same version numbers with different content
 	for name, test := range map[string]struct {
-		offer  offer
-		reason refusal
+		candidate candidate
+		reason    rejectionReason
 	}{
-		"gap":                     {offer{entries: entries[3:]}, reasonSequence},
-		"other past":              {offer{entries: others[2:]}, reasonDigest},
-		"own version, other past": {offer{entries: others[1:2]}, reasonDigest},
-		"own version, whole":      {offer{snapshot: otherSnapshots[2]}, reasonDigest},
-		"not applicable":          {offer{entries: []config.Entry{{Version: 3}}}, reasonInvalid},
+		"gap":                            {candidate{entries: entries[3:]}, reasonSequence},
+		"different history":              {candidate{entries: others[2:]}, reasonDigest},
+		"own version, different history": {candidate{entries: others[1:2]}, reasonDigest},
+		"own version, snapshot":          {candidate{snapshot: otherSnapshots[2]}, reasonDigest},
+		"not applicable":                 {candidate{entries: []config.Entry{{Version: 3}}}, reasonInvalid},
 	} {
-		r := newRecorder()
+		r := newVersionRecorder()
 		f := New(Options{OnChange: r.onChange})
-		if err := f.apply(offer{snapshot: snapshots[2]}); err != nil {
+		if err := f.apply(candidate{snapshot: snapshots[2]}); err != nil {
 			t.Fatal(err)
 		}
-		err := f.apply(test.offer)
-		if err == nil || refusalReason(err) != test.reason {
+		err := f.apply(test.candidate)
+		if err == nil || reasonOf(err) != test.reason {
 			t.Errorf("%s: %v", name, err)
 		}
 		if got := f.Version(); got != 2 || len(r.versions()) != 1 {
@@ -224,30 +226,30 @@
 	}
 }
 
-func TestMismatchFromAPeerIsCounted(t *testing.T) {
+func TestDigestMismatchFromPeerIsCounted(t *testing.T) {
 	s := newStore(t)
 	submit(t, s, 0)
-	others, _ := history(t, 2)
-	lying := fetchFunc(func(context.Context, string, config.Version) (Update, error) {
+	others, _ := makeHistory(t, 2)
+	divergent := fetchFunc(func(context.Context, string, config.Version) (Update, error) {
 		return Update{Entries: others[1:]}, nil
 	})
-	before := refusals[reasonDigest].Get()
-	f, seen := start(t, Options{Source: s, Peers: lying})
+	before := rejectionCounters[reasonDigest].Get()
+	f, seen := startFollower(t, Options{Source: s, Peers: divergent})
 	seen.waitFor(t, 1)
 	f.VersionSeen("peer", 2)
-	await(t, "the mismatch", func() bool { return refusals[reasonDigest].Get() > before })
+	waitUntil(t, "the mismatch", func() bool { return rejectionCounters[reasonDigest].Get() > before })
 	if f.Version() != 1 {
 		t.Fatalf("version %d", f.Version())
 	}
 	submit(t, s, 1)
 	seen.waitFor(t, 2)
 	if f.Current().Digest == others[1].Digest {
-		t.Fatal("the other past came into force")
+		t.Fatal("the divergent history took effect")
 	}
 }
 
-// await polls for a condition that no event tells of.
-func await(t *testing.T, what string, condition func() bool) {
+// waitUntil polls for a condition that no event signals.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	limit := time.Now().Add(testTimeout)
 	for !condition() {
@@ -258,20 +260,20 @@
 	}
 }
 
-// A router whose past differs from the store's cannot apply the store's
-// entries; it heals by taking the store's newest version whole.
-func TestOtherPastHealsFromTheStore(t *testing.T) {
-	_, others := history(t, 2)
+// A router whose history differs from the store's cannot apply the store's
+// entries; it recovers by loading the store's newest snapshot.
+func TestDivergentHistoryIsReplacedFromTheStore(t *testing.T) {
+	_, others := makeHistory(t, 2)
 	s := newStore(t)
 	for base := config.Version(0); base < 4; base++ {
 		submit(t, s, base)
 	}
-	r := newRecorder()
+	r := newVersionRecorder()
 	f := New(Options{Source: s, OnChange: r.onChange, PollEvery: time.Millisecond})
-	if err := f.apply(offer{snapshot: others[2]}); err != nil {
+	if err := f.apply(candidate{snapshot: others[2]}); err != nil {
 		t.Fatal(err)
 	}
-	run(t, f)
+	runFollower(t, f)
 	r.waitFor(t, 4)
 	newest, err := s.Load(context.Background())
 	if err != nil || f.Current().Digest != newest.Digest {
@@ -279,7 +281,7 @@
 	}
 }
 
-func TestHangingPeerDoesNotHoldUpTheStore(t *testing.T) {
+func TestHangingPeerDoesNotDelayStorePolls(t *testing.T) {
 	s := newStore(t)
 	asked := make(chan struct{})
 	hanging := fetchFunc(func(ctx context.Context, _ string, _ config.Version) (Update, error) {
@@ -287,7 +289,7 @@
 		<-ctx.Done()
 		return Update{}, ctx.Err()
 	})
-	f, seen := start(t, Options{Source: s, Peers: hanging, Timeout: testTimeout})
+	f, seen := startFollower(t, Options{Source: s, Peers: hanging, Timeout: testTimeout})
 	seen.waitFor(t, 0)
 	f.VersionSeen("peer", 9)
 	<-asked
@@ -295,47 +297,47 @@
 	seen.waitFor(t, 1)
 }
 
-func TestFailingPeerIsFollowedByAnother(t *testing.T) {
-	network := newFleet()
-	_, snapshots := history(t, 3)
+func TestFetchTriesAnotherPeerAfterAFailure(t *testing.T) {
+	network := newPeerNetwork()
+	_, snapshots := makeHistory(t, 3)
 	good := New(Options{})
-	if err := good.apply(offer{snapshot: snapshots[3]}); err != nil {
+	if err := good.apply(candidate{snapshot: snapshots[3]}); err != nil {
 		t.Fatal(err)
 	}
 	network.add("good", good)
-	f := New(Options{Source: deadStore(), Peers: network})
-	f.VersionSeen("bad", 9) // asked first: it claims to be newer
+	f := New(Options{Source: unavailableSource(), Peers: network})
+	f.VersionSeen("bad", 9) // asked first, since it claims the newest version
 	f.VersionSeen("good", 3)
-	run(t, f)
+	runFollower(t, f)
 	waitReady(t, f)
 	if f.Version() != 3 {
 		t.Fatalf("version %d", f.Version())
 	}
 }
 
-func TestAcceptedEntryComesIntoForceAtOnce(t *testing.T) {
+func TestAcceptedEntryTakesEffectImmediately(t *testing.T) {
 	s := newStore(t)
-	f, seen := start(t, Options{Source: s, PollEvery: time.Hour})
+	f, seen := startFollower(t, Options{Source: s, PollEvery: time.Hour})
 	seen.waitFor(t, 0)
 	f.Accepted(context.Background(), submit(t, s, 0).Entry)
 	seen.waitFor(t, 1)
 	for base := config.Version(1); base < 13; base++ {
-		submit(t, s, base) // accepted by another router, not heard of here
+		submit(t, s, base) // accepted by another router, not announced here
 	}
 	f.Accepted(context.Background(), submit(t, s, 13).Entry)
-	seen.waitFor(t, 14) // over several pages of the store, without another poll
+	seen.waitFor(t, 14) // reads several pages of the store without waiting for a poll
 }
 
-func TestOldAnnouncementsAreNotAsked(t *testing.T) {
+func TestOldAnnouncementsCauseNoFetch(t *testing.T) {
 	s := newStore(t)
 	submit(t, s, 0)
-	network := newFleet()
-	f, seen := start(t, Options{Source: s, Peers: network})
+	network := newPeerNetwork()
+	f, seen := startFollower(t, Options{Source: s, Peers: network})
 	seen.waitFor(t, 1)
 	f.VersionSeen("peer", 1)
 	f.VersionSeen("peer", 0)
 	submit(t, s, 1)
-	seen.waitFor(t, 2) // The loop has gone round since.
+	seen.waitFor(t, 2) // The loop has handled the announcements by then.
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	if network.calls != 0 {
@@ -344,12 +346,12 @@
 }
 
 func TestServe(t *testing.T) {
-	entries, snapshots := history(t, 6)
+	entries, snapshots := makeHistory(t, 6)
 	f := New(Options{KeepEntries: 2})
 	if update, err := f.Serve(0); err != nil || len(update.Entries)+len(update.Whole) != 0 {
 		t.Fatalf("before ready: %+v, %v", update, err)
 	}
-	if err := f.apply(offer{snapshot: snapshots[2], entries: entries[2:]}); err != nil {
+	if err := f.apply(candidate{snapshot: snapshots[2], entries: entries[2:]}); err != nil {
 		t.Fatal(err)
 	}
 	for from, want := range map[config.Version]int{0: -1, 3: -1, 4: 2, 5: 1, 6: 0, 9: 0} {
--- a/config/follower/follower.go
+++ b/config/follower/follower.go
@@ -1,9 +1,10 @@
 // Package follower keeps a router on the newest configuration version.
 //
 // It polls the store with jitter, fetches from peers that announce a newer
-// version, and answers peers from memory, so that versions spread while the
-// store is out. One goroutine applies all that arrives: the version in force
-// is swapped whole and only upwards, whatever the order of the answers.
+// version, and serves peers from memory, so that versions spread while the
+// store is unavailable. One goroutine applies all updates: the version in force
+// is replaced as a whole and only by a newer one, whatever the order in which
+// responses arrive.
 package follower
 
 import (
@@ -20,77 +21,80 @@
 
 // Defaults of Options.
 const (
-	// DefaultPollEvery is the mean period of reading the store.
+	// DefaultPollEvery is the mean interval between polls of the store.
 	DefaultPollEvery = time.Second
-	// DefaultTimeout bounds each call to the store or a peer.
+	// DefaultTimeout limits each call to the store or a peer.
 	DefaultTimeout = 2 * time.Second
 	// DefaultKeepEntries is the number of recent entries kept for peers.
 	DefaultKeepEntries = 256
-	// DefaultKeepBytes bounds the size of the changes in those entries: 4 MiB.
+	// DefaultKeepBytes limits the total size of the changes in those entries: 4 MiB.
 	DefaultKeepBytes = 4 << 20
 )
 
-// pollJitter is the share of the poll period by which a poll may be early or late.
+// pollJitter is the fraction of the poll interval by which a poll may be early or late.
 const pollJitter = 0.25
 
 // Options configures a Follower. Zero fields take the defaults.
 type Options struct {
 	// Source is the store. Required.
 	Source Source
-	// Peers fetches from peers. Nil follows the store alone.
+	// Peers fetches updates from peers. If nil, only the store is followed.
 	Peers PeerFetcher
 	// OnChange is called with each new snapshot, in order, from the follower's
-	// goroutine. Versions that arrived together are swapped as one.
+	// goroutine. Of versions that arrive together only the newest is passed.
 	OnChange func(*config.Snapshot)
-	// PollEvery is the mean period of reading the store.
+	// PollEvery is the mean interval between polls of the store.
 	PollEvery time.Duration
-	// Timeout bounds each call to the store or a peer.
+	// Timeout limits each call to the store or a peer.
 	Timeout time.Duration
-	// KeepEntries and KeepBytes bound the recent entries kept for peers.
+	// KeepEntries and KeepBytes limit the recent entries kept for peers.
 	KeepEntries int
 	KeepBytes   int
-	// Random seeds the jitter. Default: a random seed.
+	// Random is the source of the poll jitter and of the choice of peers.
+	// Default: randomly seeded.
 	Random *rand.Rand
-	// Log takes the follower's messages. Default slog.Default().
+	// Log receives the follower's messages. Default slog.Default().
 	Log *slog.Logger
 }
 
-// Follower follows the configuration. Create it with New and call Run once.
+// Follower tracks the newest configuration version. Create it with New and call
+// Run once.
 type Follower struct {
-	options Options
-	state   atomic.Pointer[state]
-	ready   chan struct{}
-	hints   chan hint
-	offers  chan offer
+	options       Options
+	state         atomic.Pointer[state]
+	ready         chan struct{}
+	announcements chan announcement
+	candidates    chan candidate
 }
 
-// hint says that a node announced a version.
-type hint struct {
+// announcement is a version announced by a node.
+type announcement struct {
 	node    string
 	version config.Version
 }
 
-// origin says where an offer came from.
-type origin string
+// candidateSource identifies where a candidate came from.
+type candidateSource string
 
-// The origins of an offer.
+// The sources of candidates.
 const (
-	fromStore    origin = "store"
-	fromPeer     origin = "peer"
-	fromOperator origin = "operator"
+	fromStore    candidateSource = "store"
+	fromPeer     candidateSource = "peer"
+	fromOperator candidateSource = "operator"
 )
 
-// offer is something that arrived and may be newer than the version in force.
-type offer struct {
-	origin   origin
-	node     string         // with fromPeer
-	asked    config.Version // with fromPeer: the announced version that was asked for
-	entries  []config.Entry
-	snapshot *config.Snapshot
-	err      error
+// candidate is a response or an entry that may be newer than the version in
+// force, or the error of a failed call.
+type candidate struct {
+	source    candidateSource
+	node      string         // for fromPeer
+	announced config.Version // for fromPeer: the announced version that caused the call
+	entries   []config.Entry
+	snapshot  *config.Snapshot
+	err       error
 }
 
-// New returns a follower that has no version yet.
+// New returns a follower without a version.
 func New(options Options) *Follower {
 	if options.PollEvery <= 0 {
 		options.PollEvery = DefaultPollEvery
@@ -114,10 +118,10 @@
 		options.OnChange = func(*config.Snapshot) {}
 	}
 	return &Follower{
-		options: options,
-		ready:   make(chan struct{}),
-		hints:   make(chan hint, hintBuffer),
-		offers:  make(chan offer),
+		options:       options,
+		ready:         make(chan struct{}),
+		announcements: make(chan announcement, maxPendingAnnouncements),
+		candidates:    make(chan candidate),
 	}
 }
 
@@ -129,7 +133,7 @@
 	return nil
 }
 
-// Version returns the number of the version in force, zero if there is none.
+// Version returns the number of the version in force, or zero if there is none.
 func (f *Follower) Version() config.Version {
 	if s := f.state.Load(); s != nil {
 		return s.snapshot.Version
@@ -137,81 +141,84 @@
 	return 0
 }
 
-// Ready is closed once a version came from the store or a peer and OnChange has
-// returned for it. An empty store that answered counts: its version is zero.
+// Ready returns a channel that is closed once a version has been received from
+// the store or a peer and OnChange has returned for it. A response of an empty
+// store counts as version zero.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
 // VersionSeen tells the follower that a node announced a version. It never
-// blocks; a hint that finds no room is dropped, and the next one repeats it.
+// blocks: if the buffer is full, the announcement is dropped, and the node's
+// next one takes its place.
 func (f *Follower) VersionSeen(node string, version config.Version) {
 	if version <= f.Version() {
 		return
 	}
 	select {
-	case f.hints <- hint{node: node, version: version}:
+	case f.announcements <- announcement{node: node, version: version}:
 	default:
-		refusals[reasonHintsFull].Inc()
+		rejectionCounters[reasonAnnouncementsFull].Inc()
 	}
 }
 
-// Accepted hands over an entry that this router's own operator interface had
-// accepted by the store, so that it comes into force here without waiting for
-// the next poll. It blocks until the follower's goroutine has it or ctx ends.
+// Accepted passes on an entry that the store accepted through this router's own
+// operator interface, so that it takes effect here without waiting for the next
+// poll. It blocks until the follower's goroutine receives it or ctx ends.
 func (f *Follower) Accepted(ctx context.Context, entry config.Entry) {
-	f.deliver(ctx, offer{origin: fromOperator, entries: []config.Entry{entry}})
+	f.deliver(ctx, candidate{source: fromOperator, entries: []config.Entry{entry}})
 }
 
-func (f *Follower) deliver(ctx context.Context, o offer) {
+func (f *Follower) deliver(ctx context.Context, c candidate) {
 	select {
-	case f.offers <- o:
+	case f.candidates <- c:
 	case <-ctx.Done():
 	}
 }
 
-// Run follows the configuration until ctx ends.
+// Run tracks the configuration until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	l := newLoop(f)
 	l.run(ctx)
 }
 
-// apply takes what is newer in an offer. It returns an error when something
-// in it was refused; what came before the refused part may be in force.
-func (f *Follower) apply(o offer) error {
+// apply puts the newer part of a candidate in force. If part of it is rejected,
+// apply returns an error; the versions before that part may have taken effect.
+func (f *Follower) apply(c candidate) error {
 	current := f.Current()
-	if o.snapshot != nil {
+	if c.snapshot != nil {
 		var err error
-		if current, err = f.applyWhole(current, o.snapshot); err != nil {
+		if current, err = f.applySnapshot(current, c.snapshot); err != nil {
 			return err
 		}
 	}
-	if len(o.entries) == 0 {
+	if len(c.entries) == 0 {
 		return nil
 	}
 	if current == nil {
 		current = config.Empty()
 	}
-	next, applied, err := applyEntries(current, o.entries)
+	next, applied, err := applyEntries(current, c.entries)
 	if len(applied) > 0 {
-		f.swap(next, applied)
+		f.setCurrent(next, applied)
 	}
 	return err
 }
 
-// applyWhole puts a whole snapshot in force if it is newer and returns the
-// version in force. The same version under another digest is refused.
-func (f *Follower) applyWhole(current, whole *config.Snapshot) (*config.Snapshot, error) {
-	if current == nil || whole.Version > current.Version {
-		f.swap(whole, nil)
-		return whole, nil
+// applySnapshot puts a snapshot in force if it is newer, and returns the version
+// in force. The same version with a different digest is rejected.
+func (f *Follower) applySnapshot(current, snapshot *config.Snapshot) (*config.Snapshot, error) {
+	if current == nil || snapshot.Version > current.Version {
+		f.setCurrent(snapshot, nil)
+		return snapshot, nil
 	}
-	if whole.Version == current.Version && whole.Digest != current.Digest {
-		return current, &config.DigestError{Version: whole.Version, Stated: whole.Digest, Computed: current.Digest}
+	if snapshot.Version == current.Version && snapshot.Digest != current.Digest {
+		return current, &config.DigestError{Version: snapshot.Version, Stated: snapshot.Digest, Computed: current.Digest}
 	}
 	return current, nil
 }
 
-// applyEntries applies the entries that follow s and skips those it has. An
-// entry that s has under another digest is refused.
+// applyEntries applies the entries that follow s and skips older ones. It
+// returns the resulting snapshot and the entries applied. An entry of the same
+// version as s with a different digest is rejected.
 func applyEntries(s *config.Snapshot, entries []config.Entry) (*config.Snapshot, []config.Entry, error) {
 	var applied []config.Entry
 	for _, entry := range entries {
@@ -234,10 +241,10 @@
 	return s, applied, nil
 }
 
-// swap puts a newer snapshot in force. Only the follower's goroutine calls it.
-func (f *Follower) swap(next *config.Snapshot, applied []config.Entry) {
+// setCurrent puts a newer snapshot in force. Only the follower's goroutine calls it.
+func (f *Follower) setCurrent(next *config.Snapshot, applied []config.Entry) {
 	previous := f.state.Load()
-	f.state.Store(previous.follow(next, applied, f.options.KeepEntries, f.options.KeepBytes))
+	f.state.Store(previous.advance(next, applied, f.options.KeepEntries, f.options.KeepBytes))
 	f.options.Log.Info("config: Version in force.", "version", next.Version, "patch", next.PatchID)
 	f.options.OnChange(next)
 	if previous == nil {
@@ -245,13 +252,13 @@
 	}
 }
 
-// refuse counts and logs a refused offer.
-func (f *Follower) refuse(o offer, err error) {
-	refusals[refusalReason(err)].Inc()
-	f.options.Log.Warn("config: Version refused.", "from", string(o.origin), "node", o.node, "error", err)
+// reject counts and logs a rejected candidate.
+func (f *Follower) reject(c candidate, err error) {
+	rejectionCounters[reasonOf(err)].Inc()
+	f.options.Log.Warn("config: Update rejected.", "from", string(c.source), "node", c.node, "error", err)
 }
 
-func refusalReason(err error) refusal {
+func reasonOf(err error) rejectionReason {
 	var digest *config.DigestError
 	var sequence *config.SequenceError
 	var broken *config.PatchError
@@ -269,18 +276,19 @@
 	}
 }
 
-// Serve answers a peer that has version from. It reads memory only.
+// Serve returns the update for a peer that has version from. It does not call
+// the store.
 func (f *Follower) Serve(from config.Version) (Update, error) {
 	s := f.state.Load()
 	if s == nil || s.snapshot.Version <= from {
 		return Update{}, nil
 	}
-	if entries, ok := s.since(from); ok {
+	if entries, ok := s.entriesAfter(from); ok {
 		return Update{Entries: entries}, nil
 	}
-	whole, err := s.whole()
+	encoded, err := s.encodedSnapshot()
 	if err != nil {
 		return Update{}, fmt.Errorf("config follower: serve: %w", err)
 	}
-	return Update{Whole: whole}, nil
+	return Update{Whole: encoded}, nil
 }
--- a/config/follower/follower_test.go
+++ b/config/follower/follower_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 )
 
-// testTimeout bounds every wait for an event; no verdict depends on it.
+// testTimeout limits every wait for an event; no result depends on its value.
 const testTimeout = 30 * time.Second
 
 func newStore(t *testing.T) *configstore.Store {
@@ -38,16 +38,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// recorder keeps the versions that came into force, in order.
-type recorder struct {
+// versionRecorder records the versions that took effect, in order.
+type versionRecorder struct {
 	mu      sync.Mutex
 	seen    []config.Version
 	changed chan struct{}
 }
 
-func newRecorder() *recorder { return &recorder{changed: make(chan struct{}, 1)} }
+func newVersionRecorder() *versionRecorder { return &versionRecorder{changed: make(chan struct{}, 1)} }
 
-func (r *recorder) onChange(s *config.Snapshot) {
+func (r *versionRecorder) onChange(s *config.Snapshot) {
 	r.mu.Lock()
 	r.seen = append(r.seen, s.Version)
 	r.mu.Unlock()
@@ -57,15 +57,15 @@
 	}
 }
 
-// versions returns what came into force so far.
-func (r *recorder) versions() []config.Version {
+// versions returns the versions recorded so far.
+func (r *versionRecorder) versions() []config.Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]config.Version(nil), r.seen...)
 }
 
 // waitFor waits until a version is in force.
-func (r *recorder) waitFor(t *testing.T, want config.Version) {
+func (r *versionRecorder) waitFor(t *testing.T, want config.Version) {
 	t.Helper()
 	limit := time.After(testTimeout)
 	for {
@@ -76,26 +76,26 @@
 		select {
 		case <-r.changed:
 		case <-limit:
-			t.Fatalf("version %d did not come into force; seen %v", want, seen)
+			t.Fatalf("version %d did not take effect; seen %v", want, seen)
 		}
 	}
 }
 
-// start runs a new follower and records what comes into force.
-func start(t *testing.T, options Options) (*Follower, *recorder) {
+// startFollower runs a new follower and records the versions that take effect.
+func startFollower(t *testing.T, options Options) (*Follower, *versionRecorder) {
 	t.Helper()
-	r := newRecorder()
+	r := newVersionRecorder()
 	options.OnChange = r.onChange
 	if options.PollEvery == 0 {
 		options.PollEvery = 5 * time.Millisecond
 	}
 	f := New(options)
-	run(t, f)
+	runFollower(t, f)
 	return f, r
 }
 
-// run runs a follower until the test ends.
-func run(t *testing.T, f *Follower) {
+// runFollower runs a follower until the test ends.
+func runFollower(t *testing.T, f *Follower) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -118,8 +118,8 @@
 	}
 }
 
-func TestEmptyStoreMakesReadyAtVersionZero(t *testing.T) {
-	f, r := start(t, Options{Source: newStore(t)})
+func TestEmptyStoreIsReadyAtVersionZero(t *testing.T) {
+	f, r := startFollower(t, Options{Source: newStore(t)})
 	waitReady(t, f)
 	r.waitFor(t, 0)
 	if f.Current() == nil || f.Version() != 0 {
@@ -127,9 +127,9 @@
 	}
 }
 
-func TestFollowsTheStoreUpwards(t *testing.T) {
+func TestFollowsNewVersionsOfTheStore(t *testing.T) {
 	s := newStore(t)
-	_, r := start(t, Options{Source: s})
+	_, r := startFollower(t, Options{Source: s})
 	r.waitFor(t, 0)
 	for base := config.Version(0); base < 23; base++ {
 		submit(t, s, base)
--- a/config/follower/loop.go
+++ b/config/follower/loop.go
@@ -10,27 +10,28 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// hintBuffer is the number of announcements that may wait for the loop.
-const hintBuffer = 256
+// maxPendingAnnouncements is the number of announcements buffered for the loop.
+const maxPendingAnnouncements = 256
 
-// maxRefusalDoublings bounds how far refused content lengthens the poll period.
-const maxRefusalDoublings = 5
+// maxBackoffDoublings limits how often the poll interval is doubled after
+// rejected content.
+const maxBackoffDoublings = 5
 
-// loop is the follower's goroutine. At most one call to the store and one to a
-// peer are under way; neither holds the loop up.
+// loop is the state of the follower's goroutine. At most one call to the store
+// and one to a peer are in progress; neither blocks the loop.
 type loop struct {
 	f       *Follower
 	timer   *time.Timer
 	polling bool
-	// reload makes the next read of the store take the whole snapshot, since
-	// its entries do not follow the version in force.
-	reload bool
-	// refusals counts the contents of the store refused since the last that
-	// came into force.
-	refusals int
-	// outage says that the last read of the store failed.
-	outage   bool
-	fetching bool
+	// reloadSnapshot makes the next poll load the complete snapshot, since the
+	// store's entries do not follow the version in force.
+	reloadSnapshot bool
+	// rejectedInARow counts the store's responses rejected since the last one that
+	// took effect.
+	rejectedInARow int
+	// storeFailing is set while the last read of the store failed.
+	storeFailing bool
+	fetching     bool
 	// announced is the newest version announced by each node.
 	announced map[string]config.Version
 }
@@ -48,157 +49,161 @@
 			return
 		case <-l.timer.C:
 			l.poll(ctx)
-		case h := <-l.f.hints:
-			l.announced[h.node] = max(h.version, l.announced[h.node])
+		case a := <-l.f.announcements:
+			l.announced[a.node] = max(a.version, l.announced[a.node])
 			l.fetch(ctx)
-		case o := <-l.f.offers:
-			l.take(ctx, o)
+		case c := <-l.f.candidates:
+			l.handle(ctx, c)
 		}
 	}
 }
 
-// take handles one answer or offer.
-func (l *loop) take(ctx context.Context, o offer) {
-	switch o.origin {
+// handle processes one candidate.
+func (l *loop) handle(ctx context.Context, c candidate) {
+	switch c.source {
 	case fromStore:
-		l.takeFromStore(ctx, o)
+		l.handleStoreResult(ctx, c)
 	case fromPeer:
-		l.takeFromPeer(ctx, o)
+		l.handlePeerResult(ctx, c)
 	default:
-		l.takeFromOperator(ctx, o)
+		l.handleOperatorEntry(ctx, c)
 	}
 }
 
-// takeFromOperator applies an entry that the store has accepted. If versions
-// before it are missing here, the store has them.
-func (l *loop) takeFromOperator(ctx context.Context, o offer) {
-	err := l.f.apply(o)
+// handleOperatorEntry applies an entry that the store has accepted. If earlier
+// versions are missing here, it polls the store for them.
+func (l *loop) handleOperatorEntry(ctx context.Context, c candidate) {
+	err := l.f.apply(c)
 	if err == nil {
 		return
 	}
-	l.f.refuse(o, err)
+	l.f.reject(c, err)
 	l.poll(ctx)
 }
 
-func (l *loop) takeFromStore(ctx context.Context, o offer) {
+func (l *loop) handleStoreResult(ctx context.Context, c candidate) {
 	l.polling = false
-	err := o.err
+	err := c.err
 	before := l.f.Version()
 	if err == nil {
-		l.storeAnswered()
-		err = l.f.apply(o)
+		l.recordStoreSuccess()
+		err = l.f.apply(c)
 	}
 	switch {
-	case err != nil && isContent(err):
-		l.f.refuse(o, err)
-		l.reload = true
-		l.refusals++
+	case err != nil && isContentError(err):
+		l.f.reject(c, err)
+		l.reloadSnapshot = true
+		l.rejectedInARow++
 	case err != nil:
-		l.storeFailed(err)
-	case l.f.Version() > before && len(o.entries) > 0:
-		l.reload = false
-		l.refusals = 0
-		l.poll(ctx) // There may be another page.
+		l.recordStoreFailure(err)
+	case l.f.Version() > before && len(c.entries) > 0:
+		l.reloadSnapshot = false
+		l.rejectedInARow = 0
+		l.poll(ctx) // There may be another page of entries.
 		return
 	default:
-		l.reload = false
+		l.reloadSnapshot = false
 		if l.f.Version() > before {
-			l.refusals = 0
+			l.rejectedInARow = 0
 		}
 	}
-	l.timer.Reset(l.nextPoll())
+	l.timer.Reset(l.nextPollDelay())
 }
 
-// storeFailed counts every failure and logs the first of an outage.
-func (l *loop) storeFailed(err error) {
-	failures[failureStore].Inc()
-	if !l.outage {
-		l.f.options.Log.Warn("config: Store not read.", "error", err)
+// recordStoreFailure counts every failure and logs the first of an outage.
+func (l *loop) recordStoreFailure(err error) {
+	failureCounters[failureStore].Inc()
+	if !l.storeFailing {
+		l.f.options.Log.Warn("config: Reading the store failed.", "error", err)
 	}
-	l.outage = true
+	l.storeFailing = true
 }
 
-func (l *loop) storeAnswered() {
-	if l.outage {
-		l.f.options.Log.Info("config: Store read again.")
+func (l *loop) recordStoreSuccess() {
+	if l.storeFailing {
+		l.f.options.Log.Info("config: Reading the store succeeded again.")
 	}
-	l.outage = false
+	l.storeFailing = false
 }
 
-// isContent says that an error lies in what was read, not in reading it.
-func isContent(err error) bool { return refusalReason(err) != reasonOther }
+// isContentError reports whether an error was caused by the content that was
+// read, not by the read itself.
+func isContentError(err error) bool { return reasonOf(err) != reasonOther }
 
-func (l *loop) takeFromPeer(ctx context.Context, o offer) {
+func (l *loop) handlePeerResult(ctx context.Context, c candidate) {
 	l.fetching = false
-	if l.announced[o.node] <= o.asked {
-		delete(l.announced, o.node) // Answered or failed; the next announcement asks again.
+	if l.announced[c.node] <= c.announced {
+		delete(l.announced, c.node) // Fetched or failed; the node's next announcement causes another fetch.
 	}
-	err := o.err
+	err := c.err
 	if err == nil {
-		err = l.f.apply(o)
+		err = l.f.apply(c)
 	}
-	if err != nil && isContent(err) {
-		l.f.refuse(o, err)
+	if err != nil && isContentError(err) {
+		l.f.reject(c, err)
 	} else if err != nil {
-		failures[failurePeer].Inc()
-		l.f.options.Log.Warn("config: Peer not read.", "node", o.node, "error", err)
+		failureCounters[failurePeer].Inc()
+		l.f.options.Log.Warn("config: Fetching from a peer failed.", "node", c.node, "error", err)
 	}
 	l.fetch(ctx)
 }
 
-// nextPoll is the time to the next poll: the period with jitter, longer after
-// content that was refused, since reading it again reads it whole.
-func (l *loop) nextPoll() time.Duration {
-	period := float64(l.f.options.PollEvery << min(l.refusals, maxRefusalDoublings))
+// nextPollDelay returns the time until the next poll: the poll interval with
+// jitter. The interval is doubled for each rejected response in a row, since
+// every poll after one loads the complete snapshot.
+func (l *loop) nextPollDelay() time.Duration {
+	period := float64(l.f.options.PollEvery << min(l.rejectedInARow, maxBackoffDoublings))
 	return time.Duration(period * (1 + pollJitter*(2*l.f.options.Random.Float64()-1)))
 }
 
-// poll reads the store: whole at the start, then the entries that follow.
+// poll reads the store: first the complete snapshot, later the entries after the
+// version in force.
 func (l *loop) poll(ctx context.Context) {
 	if l.polling {
 		return
 	}
 	l.polling = true
 	current := l.f.Current()
-	whole := current == nil || l.reload
+	loadSnapshot := current == nil || l.reloadSnapshot
 	go func() {
 		callCtx, cancel := context.WithTimeout(ctx, l.f.options.Timeout)
 		defer cancel()
-		o := offer{origin: fromStore}
-		if whole {
-			o.snapshot, o.err = l.f.options.Source.Load(callCtx)
+		c := candidate{source: fromStore}
+		if loadSnapshot {
+			c.snapshot, c.err = l.f.options.Source.Load(callCtx)
 		} else {
-			o.entries, o.err = l.f.options.Source.Since(callCtx, current.Version)
+			c.entries, c.err = l.f.options.Source.Since(callCtx, current.Version)
 		}
-		l.f.deliver(ctx, o)
+		l.f.deliver(ctx, c)
 	}()
 }
 
-// fetch asks the node that announced the newest version, if it is newer than
-// the version in force.
+// fetch fetches from a node that announced the newest version, if that is newer
+// than the version in force.
 func (l *loop) fetch(ctx context.Context) {
 	if l.fetching || l.f.options.Peers == nil {
 		return
 	}
-	node, found := l.newestAnnounced()
+	node, found := l.pickNewestPeer()
 	if !found {
 		return
 	}
 	l.fetching = true
 	from := l.f.Version()
-	asked := l.announced[node]
+	announced := l.announced[node]
 	go func() {
 		callCtx, cancel := context.WithTimeout(ctx, l.f.options.Timeout)
 		defer cancel()
-		o := l.f.fetchFrom(callCtx, node, from)
-		o.asked = asked
-		l.f.deliver(ctx, o)
+		c := l.f.fetchFrom(callCtx, node, from)
+		c.announced = announced
+		l.f.deliver(ctx, c)
 	}()
 }
 
-// newestAnnounced picks a node that announced the newest version, at random so
-// that the fleet does not ask one node, and forgets what is in force already.
-func (l *loop) newestAnnounced() (string, bool) {
+// pickNewestPeer returns one of the nodes that announced the newest version, at
+// random so that the fleet does not fetch from a single node. It removes
+// announcements of versions that are not newer than the one in force.
+func (l *loop) pickNewestPeer() (string, bool) {
 	newest := l.f.Version()
 	var nodes []string
 	for _, node := range slices.Sorted(maps.Keys(l.announced)) {
@@ -221,18 +226,18 @@
 	return nodes[l.f.options.Random.IntN(len(nodes))], true
 }
 
-// fetchFrom asks one peer. A whole snapshot is decoded and checked here, away
-// from the loop.
-func (f *Follower) fetchFrom(ctx context.Context, node string, from config.Version) offer {
-	o := offer{origin: fromPeer, node: node}
+// fetchFrom fetches from one peer. It decodes and verifies a snapshot in the
+// calling goroutine, outside the loop.
+func (f *Follower) fetchFrom(ctx context.Context, node string, from config.Version) candidate {
+	c := candidate{source: fromPeer, node: node}
 	update, err := f.options.Peers.Fetch(ctx, node, from)
 	if err != nil {
-		o.err = fmt.Errorf("config follower: fetch: %w", err)
-		return o
+		c.err = fmt.Errorf("config follower: fetch: %w", err)
+		return c
 	}
-	o.entries = update.Entries
+	c.entries = update.Entries
 	if len(update.Whole) > 0 {
-		o.snapshot, o.err = config.DecodeSnapshot(update.Whole)
+		c.snapshot, c.err = config.DecodeSnapshot(update.Whole)
 	}
-	return o
+	return c
 }
--- a/config/follower/metrics.go
+++ b/config/follower/metrics.go
@@ -6,42 +6,42 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// refusal is why the follower did not take something that arrived. It is the
-// "reason" label of walnut_config_refusals_total.
-type refusal string
+// rejectionReason is why the follower rejected a candidate or announcement. It
+// is the "reason" label of walnut_config_refusals_total.
+type rejectionReason string
 
-// The reasons of a refusal.
+// The reasons for a rejection.
 const (
 	// reasonDigest: the content does not match the digest.
-	reasonDigest refusal = "digest_mismatch"
-	// reasonSequence: entries are missing between the version in force and the offer.
-	reasonSequence refusal = "sequence_gap"
-	// reasonInvalid: the offer cannot be read or is not valid.
-	reasonInvalid refusal = "invalid"
-	// reasonHintsFull: too many announcements at once.
-	reasonHintsFull refusal = "hints_full"
-	// reasonOther: any other fault of an offer.
-	reasonOther refusal = "other"
+	reasonDigest rejectionReason = "digest_mismatch"
+	// reasonSequence: entries are missing between the version in force and the candidate.
+	reasonSequence rejectionReason = "sequence_gap"
+	// reasonInvalid: the candidate is malformed or not valid.
+	reasonInvalid rejectionReason = "invalid"
+	// reasonAnnouncementsFull: the announcement buffer is full.
+	reasonAnnouncementsFull rejectionReason = "hints_full"
+	// reasonOther: any other fault of a candidate.
+	reasonOther rejectionReason = "other"
 )
 
-// failure is which call failed. It is the "reason" label of
+// failedCall identifies the call that failed. It is the "reason" label of
 // walnut_config_failures_total.
-type failure string
+type failedCall string
 
 // The calls that may fail.
 const (
-	failureStore failure = "store"
-	failurePeer  failure = "peer"
+	failureStore failedCall = "store"
+	failurePeer  failedCall = "peer"
 )
 
-// The counters are there from the start with zero.
+// All counters are registered at start, so that they are exported as zero.
 var (
-	refusals = makeCounters("walnut_config_refusals_total",
-		reasonDigest, reasonSequence, reasonInvalid, reasonHintsFull, reasonOther)
-	failures = makeCounters("walnut_config_failures_total", failureStore, failurePeer)
+	rejectionCounters = newCounters("walnut_config_refusals_total",
+		reasonDigest, reasonSequence, reasonInvalid, reasonAnnouncementsFull, reasonOther)
+	failureCounters = newCounters("walnut_config_failures_total", failureStore, failurePeer)
 )
 
-func makeCounters[T ~string](name string, reasons ...T) map[T]*metrics.Counter {
+func newCounters[T ~string](name string, reasons ...T) map[T]*metrics.Counter {
 	counters := make(map[T]*metrics.Counter, len(reasons))
 	for _, reason := range reasons {
 		counters[reason] = metrics.GetOrCreateCounter(fmt.Sprintf("%s{reason=%q}", name, string(reason)))
--- a/config/follower/state.go
+++ b/config/follower/state.go
@@ -6,8 +6,8 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// state is the version in force and the entries that led to it. It is
-// immutable but for the encoded snapshot, which is made on first demand.
+// state is the version in force and the recent entries that led to it. It is
+// immutable except for the encoded snapshot, which is created on first use.
 type state struct {
 	snapshot *config.Snapshot
 	recent   []config.Entry // consecutive, ending at snapshot.Version
@@ -17,22 +17,23 @@
 	encodeErr  error
 }
 
-// follow returns the state after s. applied are the entries that led from s to
-// next; without them the recent entries start afresh. s may be nil.
-func (s *state) follow(next *config.Snapshot, applied []config.Entry, keep, keepBytes int) *state {
-	following := &state{snapshot: next}
+// advance returns the state that follows s. applied are the entries that led
+// from s to next; if there are none, the new state holds no recent entries. s
+// may be nil.
+func (s *state) advance(next *config.Snapshot, applied []config.Entry, keep, keepBytes int) *state {
+	result := &state{snapshot: next}
 	if len(applied) == 0 {
-		return following
+		return result
 	}
 	if s != nil {
-		following.recent = append(following.recent, s.recent...)
+		result.recent = append(result.recent, s.recent...)
 	}
-	following.recent = trim(append(following.recent, applied...), keep, keepBytes)
-	return following
+	result.recent = trimEntries(append(result.recent, applied...), keep, keepBytes)
+	return result
 }
 
-// trim keeps the newest entries within both limits.
-func trim(entries []config.Entry, keep, keepBytes int) []config.Entry {
+// trimEntries returns the newest entries that fit within both limits.
+func trimEntries(entries []config.Entry, keep, keepBytes int) []config.Entry {
 	start := len(entries)
 	size := 0
 	for start > 0 && len(entries)-start < keep {
@@ -45,16 +46,16 @@
 	return entries[start:]
 }
 
-// since returns the entries after a version if all are still held.
-func (s *state) since(from config.Version) ([]config.Entry, bool) {
+// entriesAfter returns the entries after a version, if all of them are still held.
+func (s *state) entriesAfter(from config.Version) ([]config.Entry, bool) {
 	if len(s.recent) == 0 || s.recent[0].Version > from+1 {
 		return nil, false
 	}
 	return s.recent[from+1-s.recent[0].Version:], true
 }
 
-// whole returns the encoded snapshot.
-func (s *state) whole() ([]byte, error) {
+// encodedSnapshot returns the encoded snapshot, encoding it on first use.
+func (s *state) encodedSnapshot() ([]byte, error) {
 	s.encodeOnce.Do(func() {
 		s.encoded, s.encodeErr = config.EncodeSnapshot(s.snapshot)
 	})
