--- a/runrecord/acquire.go
+++ b/runrecord/acquire.go
@@ -8,51 +8,53 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// maxClaimTries bounds the writes of one claim.
-const maxClaimTries = 4
+// maxClaimAttempts limits the writes of one claim.
+const maxClaimAttempts = 4
 
-// errBreakerOpen is the cause of refusals made without asking the table.
-var errBreakerOpen = errors.New("runrecord: table failed lately")
+// errBreakerOpen is the cause of refusals made without a call to the table.
+var errBreakerOpen = errors.New("runrecord: circuit breaker open after failed claims")
 
-// Claim decides about a request: it may run under the returned claim, its
-// stored answer is returned, or a *result.Error refuses it.
+// Claim decides what to do with a request: it returns a claim under which the
+// request may run, or the stored answer, or a *result.Error that refuses the
+// request.
 func (k *Keeper) Claim(ctx context.Context, request Request) (Decision, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.options.Timeout)
 	defer cancel()
 	key := RowKey(request.Workspace, request.IdempotencyKey)
 	for {
-		mine, other := k.reserve(key, request.Fingerprint)
-		if mine != nil {
-			return k.acquire(ctx, mine)
+		reserved, known := k.reserve(key, request.Fingerprint)
+		if reserved != nil {
+			return k.acquire(ctx, reserved)
 		}
-		if other.waitFor == nil {
-			return k.answerFrom(other.record, request.Fingerprint, true)
+		if known.released == nil {
+			return k.decideFromRecord(known.record, request.Fingerprint, true)
 		}
-		signal(k.hurry)
+		notify(k.flushRequested)
 		select {
-		case <-other.waitFor:
+		case <-known.released:
 		case <-ctx.Done():
-			return Decision{}, k.unavailable(ctx.Err())
+			return Decision{}, k.refuseUnavailable(ctx.Err())
 		}
 	}
 }
 
-// held is what this process already knows about a key.
-type held struct {
+// localRecord is what this process already knows about a key.
+type localRecord struct {
 	record Record
-	// waitFor, if set, is closed when a claim that was given up here has been
-	// written as such, so that the key can be claimed anew.
-	waitFor <-chan struct{}
+	// released, if set, is closed once the release of a claim that this process
+	// gave up has been written to the table, so that the key can be claimed again.
+	released <-chan struct{}
 }
 
-// reserve returns a new entry for the key, or what this process holds already.
-func (k *Keeper) reserve(key string, fingerprint uint64) (*entry, held) {
+// reserve adds a new entry for the key and returns it, or returns what this
+// process already knows about the key.
+func (k *Keeper) reserve(key string, fingerprint uint64) (*entry, localRecord) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if e, ok := k.entries[key]; ok {
-		known := held{record: e.record}
+		known := localRecord{record: e.record}
 		if e.ended && e.record.State == StateNotRun && e.record.Fingerprint == fingerprint {
-			known.waitFor = e.done
+			known.released = e.done
 		}
 		return nil, known
 	}
@@ -67,54 +69,55 @@
 		done: make(chan struct{}),
 	}
 	k.entries[key] = e
-	return e, held{}
+	return e, localRecord{}
 }
 
 // acquire writes the claim of a reserved entry.
 func (k *Keeper) acquire(ctx context.Context, e *entry) (Decision, error) {
 	sentAt := k.options.Now()
 	if !k.breaker.allow(sentAt) {
-		k.abandon(e)
-		return Decision{}, k.unavailable(errBreakerOpen)
+		k.abandonClaim(e)
+		return Decision{}, k.refuseUnavailable(errBreakerOpen)
 	}
 	found, err := k.writeClaim(ctx, e)
 	if err != nil {
-		k.breaker.failed(k.options.Now())
-		k.abandon(e)
-		return Decision{}, k.unavailable(err)
+		k.breaker.recordFailure(k.options.Now())
+		k.abandonClaim(e)
+		return Decision{}, k.refuseUnavailable(err)
 	}
-	k.breaker.succeeded()
+	k.breaker.recordSuccess()
 	if found != nil {
-		k.abandon(e)
-		return k.answerFrom(*found, e.record.Fingerprint, false)
+		k.abandonClaim(e)
+		return k.decideFromRecord(*found, e.record.Fingerprint, false)
 	}
 	k.metrics.claims.Inc()
 	return Decision{Claim: &Claim{keeper: k, entry: e, sentAt: sentAt}}, nil
 }
 
-// abandon gives up a claim that was not won. If its insert may have taken
-// effect, the writer ends it as not run; nothing was dispatched.
-func (k *Keeper) abandon(e *entry) {
+// abandonClaim gives up a claim that was not acquired. If its write may have
+// taken effect, the writer ends it as not run, since nothing was dispatched.
+func (k *Keeper) abandonClaim(e *entry) {
 	if e.unresolved {
 		k.metrics.claimRetries.Inc()
-		k.end(e, StateNotRun, Outcome{Code: result.RecordUnavailable})
+		k.queueEnd(e, StateNotRun, Outcome{Code: result.RecordUnavailable})
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.forget(e)
+	k.removeEntry(e)
 }
 
-// writeClaim writes the claim. It returns another's record if one stands.
+// writeClaim writes the claim to the table. If the table holds another record
+// that cannot be replaced, writeClaim returns that record.
 func (k *Keeper) writeClaim(ctx context.Context, e *entry) (*Record, error) {
 	var replaced store.Row // the row that the claim replaces; zero: none
 	var err error
-	for range maxClaimTries {
+	for range maxClaimAttempts {
 		err = k.commitClaim(ctx, e, replaced.Revision)
 		if err == nil {
 			return nil, nil
 		}
-		if noEffect(err) && !errors.Is(err, store.ErrConflict) {
+		if hadNoEffect(err) && !errors.Is(err, store.ErrConflict) {
 			return nil, err
 		}
 		row, record, readErr := k.readBack(ctx, e.key)
@@ -122,13 +125,13 @@
 			return nil, readErr
 		}
 		if record != nil && record.Owner == e.record.Owner {
-			e.won(row.Revision)
+			e.claimWritten(row.Revision)
 			return nil, nil
 		}
 		if row.Revision != replaced.Revision {
-			e.unresolved = false // what was sent can no longer take effect
+			e.unresolved = false // the row changed: earlier writes can no longer take effect
 		}
-		if record != nil && !reclaimable(*record, e.record.Fingerprint) {
+		if record != nil && !isReclaimable(*record, e.record.Fingerprint) {
 			return record, nil
 		}
 		replaced = row
@@ -136,49 +139,50 @@
 	return nil, err
 }
 
-// commitClaim sends the claim once: an insert, or an update of the row of a
-// request that surely did not run, which has the given revision.
-func (k *Keeper) commitClaim(ctx context.Context, e *entry, replaces uint64) error {
+// commitClaim sends the claim once: as an insert, or, if replacedRevision is not
+// zero, as an update of the row with that revision, whose request certainly did
+// not run.
+func (k *Keeper) commitClaim(ctx context.Context, e *entry, replacedRevision uint64) error {
 	epoch, err := k.epoch.current(ctx, k.options.Table)
 	if err != nil {
 		return err
 	}
 	k.setEpoch(e, epoch.number)
 	op := store.Op{Kind: store.OpInsert, Table: Table, Key: e.key, Value: e.record.encode()}
-	if replaces != 0 {
+	if replacedRevision != 0 {
 		op.Kind = store.OpUpdate
-		op.Revision = replaces
+		op.Revision = replacedRevision
 	}
-	revision, err := commit(ctx, k.options.Table, []store.Op{op, epoch.check()})
+	revision, err := commitRevision(ctx, k.options.Table, []store.Op{op, epoch.checkOp()})
 	if err == nil {
-		e.won(revision)
+		e.claimWritten(revision)
 		return nil
 	}
-	if !noEffect(err) {
+	if !hadNoEffect(err) {
 		e.unresolved = true
 	}
 	if errors.Is(err, store.ErrConflict) {
-		k.epoch.forget()
+		k.epoch.invalidate()
 	}
 	return err
 }
 
-// setEpoch sets the epoch of a claim that others may be reading.
+// setEpoch sets the epoch of a claim that other goroutines may be reading.
 func (k *Keeper) setEpoch(e *entry, number uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e.record.Epoch = number
 }
 
-// noEffect says whether a failed commit surely wrote nothing. Errors that the
-// platform does not define count as unknown.
-func noEffect(err error) bool {
+// hadNoEffect reports whether a failed commit certainly wrote nothing. For
+// errors that the platform does not define, the outcome is unknown.
+func hadNoEffect(err error) bool {
 	return errors.Is(err, store.ErrConflict) ||
 		errors.Is(err, store.ErrUnavailable) ||
 		errors.Is(err, store.ErrInvalid)
 }
 
-// readBack reads the row of the key. A nil record means that there is none.
+// readBack reads the row of the key. The record is nil if there is no row.
 func (k *Keeper) readBack(ctx context.Context, key string) (store.Row, *Record, error) {
 	row, err := k.options.Table.Get(ctx, Table, key)
 	if errors.Is(err, store.ErrNotFound) {
@@ -194,15 +198,15 @@
 	return row, &record, nil
 }
 
-// reclaimable says whether the request of a record may be run again: its owner
-// gave the claim up, and the request is the same.
-func reclaimable(record Record, fingerprint uint64) bool {
+// isReclaimable reports whether a record may be claimed again: its owner gave the
+// claim up, and the request is the same.
+func isReclaimable(record Record, fingerprint uint64) bool {
 	return record.State == StateNotRun && record.Fingerprint == fingerprint
 }
 
-// answerFrom answers a request from a record, and never runs it. Local says
-// that the record is held by this process.
-func (k *Keeper) answerFrom(record Record, fingerprint uint64, local bool) (Decision, error) {
+// decideFromRecord answers or refuses a request according to a record, and never
+// lets it run. local means that the record is held by this process.
+func (k *Keeper) decideFromRecord(record Record, fingerprint uint64, local bool) (Decision, error) {
 	if record.Fingerprint != fingerprint {
 		return Decision{}, k.refuse(result.RecordMismatch, "The Idempotency-Key was used with a different request.")
 	}
@@ -210,7 +214,7 @@
 	case StateAnswered:
 		return k.replay(record.Outcome)
 	case StateClaimed:
-		if local || k.ownerRuns(record.Owner) {
+		if local || k.ownerMayBeRunning(record.Owner) {
 			return Decision{}, k.refuse(result.RecordInProgress, "A request with this Idempotency-Key is in progress.")
 		}
 		return Decision{}, k.refuse(result.RecordUnknown, "The router that ran the request is gone; the request may have run.")
@@ -219,7 +223,7 @@
 	}
 }
 
-// replay returns the stored answer, or says that it was not kept.
+// replay returns the stored answer, or a refusal if it was not kept.
 func (k *Keeper) replay(outcome *Outcome) (Decision, error) {
 	if outcome != nil && !outcome.BodyOmitted {
 		k.metrics.replays.Inc()
@@ -228,24 +232,25 @@
 	return Decision{}, k.refuse(result.RecordNotKept, "The request ran and was answered; the answer was not kept.")
 }
 
-// ownerRuns says whether the claim's owner may still be running the request.
-func (k *Keeper) ownerRuns(owner Owner) bool {
+// ownerMayBeRunning reports whether the claim's owner may still be running the request.
+func (k *Keeper) ownerMayBeRunning(owner Owner) bool {
 	if owner.Node == k.options.Node && owner.Incarnation == k.options.Incarnation {
-		return false // this process holds no such claim any more
+		return false // this process no longer holds the claim
 	}
 	return k.options.OwnerAlive(owner.Node, owner.Incarnation)
 }
 
-// unavailable refuses a request for which nothing was dispatched.
-func (k *Keeper) unavailable(cause error) *result.Error {
+// refuseUnavailable refuses a request, of which nothing was dispatched, because
+// of a failure of the table.
+func (k *Keeper) refuseUnavailable(cause error) *result.Error {
 	refusal := k.refuse(result.RecordUnavailable, "This sending was not run: the run record could not be written.")
 	refusal.Cause = cause
 	return refusal
 }
 
-// commit commits ops and returns the revision of the written rows, or zero if
-// the table does not tell.
-func commit(ctx context.Context, table store.Table, ops []store.Op) (uint64, error) {
+// commitRevision commits ops and returns the revision of the written rows, or
+// zero if the table does not report it.
+func commitRevision(ctx context.Context, table store.Table, ops []store.Op) (uint64, error) {
 	if revisions, ok := table.(store.RevisionTable); ok {
 		return revisions.CommitRevision(ctx, ops)
 	}
--- a/runrecord/bench_test.go
+++ b/runrecord/bench_test.go
@@ -15,35 +15,35 @@
 	"github.com/walnutcove/walnutcove/store/memory"
 )
 
-// slowTable is a table at a fixed distance that counts what it is asked.
-type slowTable struct {
+// countingSlowTable is a table with a fixed latency that counts its calls.
+type countingSlowTable struct {
 	*memory.Store
 	reads, commits, ops atomic.Int64
 }
 
-// tableLatency is the time of one call to the table in benchmarks.
+// tableLatency is the duration of one call to the table in benchmarks.
 const tableLatency = 3 * time.Millisecond
 
-func (t *slowTable) Get(ctx context.Context, table, key string) (store.Row, error) {
+func (t *countingSlowTable) Get(ctx context.Context, table, key string) (store.Row, error) {
 	t.reads.Add(1)
 	time.Sleep(tableLatency)
 	return t.Store.Get(ctx, table, key)
 }
 
-func (t *slowTable) CommitRevision(ctx context.Context, ops []store.Op) (uint64, error) {
+func (t *countingSlowTable) CommitRevision(ctx context.Context, ops []store.Op) (uint64, error) {
 	t.commits.Add(1)
 	t.ops.Add(int64(len(ops)))
 	time.Sleep(tableLatency)
 	return t.Store.CommitRevision(ctx, ops)
 }
 
-func (t *slowTable) Commit(ctx context.Context, ops []store.Op) error {
+func (t *countingSlowTable) Commit(ctx context.Context, ops []store.Op) error {
 	_, err := t.CommitRevision(ctx, ops)
 	return err
 }
 
-// BenchmarkRecords reports what a record costs the table: commits, operations
-// and reads for each record, and the bytes of its row, at one router.
+// BenchmarkRecords measures the load of one router on the table: commits,
+// operations and reads per record, and the size of a record's row.
 func BenchmarkRecords(b *testing.B) {
 	for _, batched := range []bool{false, true} {
 		for _, callers := range []int{1, 16, 256} {
@@ -55,7 +55,7 @@
 }
 
 func benchmarkRecords(b *testing.B, batched bool, callers int) {
-	slow := &slowTable{Store: memory.New(memory.Options{})}
+	slow := &countingSlowTable{Store: memory.New(memory.Options{})}
 	var table store.Table = slow
 	if batched {
 		joined := batch.New(slow, batch.Options{Metrics: metrics.NewSet()})
@@ -91,8 +91,8 @@
 	reportRowBytes(b, slow)
 }
 
-// reportRowBytes reports the size of a stored row: its key and value.
-func reportRowBytes(b *testing.B, table *slowTable) {
+// reportRowBytes reports the size of a stored row's key and value.
+func reportRowBytes(b *testing.B, table *countingSlowTable) {
 	rows, err := table.Store.Scan(context.Background(), Table, "", 1)
 	if err != nil || len(rows) == 0 {
 		b.Fatalf("no row: %v", err)
--- a/runrecord/breaker.go
+++ b/runrecord/breaker.go
@@ -8,49 +8,50 @@
 )
 
 const (
-	// breakerFailures is how many claims in a row must fail before claims are
-	// refused without asking the table.
-	breakerFailures = 3
-	// breakerPause is how long they are refused before one is tried again.
-	breakerPause = 500 * time.Millisecond
+	// breakerThreshold is the number of consecutive failed claims after which
+	// claims are refused without a call to the table.
+	breakerThreshold = 3
+	// breakerRetryInterval is how long claims are refused before one is tried again.
+	breakerRetryInterval = 500 * time.Millisecond
 )
 
-// breaker refuses claims at once while the table is down, so that callers do
-// not wait for its timeout one by one. The zero value is closed.
+// breaker is a circuit breaker that refuses claims immediately while the table
+// is unavailable, so that callers do not each wait for the timeout. The zero
+// value is closed.
 type breaker struct {
-	mu       sync.Mutex
-	failures int
-	retryAt  control.Instant
+	mu                  sync.Mutex
+	consecutiveFailures int
+	retryAt             control.Instant
 }
 
-// allow says whether a claim may ask the table. While the breaker is open it
-// allows one claim per pause.
+// allow reports whether a claim may call the table. While the breaker is open,
+// it allows one claim per breakerRetryInterval.
 func (b *breaker) allow(now control.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.failures < breakerFailures {
+	if b.consecutiveFailures < breakerThreshold {
 		return true
 	}
 	if now < b.retryAt {
 		return false
 	}
-	b.retryAt = now + breakerPause
+	b.retryAt = now + breakerRetryInterval
 	return true
 }
 
-// succeeded closes the breaker.
-func (b *breaker) succeeded() {
+// recordSuccess closes the breaker.
+func (b *breaker) recordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.failures = 0
+	b.consecutiveFailures = 0
 }
 
-// failed counts a failure and opens the breaker after the last allowed one.
-func (b *breaker) failed(now control.Instant) {
+// recordFailure counts a failure and opens the breaker at breakerThreshold.
+func (b *breaker) recordFailure(now control.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.failures++
-	if b.failures == breakerFailures {
-		b.retryAt = now + breakerPause
+	b.consecutiveFailures++
+	if b.consecutiveFailures == breakerThreshold {
+		b.retryAt = now + breakerRetryInterval
 	}
 }
--- a/runrecord/claim.go
+++ b/runrecord/claim.go
@@ -7,32 +7,35 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// Claim is the right to dispatch one request. Its end and its dispatch exclude
-// each other under one lock: once a claim was given up, BeginDispatch refuses.
+// Claim is the right to dispatch one request. A lock makes ending and
+// dispatching mutually exclusive: once a claim has been given up, BeginDispatch
+// returns an error.
 type Claim struct {
 	keeper *Keeper
 	entry  *entry
-	// sentAt is the monotonic time right before the claim was first sent.
+	// sentAt is the monotonic time immediately before the claim was first sent.
 	sentAt control.Instant
 
 	mu    sync.Mutex
 	ended bool
 }
 
-// StillValid says whether the claim may still be dispatched under: it was not
-// given up, and less than Options.Lease has passed since before it was sent.
+// StillValid reports whether the request may still be dispatched under the claim:
+// it has not ended, and less than Options.Lease has passed since before it was
+// sent.
 func (c *Claim) StillValid(now control.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.valid(now)
+	return c.isValid(now)
 }
 
-func (c *Claim) valid(now control.Instant) bool {
+func (c *Claim) isValid(now control.Instant) bool {
 	return !c.ended && now-c.sentAt < c.keeper.options.Lease
 }
 
-// BeginDispatch must be called right before the first byte of each attempt is
-// written to a target. An error (RecordLapsed) forbids the attempt.
+// BeginDispatch must be called immediately before the first byte of each attempt
+// is written to a target. After an error (RecordLapsed) the attempt must not be
+// made.
 func (c *Claim) BeginDispatch() error {
 	if c.StillValid(c.keeper.options.Now()) {
 		return nil
@@ -40,14 +43,14 @@
 	return c.keeper.refuse(result.RecordLapsed, "The run record lapsed before dispatch.")
 }
 
-// Answered ends the claim with the target's whole answer.
+// Answered ends the claim with the target's complete answer.
 func (c *Claim) Answered(outcome Outcome) {
 	outcome.Code = result.OK
-	c.end(StateAnswered, outcome.bounded(c.keeper.options.MaxStoredBytes))
+	c.end(StateAnswered, outcome.limitedTo(c.keeper.options.MaxStoredBytes))
 }
 
-// NotRun gives the claim up: the request surely did not run, and BeginDispatch
-// refuses from now on. A resend may claim it anew.
+// NotRun gives the claim up: the request certainly did not run, and from now on
+// BeginDispatch returns an error. A resend may claim the request again.
 func (c *Claim) NotRun(code result.Code) {
 	c.end(StateNotRun, Outcome{Code: code})
 }
@@ -57,7 +60,7 @@
 	c.end(StateUnknown, Outcome{Code: code})
 }
 
-// end ends the claim. Only the first call counts.
+// end ends the claim. Only the first call has an effect.
 func (c *Claim) end(state State, outcome Outcome) {
 	c.mu.Lock()
 	if c.ended {
@@ -66,5 +69,5 @@
 	}
 	c.ended = true
 	c.mu.Unlock()
-	c.keeper.end(c.entry, state, outcome)
+	c.keeper.queueEnd(c.entry, state, outcome)
 }
--- a/runrecord/faulty_test.go
+++ b/runrecord/faulty_test.go
@@ -10,61 +10,61 @@
 	"github.com/walnutcove/walnutcove/store/memory"
 )
 
-// fault is what happens to one commit that touches a run record.
-type fault int
+// commitFault is a fault injected into one commit of a run record.
+type commitFault int
 
 const (
-	faultNone      fault = iota
-	faultDown            // refused, without effect
-	faultReplyLost       // took effect, the reply was lost
-	faultLate            // the reply was lost; takes effect when land is called
+	faultNone        commitFault = iota
+	faultUnavailable             // refused without effect
+	faultReplyLost               // took effect, the reply was lost
+	faultLate                    // the reply was lost; takes effect when applyLate is called
 )
 
-// faultyTable passes calls to a memory store and injects faults.
+// faultyTable forwards calls to a memory store and injects faults.
 type faultyTable struct {
 	*memory.Store
-	mu        sync.Mutex
-	faults    []fault // of the next commits
-	readsDown bool
-	late      [][]store.Op
+	mu               sync.Mutex
+	faults           []commitFault // for the next commits
+	readsUnavailable bool
+	lateCommits      [][]store.Op
 }
 
-func newTable() *faultyTable {
+func newFaultyTable() *faultyTable {
 	return &faultyTable{Store: memory.New(memory.Options{})}
 }
 
-func (t *faultyTable) inject(faults ...fault) {
+func (t *faultyTable) injectFaults(faults ...commitFault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = append(t.faults, faults...)
 }
 
-func (t *faultyTable) setReadsDown(down bool) {
+func (t *faultyTable) setReadsUnavailable(unavailable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.readsDown = down
+	t.readsUnavailable = unavailable
 }
 
-// land lets the late commits arrive, and returns how many took effect.
-func (t *faultyTable) land() int {
+// applyLate applies the late commits and returns how many took effect.
+func (t *faultyTable) applyLate() int {
 	t.mu.Lock()
-	late := t.late
-	t.late = nil
+	late := t.lateCommits
+	t.lateCommits = nil
 	t.mu.Unlock()
-	landed := 0
+	applied := 0
 	for _, ops := range late {
 		if t.Store.Commit(context.Background(), ops) == nil {
-			landed++
+			applied++
 		}
 	}
-	return landed
+	return applied
 }
 
 func (t *faultyTable) Get(ctx context.Context, table, key string) (store.Row, error) {
 	t.mu.Lock()
-	down := t.readsDown
+	unavailable := t.readsUnavailable
 	t.mu.Unlock()
-	if down && table == Table {
+	if unavailable && table == Table {
 		return store.Row{}, store.ErrUnavailable
 	}
 	return t.Store.Get(ctx, table, key)
@@ -76,8 +76,8 @@
 }
 
 func (t *faultyTable) CommitRevision(ctx context.Context, ops []store.Op) (uint64, error) {
-	switch t.next(ops) {
-	case faultDown:
+	switch t.nextFault(ops) {
+	case faultUnavailable:
 		return 0, store.ErrUnavailable
 	case faultReplyLost:
 		if _, err := t.Store.CommitRevision(ctx, ops); errors.Is(err, store.ErrConflict) {
@@ -86,7 +86,7 @@
 		return 0, store.ErrUnknown
 	case faultLate:
 		t.mu.Lock()
-		t.late = append(t.late, ops)
+		t.lateCommits = append(t.lateCommits, ops)
 		t.mu.Unlock()
 		return 0, store.ErrUnknown
 	default:
@@ -94,7 +94,7 @@
 	}
 }
 
-func (t *faultyTable) next(ops []store.Op) fault {
+func (t *faultyTable) nextFault(ops []store.Op) commitFault {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ops[0].Table != Table || len(t.faults) == 0 {
@@ -105,8 +105,8 @@
 	return f
 }
 
-// stored returns the record of a request in the table.
-func (t *faultyTable) stored(test *testing.T, request Request) Record {
+// storedRecord returns the record of a request in the table.
+func (t *faultyTable) storedRecord(test *testing.T, request Request) Record {
 	test.Helper()
 	row, err := t.Store.Get(context.Background(), Table, RowKey(request.Workspace, request.IdempotencyKey))
 	if err != nil {
--- a/runrecord/fleet_bench_test.go
+++ b/runrecord/fleet_bench_test.go
@@ -20,45 +20,46 @@
 )
 
 const (
-	// fleetRecords is the rate of non-idempotent requests in the whole fleet.
-	fleetRecords = 600
-	// fleetWrites is the write budget of the whole fleet.
-	fleetWrites = 300
-	// callLatency is the time of a call between two routers.
+	// fleetRequestsPerSecond is the rate of non-idempotent requests in the fleet.
+	fleetRequestsPerSecond = 600
+	// fleetWritesPerSecond is the write budget of the fleet.
+	fleetWritesPerSecond = 300
+	// callLatency is the duration of a call between two routers.
 	callLatency = 2 * time.Millisecond
-	// runTime is how long each request runs.
-	runTime = 20 * time.Millisecond
+	// requestDuration is how long each request runs.
+	requestDuration = 20 * time.Millisecond
 )
 
-// fleetWays are the ways of committing that are weighed.
-var fleetWays = []string{"alone", "paced", "writers"}
+// commitModes are the ways of committing that are compared; see BenchmarkFleet.
+var commitModes = []string{"alone", "paced", "writers"}
 
-// BenchmarkFleet spreads one rate of requests over routers that commit each for
-// itself ("alone"), within its part of the fleet's budget ("paced"), or through
-// writers within the budget ("writers"). Run it with -benchtime=3000x.
+// BenchmarkFleet distributes a fixed rate of requests over routers that commit
+// independently without a limit ("alone"), each within its share of the fleet's
+// write budget ("paced"), or through writers within the budget ("writers"). Run
+// it with -benchtime=3000x.
 func BenchmarkFleet(b *testing.B) {
 	for _, routers := range []int{1, 9, 30, 100, 340} {
-		for _, way := range fleetWays {
-			b.Run(fmt.Sprintf("routers=%d/%s", routers, way), func(b *testing.B) {
-				f := newBenchFleet(routers, way)
+		for _, mode := range commitModes {
+			b.Run(fmt.Sprintf("routers=%d/%s", routers, mode), func(b *testing.B) {
+				f := newBenchFleet(routers, mode)
 				f.run(b)
 			})
 		}
 	}
 }
 
-// benchFleet is a fleet of keepers. It is the Caller between its routers.
+// benchFleet is a fleet of keepers. It implements the calls between its routers.
 type benchFleet struct {
-	table   *slowTable
-	keepers []*Keeper
-	batches []*batch.Table
-	tables  map[control.NodeID]*forward.Table
-	bytes   atomic.Int64
+	table     *countingSlowTable
+	keepers   []*Keeper
+	batches   []*batch.Table
+	tables    map[control.NodeID]*forward.Table
+	peerBytes atomic.Int64
 }
 
-func newBenchFleet(routers int, way string) *benchFleet {
+func newBenchFleet(routers int, mode string) *benchFleet {
 	f := &benchFleet{
-		table:  &slowTable{Store: memory.New(memory.Options{})},
+		table:  &countingSlowTable{Store: memory.New(memory.Options{})},
 		tables: make(map[control.NodeID]*forward.Table),
 	}
 	var alive []control.NodeID
@@ -66,19 +67,19 @@
 		alive = append(alive, control.NodeID(fmt.Sprint("vm-", n)))
 	}
 	for _, node := range alive {
-		f.add(node, alive, way)
+		f.add(node, alive, mode)
 	}
 	return f
 }
 
-func (f *benchFleet) add(node control.NodeID, alive []control.NodeID, way string) {
+func (f *benchFleet) add(node control.NodeID, alive []control.NodeID, mode string) {
 	set := metrics.NewSet()
 	batched := batch.New(f.table, batch.Options{Metrics: set})
 	forwarded := forward.New(forward.Options{Self: node, Table: batched, Caller: f, Metrics: set})
-	share := forward.Fleet{WritesPerSecond: fleetWrites, Listed: len(alive), Alive: len(alive)}
-	switch way {
+	share := forward.Fleet{WritesPerSecond: fleetWritesPerSecond, Listed: len(alive), Alive: len(alive)}
+	switch mode {
 	case "paced":
-		batched.SetRate(fleetWrites / float64(len(alive)))
+		batched.SetRate(fleetWritesPerSecond / float64(len(alive)))
 	case "writers":
 		batched.SetRate(share.Share(forwarded.SetMembers(alive)))
 	}
@@ -93,7 +94,7 @@
 func (f *benchFleet) Call(ctx context.Context, to control.NodeID, _ string, payload []byte) ([]byte, error) {
 	time.Sleep(callLatency)
 	answer, err := f.tables[to].Serve(ctx, payload)
-	f.bytes.Add(int64(len(payload) + len(answer)))
+	f.peerBytes.Add(int64(len(payload) + len(answer)))
 	return answer, err
 }
 
@@ -104,7 +105,7 @@
 	b.ResetTimer()
 	start := time.Now()
 	for i := range b.N {
-		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / fleetRecords)))
+		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / fleetRequestsPerSecond)))
 		keeper := f.keepers[random.IntN(len(f.keepers))]
 		all.Go(func() { waits[i] = claimAndEnd(b, keeper, strconv.Itoa(i)) })
 	}
@@ -121,14 +122,14 @@
 	writes := float64(f.table.commits.Load())
 	b.ReportMetric(writes/float64(b.N), "writes/record")
 	b.ReportMetric(writes/b.Elapsed().Seconds(), "writes/s")
-	b.ReportMetric(float64(b.N)*fleetWrites/writes, "records/s-at-300")
+	b.ReportMetric(float64(b.N)*fleetWritesPerSecond/writes, "records/s-at-300")
 	b.ReportMetric(waits[b.N/2].Seconds()*1e3, "p50-ms")
 	b.ReportMetric(waits[b.N*99/100].Seconds()*1e3, "p99-ms")
-	b.ReportMetric(float64(f.bytes.Load())/float64(b.N), "peer-bytes/record")
+	b.ReportMetric(float64(f.peerBytes.Load())/float64(b.N), "peer-bytes/record")
 	b.ReportMetric(0, "ns/op")
 }
 
-// claimAndEnd runs one request and returns how long its claim took.
+// claimAndEnd simulates one request and returns the duration of its claim.
 func claimAndEnd(b *testing.B, k *Keeper, key string) time.Duration {
 	started := time.Now()
 	request := Request{Workspace: "school", IdempotencyKey: key, Fingerprint: 1 << 62}
@@ -138,7 +139,7 @@
 		b.Errorf("claim failed: %v", err)
 		return waited
 	}
-	time.Sleep(runTime)
+	time.Sleep(requestDuration)
 	decision.Claim.Answered(Outcome{
 		Status: 200, Header: map[string]string{"Content-Type": "application/json"}, Body: make([]byte, 200),
 	})
--- a/runrecord/forward_test.go
+++ b/runrecord/forward_test.go
@@ -15,24 +15,25 @@
 	"github.com/walnutcove/walnutcove/store/forward"
 )
 
-// modelMembers is enough for a few writers besides the model's three routers.
+// modelMembers is large enough for a few writers besides the model's three routers.
 const modelMembers = 90
 
-// tableOf returns the table that a new router commits to.
-func (m *model) tableOf(node control.NodeID) store.Table {
-	if !m.writers {
+// newTable returns the table that a restarted router commits to.
+func (m *model) newTable(node control.NodeID) store.Table {
+	if !m.useWriters {
 		return m
 	}
-	m.routes[node] = forward.New(forward.Options{
+	m.forwardTables[node] = forward.New(forward.Options{
 		Self: node, Table: m, Caller: m, Now: func() time.Time { return time.Unix(0, 0).Add(m.now) }, Metrics: metrics.NewSet(),
 	})
-	m.changeView(node)
-	return m.routes[node]
+	m.changeMembers(node)
+	return m.forwardTables[node]
 }
 
-// changeView makes a router see other members, so that its rows go to other writers.
-func (m *model) changeView(node control.NodeID) {
-	if !m.writers {
+// changeMembers changes a router's view of the members, so that its rows go to
+// other writers.
+func (m *model) changeMembers(node control.NodeID) {
+	if !m.useWriters {
 		return
 	}
 	first := m.draw(20)
@@ -40,14 +41,14 @@
 	for i := range modelMembers {
 		alive = append(alive, control.NodeID(fmt.Sprint(first+i)))
 	}
-	m.routes[node].SetMembers(alive)
+	m.forwardTables[node].SetMembers(alive)
 }
 
-// Call implements forward.Caller: a writer is unreachable, is killed before or
-// after its commit, is paused and commits later, or answers.
+// Call implements forward.Caller. The writer is unreachable, is killed before or
+// after its commit, is paused and commits later, or responds.
 func (m *model) Call(ctx context.Context, _ control.NodeID, _ string, payload []byte) ([]byte, error) {
-	m.between()
-	defer m.between()
+	m.maybeInterleave()
+	defer m.maybeInterleave()
 	writer := forward.New(forward.Options{Self: "writer", Table: m, Caller: m, Metrics: metrics.NewSet()})
 	switch m.draw(8) {
 	case 0:
@@ -66,40 +67,40 @@
 	}
 }
 
-// lateTable keeps commits until the model lets them land.
+// lateTable holds commits back until the model applies them.
 type lateTable struct{ *model }
 
 func (t lateTable) CommitRevision(_ context.Context, ops []store.Op) (uint64, error) {
-	t.late = append(t.late, ops)
+	t.lateCommits = append(t.lateCommits, ops)
 	return 0, store.ErrUnknown
 }
 
-// brokenWriter is the Caller of a router whose first calls fail in one way.
-type brokenWriter struct {
+// failingWriter is the Caller of a router whose first calls fail.
+type failingWriter struct {
 	table *faultyTable
-	// failing calls are left; applies says whether these commit, late whether
-	// their commits land later.
-	failing       int
-	applies, late bool
+	// failuresLeft calls still fail. If commits is set, their commits take effect;
+	// if commitsLate is set, their commits take effect later.
+	failuresLeft         int
+	commits, commitsLate bool
 }
 
-func (w *brokenWriter) Call(ctx context.Context, _ control.NodeID, _ string, payload []byte) ([]byte, error) {
+func (w *failingWriter) Call(ctx context.Context, _ control.NodeID, _ string, payload []byte) ([]byte, error) {
 	writer := forward.New(forward.Options{Self: "writer", Table: w.table, Caller: w, Metrics: metrics.NewSet()})
-	if w.failing == 0 {
+	if w.failuresLeft == 0 {
 		return writer.Serve(ctx, payload)
 	}
-	w.failing--
-	if w.late {
-		w.table.inject(faultLate)
+	w.failuresLeft--
+	if w.commitsLate {
+		w.table.injectFaults(faultLate)
 	}
-	if w.applies || w.late {
+	if w.commits || w.commitsLate {
 		_, _ = writer.Serve(ctx, payload)
 	}
 	return nil, peer.ErrSessionEnded
 }
 
-// startForwarding starts a keeper that commits through writers.
-func startForwarding(t *testing.T, w *brokenWriter) *Keeper {
+// startForwardingKeeper starts a keeper that commits through w.
+func startForwardingKeeper(t *testing.T, w *failingWriter) *Keeper {
 	var alive []control.NodeID
 	for i := range 2 * forward.MembersPerWriter {
 		alive = append(alive, control.NodeID(fmt.Sprint("vm-", i)))
@@ -109,38 +110,39 @@
 	return startKeeper(t, table, "a")
 }
 
-// The writer is killed before it commits a claim, after it, or is paused over
-// it. The claim is won once, and by the router that asked.
-func TestWriterBreaksOverAClaim(t *testing.T) {
-	for _, w := range []*brokenWriter{{}, {applies: true}, {late: true}} {
-		w.table, w.failing = newTable(), 1
-		a, b := startForwarding(t, w), startKeeper(t, w.table, "b")
-		claim := mustClaim(t, a, deploy)
-		if n := w.table.land(); n != 0 {
+// The writer is killed before or after it commits a claim, or is paused and
+// commits late. The claim must be acquired once, by the router that requested it.
+func TestWriterFailureDuringClaim(t *testing.T) {
+	for _, w := range []*failingWriter{{}, {commits: true}, {commitsLate: true}} {
+		w.table, w.failuresLeft = newFaultyTable(), 1
+		a, b := startForwardingKeeper(t, w), startKeeper(t, w.table, "b")
+		claim := mustClaim(t, a, testRequest)
+		if n := w.table.applyLate(); n != 0 {
 			t.Fatal("a late claim took effect beside another")
 		}
-		wantRefused(t, b, deploy, result.RecordInProgress)
+		wantRefused(t, b, testRequest, result.RecordInProgress)
 		claim.Answered(Outcome{Status: 200})
 		flush(t, a)
-		if got := w.table.stored(t, deploy); got.State != StateAnswered || got.Owner.Node != "a" {
+		if got := w.table.storedRecord(t, testRequest); got.State != StateAnswered || got.Owner.Node != "a" {
 			t.Fatalf("stored %+v", got)
 		}
 	}
 }
 
-// The writer breaks over the end of a record: it is written once, by the next.
-func TestWriterBreaksOverAnEnd(t *testing.T) {
-	for _, w := range []*brokenWriter{{}, {applies: true}, {late: true}} {
-		w.table = newTable()
-		a, b := startForwarding(t, w), startKeeper(t, w.table, "b")
-		claim := mustClaim(t, a, deploy)
-		w.failing = 1
+// The writer fails while it writes the end of a record. The end must be written
+// once, by the next writer.
+func TestWriterFailureDuringEnd(t *testing.T) {
+	for _, w := range []*failingWriter{{}, {commits: true}, {commitsLate: true}} {
+		w.table = newFaultyTable()
+		a, b := startForwardingKeeper(t, w), startKeeper(t, w.table, "b")
+		claim := mustClaim(t, a, testRequest)
+		w.failuresLeft = 1
 		claim.Answered(Outcome{Status: 201})
 		flush(t, a)
-		if n := w.table.land(); n != 0 {
+		if n := w.table.applyLate(); n != 0 {
 			t.Fatal("a late end took effect over the one that was written")
 		}
-		decision, err := b.Claim(context.Background(), deploy)
+		decision, err := b.Claim(context.Background(), testRequest)
 		if err != nil || decision.Replay == nil || decision.Replay.Status != 201 {
 			t.Fatalf("no replay: %+v, %v", decision, err)
 		}
--- a/runrecord/keeper.go
+++ b/runrecord/keeper.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// Keeper claims run records and writes how the runs ended. It is safe for
+// Keeper claims run records and writes the outcomes of the runs. It is safe for
 // concurrent use.
 type Keeper struct {
 	options Options
@@ -17,17 +17,17 @@
 	metrics counters
 
 	mu sync.Mutex
-	// entries are the records that this process claims, holds or still has to
-	// end in the table, by row key.
+	// entries holds, by row key, the records that this process is claiming, has
+	// claimed, or still has to end in the table.
 	entries map[string]*entry
-	// queue are the entries whose end is to be written, oldest first.
+	// queue holds the entries whose ends are to be written, oldest first.
 	queue        []*entry
 	pendingBytes int
 
-	wake    chan struct{} // holds a token when the queue has grown
-	hurry   chan struct{} // holds a token when somebody waits for the writer
-	stop    context.CancelFunc
-	workers sync.WaitGroup
+	queueGrew      chan struct{} // holds a token after the queue has grown
+	flushRequested chan struct{} // holds a token if a goroutine waits for the writer
+	stop           context.CancelFunc
+	workers        sync.WaitGroup
 }
 
 // entry is one record that this process has claimed. Fields other than done
@@ -35,39 +35,42 @@
 type entry struct {
 	key    string
 	record Record
-	// revision is the row's revision as this process wrote it; zero if unknown.
+	// revision is the row's revision after this process wrote it; zero if unknown.
 	revision uint64
-	// unresolved says that the claim's insert may or may not have taken effect.
+	// unresolved means that a write of the claim may or may not have taken effect.
 	unresolved bool
-	// ended says that record holds the end and waits to be written.
+	// ended means that record holds the outcome, which is to be written.
 	ended bool
-	// done is closed once the entry has left the keeper.
+	// done is closed once the entry has been removed from the keeper.
 	done chan struct{}
 }
 
-// won notes that the claim stands in the table at a revision.
-func (e *entry) won(revision uint64) {
+// claimWritten records that the table holds the claim at a revision.
+func (e *entry) claimWritten(revision uint64) {
 	e.revision = revision
 	e.unresolved = false
 }
 
-// Request is what a claim is made for.
+// Request identifies the request that a claim is made for.
 type Request struct {
 	Workspace      string
 	IdempotencyKey string
-	// Fingerprint is the hash that tells whether a resend is the same request.
+	// Fingerprint is a hash of the request, used to check that a resend is the
+	// same request.
 	Fingerprint uint64
 }
 
-// Decision is what to do with a request. Exactly one field is set.
+// Decision determines how a request is handled. Exactly one field is set.
 type Decision struct {
-	// Claim: the request may be dispatched under the claim, which must be ended.
+	// Claim is the claim under which the request may be dispatched. The caller
+	// must end it.
 	Claim *Claim
-	// Replay: the request ran before and this is its stored answer.
+	// Replay is the stored answer of a request that ran before.
 	Replay *Outcome
 }
 
-// New returns a keeper that writes ends and sweeps until Close.
+// New returns a keeper whose workers write the ends of claims and sweep expired
+// records until Close.
 func New(options Options) *Keeper {
 	k := newKeeper(options)
 	ctx, stop := context.WithCancel(context.Background())
@@ -78,21 +81,21 @@
 	return k
 }
 
-// newKeeper returns a keeper without its workers.
+// newKeeper returns a keeper without running workers.
 func newKeeper(options Options) *Keeper {
 	options = options.withDefaults()
 	return &Keeper{
-		options: options,
-		metrics: newCounters(options.Metrics),
-		entries: make(map[string]*entry),
-		wake:    make(chan struct{}, 1),
-		hurry:   make(chan struct{}, 1),
+		options:        options,
+		metrics:        newCounters(options.Metrics),
+		entries:        make(map[string]*entry),
+		queueGrew:      make(chan struct{}, 1),
+		flushRequested: make(chan struct{}, 1),
 	}
 }
 
 // Close waits until every ended record is written or ctx is done, and stops
-// the keeper. Unwritten records stay claimed in the table: their requests are
-// told "may have run".
+// the keeper. Records that were not written stay claimed in the table: resends
+// of their requests are answered "may have run".
 func (k *Keeper) Close(ctx context.Context) error {
 	err := k.flush(ctx)
 	k.stop()
@@ -103,20 +106,20 @@
 // flush waits until the queue is empty or ctx is done.
 func (k *Keeper) flush(ctx context.Context) error {
 	for {
-		oldest := k.oldest()
+		oldest := k.oldestQueued()
 		if oldest == nil {
 			return nil
 		}
-		signal(k.hurry)
+		notify(k.flushRequested)
 		select {
 		case <-oldest.done:
 		case <-ctx.Done():
-			return fmt.Errorf("runrecord: ended records are not written: %w", ctx.Err())
+			return fmt.Errorf("runrecord: wait for ended records to be written: %w", ctx.Err())
 		}
 	}
 }
 
-func (k *Keeper) oldest() *entry {
+func (k *Keeper) oldestQueued() *entry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.queue) == 0 {
@@ -125,43 +128,44 @@
 	return k.queue[0]
 }
 
-// end queues the end of a claim for the writer.
-func (k *Keeper) end(e *entry, state State, outcome Outcome) {
+// queueEnd queues the end of a claim for the writer.
+func (k *Keeper) queueEnd(e *entry, state State, outcome Outcome) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.queue) >= k.options.MaxPending {
 		k.metrics.droppedEnds.Inc()
-		k.forget(e)
+		k.removeEntry(e)
 		return
 	}
-	if k.pendingBytes+outcome.bytes() > k.options.MaxPendingBytes {
+	if k.pendingBytes+outcome.size() > k.options.MaxPendingBytes {
 		k.metrics.droppedAnswers.Inc()
-		outcome = outcome.bounded(0)
+		outcome = outcome.limitedTo(0)
 	}
 	e.record.State = state
 	e.record.EndedAt = k.options.WallClock().UnixMilli()
 	e.record.Outcome = &outcome
 	e.ended = true
-	k.pendingBytes += outcome.bytes()
+	k.pendingBytes += outcome.size()
 	k.queue = append(k.queue, e)
-	signal(k.wake)
+	notify(k.queueGrew)
 }
 
-// signal leaves a token in a channel unless it holds one.
-func signal(c chan<- struct{}) {
+// notify puts a token into a channel unless it already holds one.
+func notify(ch chan<- struct{}) {
 	select {
-	case c <- struct{}{}:
+	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// forget removes an entry. The caller holds mu.
-func (k *Keeper) forget(e *entry) {
+// removeEntry removes an entry. The caller holds mu.
+func (k *Keeper) removeEntry(e *entry) {
 	if k.entries[e.key] == e {
 		delete(k.entries, e.key)
 	}
 	close(e.done)
 }
 
-// MaxStoredBytes is the largest answer that is kept; see Options.
+// MaxStoredBytes returns the size of the largest answer that is stored; see
+// Options.
 func (k *Keeper) MaxStoredBytes() int { return k.options.MaxStoredBytes }
--- a/runrecord/model_test.go
+++ b/runrecord/model_test.go
@@ -17,47 +17,48 @@
 	"github.com/walnutcove/walnutcove/store/memory"
 )
 
-// model is a fleet of three routers that get the same few requests again and
-// again, over a table that refuses, loses replies and applies commits late.
-// Whatever happens, each request may run once within its retention. A router that restarts leaves
-// its old runs behind, which wake later as those of a paused process do.
+// model is a fleet of three routers that repeatedly receive the same few
+// requests, over a table that refuses calls, loses replies and applies commits
+// late. Each request may run at most once within its retention. A router that
+// restarts leaves its open runs in the model, where they continue later, like
+// those of a paused process.
 type model struct {
-	draw     func(n int) int // a number in [0, n)
-	store    *memory.Store
-	late     [][]store.Op
-	depth    int // of steps within table calls
-	keepers  []*Keeper
-	sweepers []*sweeper
-	now      control.Instant
-	open     []*openRun
-	runs     map[string]int
-	// runEpoch is the epoch in which the last run of a key was claimed.
-	runEpoch map[string]uint64
-	// takeover makes the table show the claims of restarted routers as given
-	// up, which is what a design with takeover would believe.
+	draw        func(n int) int // a number in [0, n)
+	store       *memory.Store
+	lateCommits [][]store.Op
+	depth       int // nesting depth of steps within table calls
+	keepers     []*Keeper
+	sweepers    []*sweeper
+	now         control.Instant
+	openRuns    []*openRun
+	runs        map[string]int
+	// lastRunEpoch is the epoch in which the last run of a key was claimed.
+	lastRunEpoch map[string]uint64
+	// takeover makes the table return the claims of restarted routers as given
+	// up, as a design that takes over such claims would treat them.
 	takeover bool
-	// writers sends the commits through writers; see forward_test.go.
-	writers bool
-	routes  map[control.NodeID]*forward.Table
-	err     error
+	// useWriters sends the commits through writers; see forward_test.go.
+	useWriters    bool
+	forwardTables map[control.NodeID]*forward.Table
+	err           error
 }
 
 type openRun struct {
 	key        string
-	epoch      uint64 // in which the claim was begun
+	epoch      uint64 // in force when the claim was begun
 	claim      *Claim
 	dispatched bool
 }
 
-func newModel(draw func(int) int, takeover, writers bool) *model {
+func newModel(draw func(int) int, takeover, useWriters bool) *model {
 	m := &model{
-		draw:     draw,
-		takeover: takeover,
-		writers:  writers,
-		routes:   make(map[control.NodeID]*forward.Table),
-		store:    memory.New(memory.Options{}),
-		runs:     make(map[string]int),
-		runEpoch: make(map[string]uint64),
+		draw:          draw,
+		takeover:      takeover,
+		useWriters:    useWriters,
+		forwardTables: make(map[control.NodeID]*forward.Table),
+		store:         memory.New(memory.Options{}),
+		runs:          make(map[string]int),
+		lastRunEpoch:  make(map[string]uint64),
 	}
 	m.keepers = make([]*Keeper, 3)
 	m.sweepers = make([]*sweeper, 3)
@@ -74,10 +75,10 @@
 	}
 	node := control.NodeID(fmt.Sprint(i))
 	m.keepers[i] = newKeeper(Options{
-		Table:       m.tableOf(node),
+		Table:       m.newTable(node),
 		Node:        node,
 		Incarnation: incarnation,
-		OwnerAlive:  m.alive,
+		OwnerAlive:  m.isAlive,
 		Now:         func() control.Instant { return m.now },
 		Retention:   modelRetention,
 		Metrics:     metrics.NewSet(),
@@ -85,7 +86,7 @@
 	m.sweepers[i] = newSweeper(m.keepers[i])
 }
 
-func (m *model) alive(node control.NodeID, incarnation control.Incarnation) bool {
+func (m *model) isAlive(node control.NodeID, incarnation control.Incarnation) bool {
 	for _, k := range m.keepers {
 		if k.options.Node == node {
 			return k.options.Incarnation == incarnation
@@ -94,7 +95,7 @@
 	return false
 }
 
-// step lets one thing happen. Steps also happen within table calls.
+// step performs one random action. Steps are also performed within table calls.
 func (m *model) step() {
 	i := m.draw(len(m.keepers))
 	switch m.draw(14) {
@@ -111,19 +112,19 @@
 	case 8:
 		m.restart(i)
 	case 9:
-		m.land()
+		m.applyLate()
 	case 10:
 		m.now += defaultEpochLength
 	case 11, 12:
 		if m.depth == 0 {
-			_ = m.sweepers[i].step(context.Background())
+			_ = m.sweepers[i].sweep(context.Background())
 		}
 	case 13:
-		m.changeView(m.keepers[i].options.Node)
+		m.changeMembers(m.keepers[i].options.Node)
 	}
 }
 
-// epoch is the epoch in force.
+// epoch returns the number of the epoch in force.
 func (m *model) epoch() uint64 {
 	known, _ := readEpoch(context.Background(), m.store)
 	return known.number
@@ -133,14 +134,14 @@
 	key := fmt.Sprint(m.draw(2))
 	e, _ := k.reserve(RowKey("w", key), 1)
 	if e == nil {
-		return // Claim would answer from memory, or wait for the writer
+		return // Keeper.Claim would answer from memory, or wait for the writer
 	}
 	epoch := m.epoch()
 	decision, err := k.acquire(context.Background(), e)
 	var refusal *result.Error
 	switch {
 	case decision.Claim != nil:
-		m.open = append(m.open, &openRun{key: key, epoch: epoch, claim: decision.Claim})
+		m.openRuns = append(m.openRuns, &openRun{key: key, epoch: epoch, claim: decision.Claim})
 	case decision.Replay != nil && m.runs[key] == 0:
 		m.err = fmt.Errorf("key %s: replayed, but never ran", key)
 	case err != nil && !errors.As(err, &refusal):
@@ -148,30 +149,30 @@
 	}
 }
 
-// dispatch runs a claimed request, or has the target refuse it.
+// dispatch runs a random claimed request, unless its claim or the target refuses.
 func (m *model) dispatch() {
-	if len(m.open) == 0 {
+	if len(m.openRuns) == 0 {
 		return
 	}
-	run := m.open[m.draw(len(m.open))]
+	run := m.openRuns[m.draw(len(m.openRuns))]
 	if run.dispatched || run.claim.BeginDispatch() != nil || m.draw(4) == 0 {
 		return
 	}
 	run.dispatched = true
 	m.runs[run.key]++
-	if m.runs[run.key] > 1 && m.epoch() <= m.runEpoch[run.key]+modelRetention {
+	if m.runs[run.key] > 1 && m.epoch() <= m.lastRunEpoch[run.key]+modelRetention {
 		m.err = fmt.Errorf("key %s ran twice", run.key)
 	}
-	m.runEpoch[run.key] = run.epoch
+	m.lastRunEpoch[run.key] = run.epoch
 }
 
 func (m *model) end() {
-	if len(m.open) == 0 {
+	if len(m.openRuns) == 0 {
 		return
 	}
-	i := m.draw(len(m.open))
-	run := m.open[i]
-	m.open = append(m.open[:i], m.open[i+1:]...)
+	i := m.draw(len(m.openRuns))
+	run := m.openRuns[i]
+	m.openRuns = append(m.openRuns[:i], m.openRuns[i+1:]...)
 	switch {
 	case !run.dispatched:
 		run.claim.NotRun(result.NoTarget)
@@ -182,18 +183,18 @@
 	}
 }
 
-func (m *model) land() {
-	if len(m.late) == 0 {
+func (m *model) applyLate() {
+	if len(m.lateCommits) == 0 {
 		return
 	}
-	i := m.draw(len(m.late))
-	ops := m.late[i]
-	m.late = append(m.late[:i], m.late[i+1:]...)
+	i := m.draw(len(m.lateCommits))
+	ops := m.lateCommits[i]
+	m.lateCommits = append(m.lateCommits[:i], m.lateCommits[i+1:]...)
 	_ = m.store.Commit(context.Background(), ops)
 }
 
-// between lets others act around a table call.
-func (m *model) between() {
+// maybeInterleave may perform a step of another router around a table call.
+func (m *model) maybeInterleave() {
 	if m.depth < 2 && m.draw(3) == 0 {
 		m.depth++
 		m.step()
@@ -202,17 +203,17 @@
 }
 
 func (m *model) Get(ctx context.Context, table, key string) (store.Row, error) {
-	m.between()
+	m.maybeInterleave()
 	if m.draw(8) == 0 {
 		return store.Row{}, store.ErrUnavailable
 	}
 	row, err := m.store.Get(ctx, table, key)
-	m.between()
+	m.maybeInterleave()
 	if err != nil || table != Table || !m.takeover {
 		return row, err
 	}
 	record, err := decode(row.Value)
-	if err == nil && record.State == StateClaimed && !m.alive(record.Owner.Node, record.Owner.Incarnation) {
+	if err == nil && record.State == StateClaimed && !m.isAlive(record.Owner.Node, record.Owner.Incarnation) {
 		record.State = StateNotRun
 		row.Value = record.encode()
 	}
@@ -229,13 +230,13 @@
 }
 
 func (m *model) CommitRevision(ctx context.Context, ops []store.Op) (uint64, error) {
-	m.between()
-	defer m.between()
+	m.maybeInterleave()
+	defer m.maybeInterleave()
 	switch m.draw(8) {
 	case 0:
 		return 0, store.ErrUnavailable
 	case 1:
-		m.late = append(m.late, ops)
+		m.lateCommits = append(m.lateCommits, ops)
 		return 0, store.ErrUnknown
 	case 2:
 		_ = m.store.Commit(ctx, ops)
@@ -243,7 +244,7 @@
 	}
 	revision, err := m.store.CommitRevision(ctx, ops)
 	if m.draw(2) == 0 {
-		revision = 0 // as a table that does not tell it
+		revision = 0 // like a table that does not report it
 	}
 	return revision, err
 }
@@ -254,9 +255,9 @@
 )
 
 func TestRunsAtMostOnce(t *testing.T) {
-	for _, writers := range []bool{false, true} {
-		t.Run(fmt.Sprintf("writers=%v", writers), rapid.MakeCheck(func(t *rapid.T) {
-			m := newModel(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }, false, writers)
+	for _, useWriters := range []bool{false, true} {
+		t.Run(fmt.Sprintf("writers=%v", useWriters), rapid.MakeCheck(func(t *rapid.T) {
+			m := newModel(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }, false, useWriters)
 			for range modelSteps {
 				if m.step(); m.err != nil {
 					t.Fatal(m.err)
@@ -266,24 +267,25 @@
 	}
 }
 
-// A design that takes over the claims of routers thought dead runs a request
-// twice. This shows that the model meets the cases that matter.
+// A design that takes over the claims of routers believed dead would run a
+// request twice. The test shows that the model reaches the critical
+// interleavings.
 func TestTakeoverWouldRunTwice(t *testing.T) {
-	for _, writers := range []bool{false, true} {
-		if !findsSecondRun(t, writers) {
-			t.Fatalf("no request ran twice, writers %v", writers)
+	for _, useWriters := range []bool{false, true} {
+		if !findsSecondRun(t, useWriters) {
+			t.Fatalf("no request ran twice, writers %v", useWriters)
 		}
 	}
 }
 
-// findsSecondRun looks for a course in which takeover runs a request twice.
-func findsSecondRun(t *testing.T, writers bool) bool {
+// findsSecondRun searches for an execution in which takeover runs a request twice.
+func findsSecondRun(t *testing.T, useWriters bool) bool {
 	for seed := range uint64(2000) {
 		random := rand.New(rand.NewPCG(seed, 0))
-		m := newModel(random.IntN, true, writers)
+		m := newModel(random.IntN, true, useWriters)
 		for range modelSteps {
 			if m.step(); m.err != nil {
-				t.Logf("writers %v, seed %d: %v", writers, seed, m.err)
+				t.Logf("writers %v, seed %d: %v", useWriters, seed, m.err)
 				return true
 			}
 		}
--- a/runrecord/options.go
+++ b/runrecord/options.go
@@ -25,53 +25,55 @@
 	defaultSweepEvery       = time.Minute
 )
 
-// Options configure a Keeper. Zero values take the stated defaults.
+// Options configures a Keeper. Zero fields take the stated defaults.
 type Options struct {
 	// Table is the platform's table. Required.
 	Table store.Table
 	// Node and Incarnation identify this process. Required.
 	Node        control.NodeID
 	Incarnation control.Incarnation
-	// OwnerAlive says whether a process is thought to live. It decides only
-	// whether a resend is told "in progress" or "may have run", never whether
-	// it runs. Default: every process is alive.
+	// OwnerAlive reports whether a process is believed to be alive. It determines
+	// only whether a resend is answered "in progress" or "may have run", never
+	// whether it runs. Default: every process is alive.
 	OwnerAlive func(control.NodeID, control.Incarnation) bool
 	// Now is the monotonic clock. Default: time since New.
 	Now func() control.Instant
-	// WallClock stamps records for operators. Default time.Now.
+	// WallClock gives the timestamps that records hold for operators. Default
+	// time.Now.
 	WallClock func() time.Time
-	// Timeout bounds one claim, with all its calls to the table. Default 2s.
+	// Timeout limits one claim, including all its calls to the table. Default 2s.
 	Timeout time.Duration
-	// Lease bounds the time from sending a claim to dispatch under it. It must
+	// Lease limits the time from sending a claim to a dispatch under it. It must
 	// be far below the retention. Default 10m.
 	Lease time.Duration
-	// MaxStoredBytes bounds the header and body kept in a record; a larger
-	// answer is not kept, only that there was one. Default 16 KiB.
+	// MaxStoredBytes limits the header and body stored in a record; of a larger
+	// answer only the fact that there was one is stored. Default 16 KiB.
 	MaxStoredBytes int
-	// MaxPending bounds the ended records waiting to be written. Default 16384.
+	// MaxPending limits the ended records waiting to be written. Default 16384.
 	MaxPending int
-	// MaxPendingBytes bounds the answers held by these; past it records are
-	// written without their answers. Default 8 MiB.
+	// MaxPendingBytes limits the total size of the answers in those records;
+	// beyond it, records are written without their answers. Default 8 MiB.
 	MaxPendingBytes int
-	// RetryEvery is the pause before ended records are written again after
-	// the table failed. Default 250ms.
+	// RetryEvery is the delay before ended records are written again after a
+	// failure of the table. Default 250ms.
 	RetryEvery time.Duration
 	// EndDelay is how long an ended record may wait for others to be written in
-	// the same commit. It is not on the caller's path. Default 200ms.
+	// the same commit. It does not delay the caller. Default 200ms.
 	EndDelay time.Duration
-	// EpochLength is the shortest length of a retention epoch. Default 1h.
+	// EpochLength is the minimum length of a retention epoch. Default 1h.
 	EpochLength time.Duration
-	// Retention is for how many whole epochs a record is kept. Within it a
-	// resend does not run again. Default 24.
+	// Retention is the number of full epochs for which a record is kept. Within
+	// it a resend does not run again. Default 24.
 	Retention int
-	// ClaimedRetention is the same for records whose owner never ended them.
+	// ClaimedRetention is the same for records that their owner never ended.
 	// Default 168 (7 days).
 	ClaimedRetention int
-	// SweepEvery is the mean period of sweeps for expired records. Default 1m.
+	// SweepEvery is the mean interval between sweeps for expired records. Default 1m.
 	SweepEvery time.Duration
-	// Logger defaults to slog.Default().
+	// Logger receives the keeper's messages. Default slog.Default().
 	Logger *slog.Logger
-	// Metrics is where the counters are registered. Default: the global set.
+	// Metrics is the set in which the counters are registered. Default: the
+	// global set.
 	Metrics *metrics.Set
 }
 
@@ -106,7 +108,7 @@
 	return o
 }
 
-// setDefault sets a field that was left zero.
+// setDefault sets a field to value if it is zero.
 func setDefault[T ~int | ~int64](field *T, value T) {
 	if *field == 0 {
 		*field = value
--- a/runrecord/refuse.go
+++ b/runrecord/refuse.go
@@ -10,14 +10,15 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// retryAfterBase and retryAfterSpread set the advice to come back, spread so
-// that the refused do not wake together.
+// Refusals with retry advice tell the caller to come back after minRetryAfter
+// plus a random part of retryAfterJitter, so that refused callers do not all
+// return at the same time.
 const (
-	retryAfterBase   = time.Second
-	retryAfterSpread = 2 * time.Second
+	minRetryAfter    = time.Second
+	retryAfterJitter = 2 * time.Second
 )
 
-// refusalCodes are the codes that this package gives.
+// refusalCodes are the codes with which this package refuses requests.
 var refusalCodes = []result.Code{
 	result.RecordUnavailable,
 	result.RecordInProgress,
@@ -27,7 +28,7 @@
 	result.RecordNotKept,
 }
 
-// counters are the counters of a Keeper. docs/METRICS.md explains them.
+// counters are the metrics of a Keeper. docs/METRICS.md describes them.
 type counters struct {
 	claims         *metrics.Counter
 	replays        *metrics.Counter
@@ -57,12 +58,12 @@
 	return c
 }
 
-// refuse counts and returns a refusal with one of refusalCodes.
+// refuse returns a refusal with one of refusalCodes, and counts it.
 func (k *Keeper) refuse(code result.Code, detail string) *result.Error {
 	k.metrics.refusals[code].Inc()
 	refusal := result.New(code, "%s", detail)
 	if code.Info().Retry {
-		refusal = refusal.After(retryAfterBase + rand.N(retryAfterSpread))
+		refusal = refusal.After(minRetryAfter + rand.N(retryAfterJitter))
 	}
 	return refusal
 }
--- a/runrecord/runrecord_test.go
+++ b/runrecord/runrecord_test.go
@@ -13,9 +13,9 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-var deploy = Request{Workspace: "school", IdempotencyKey: "deploy-7", Fingerprint: 42}
+var testRequest = Request{Workspace: "school", IdempotencyKey: "deploy-7", Fingerprint: 42}
 
-// startKeeper starts a keeper that is closed with the test.
+// startKeeper starts a keeper that is stopped when the test ends.
 func startKeeper(t *testing.T, table store.Table, node control.NodeID, change ...func(*Options)) *Keeper {
 	options := Options{
 		Table:       table,
@@ -44,7 +44,7 @@
 	return decision.Claim
 }
 
-// wantRefused claims and requires a refusal with the code.
+// wantRefused checks that a claim for the request is refused with the code.
 func wantRefused(t *testing.T, k *Keeper, request Request, code result.Code) *result.Error {
 	t.Helper()
 	decision, err := k.Claim(context.Background(), request)
@@ -68,100 +68,101 @@
 }
 
 func TestAnswerIsReplayedByEveryRouter(t *testing.T) {
-	table := newTable()
+	table := newFaultyTable()
 	a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b")
-	claim := mustClaim(t, a, deploy)
-	refusal := wantRefused(t, b, deploy, result.RecordInProgress)
-	if refusal.RetryAfter < retryAfterBase || refusal.Ran != result.RanUnknown {
+	claim := mustClaim(t, a, testRequest)
+	refusal := wantRefused(t, b, testRequest, result.RecordInProgress)
+	if refusal.RetryAfter < minRetryAfter || refusal.Ran != result.RanUnknown {
 		t.Fatalf("bad advice: %+v", refusal)
 	}
-	wantRefused(t, a, deploy, result.RecordInProgress)
+	wantRefused(t, a, testRequest, result.RecordInProgress)
 	if err := claim.BeginDispatch(); err != nil {
 		t.Fatal(err)
 	}
 	claim.Answered(Outcome{Status: 201, Header: map[string]string{"X": "y"}, Body: []byte("done")})
 	flush(t, a)
 	for _, k := range []*Keeper{a, b} {
-		decision, err := k.Claim(context.Background(), deploy)
+		decision, err := k.Claim(context.Background(), testRequest)
 		if err != nil || decision.Replay == nil {
 			t.Fatalf("no replay: %+v, %v", decision, err)
 		}
 		if decision.Replay.Status != 201 || string(decision.Replay.Body) != "done" || decision.Replay.Header["X"] != "y" {
 			t.Fatalf("replayed %+v", decision.Replay)
 		}
-		other := deploy
+		other := testRequest
 		other.Fingerprint++
 		wantRefused(t, k, other, result.RecordMismatch)
 	}
 }
 
-func TestReplyOfInsertLost(t *testing.T) {
-	for _, f := range []fault{faultReplyLost, faultLate} {
-		table := newTable()
+func TestLostReplyOfInsert(t *testing.T) {
+	for _, f := range []commitFault{faultReplyLost, faultLate} {
+		table := newFaultyTable()
 		k := startKeeper(t, table, "a")
-		table.inject(f)
-		claim := mustClaim(t, k, deploy)
-		if n := table.land(); n != 0 {
-			t.Fatalf("a late insert took effect beside the claim")
+		table.injectFaults(f)
+		claim := mustClaim(t, k, testRequest)
+		if n := table.applyLate(); n != 0 {
+			t.Fatalf("a late insert took effect in addition to the claim")
 		}
 		claim.Answered(Outcome{Status: 200})
 		flush(t, k)
-		if got := table.stored(t, deploy); got.State != StateAnswered {
+		if got := table.storedRecord(t, testRequest); got.State != StateAnswered {
 			t.Fatalf("fault %d: stored %+v", f, got)
 		}
 	}
 }
 
-// The insert's outcome stays unknown: the request is refused as not run, and a
-// resend to another router can run once the table is back.
+// If the outcome of the insert stays unknown, the request is refused as not run,
+// and a resend to another router can run once the table is available again.
 func TestUnresolvedClaimIsReleased(t *testing.T) {
-	for _, f := range []fault{faultReplyLost, faultLate} {
-		table := newTable()
+	for _, f := range []commitFault{faultReplyLost, faultLate} {
+		table := newFaultyTable()
 		a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b")
-		table.inject(f)
-		table.setReadsDown(true)
-		refusal := wantRefused(t, a, deploy, result.RecordUnavailable)
+		table.injectFaults(f)
+		table.setReadsUnavailable(true)
+		refusal := wantRefused(t, a, testRequest, result.RecordUnavailable)
 		if refusal.Ran != result.RanNo {
 			t.Fatalf("refusal says ran %v", refusal.Ran)
 		}
-		table.setReadsDown(false)
+		table.setReadsUnavailable(false)
 		flush(t, a)
-		if got := table.stored(t, deploy); got.State != StateNotRun {
+		if got := table.storedRecord(t, testRequest); got.State != StateNotRun {
 			t.Fatalf("fault %d: stored %+v", f, got)
 		}
-		claim := mustClaim(t, b, deploy)
-		if n := table.land(); n != 0 {
+		claim := mustClaim(t, b, testRequest)
+		if n := table.applyLate(); n != 0 {
 			t.Fatal("a late insert took effect over another's claim")
 		}
 		claim.Answered(Outcome{Status: 200})
 	}
 }
 
-// A resend to the same router waits for the release and runs.
-func TestSameRouterRunsResendOfUnresolvedClaim(t *testing.T) {
-	table := newTable()
+// A resend to the same router waits for the release of the claim and then runs.
+func TestResendToSameRouterRunsAfterUnresolvedClaim(t *testing.T) {
+	table := newFaultyTable()
 	k := startKeeper(t, table, "a")
-	table.inject(faultReplyLost)
-	table.setReadsDown(true)
-	wantRefused(t, k, deploy, result.RecordUnavailable)
-	table.setReadsDown(false)
-	mustClaim(t, k, deploy)
+	table.injectFaults(faultReplyLost)
+	table.setReadsUnavailable(true)
+	wantRefused(t, k, testRequest, result.RecordUnavailable)
+	table.setReadsUnavailable(false)
+	mustClaim(t, k, testRequest)
 }
 
-// A claim that was given up cannot be dispatched under, and a resend runs.
+// After a claim was given up, nothing can be dispatched under it, and a resend
+// can run.
 func TestReleasedClaimCannotDispatch(t *testing.T) {
-	table := newTable()
+	table := newFaultyTable()
 	a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b")
-	first := mustClaim(t, a, deploy)
+	first := mustClaim(t, a, testRequest)
 	first.NotRun(result.NoTarget)
 	flush(t, a)
-	second := mustClaim(t, b, deploy)
+	second := mustClaim(t, b, testRequest)
 	if err := first.BeginDispatch(); err == nil {
 		t.Fatal("dispatch under a released claim")
 	}
-	first.Answered(Outcome{Status: 200}) // too late to count
+	first.Answered(Outcome{Status: 200}) // too late to have an effect
 	flush(t, a)
-	if got := table.stored(t, deploy); got.State != StateClaimed || got.Owner.Node != "b" {
+	if got := table.storedRecord(t, testRequest); got.State != StateClaimed || got.Owner.Node != "b" {
 		t.Fatalf("stored %+v", got)
 	}
 	if err := second.BeginDispatch(); err != nil {
@@ -171,11 +172,11 @@
 
 func TestClaimLapses(t *testing.T) {
 	var now control.Instant
-	k := startKeeper(t, newTable(), "a", func(o *Options) {
+	k := startKeeper(t, newFaultyTable(), "a", func(o *Options) {
 		o.Now = func() control.Instant { return now }
 		o.Lease = time.Minute
 	})
-	claim := mustClaim(t, k, deploy)
+	claim := mustClaim(t, k, testRequest)
 	now = time.Minute - 1
 	if err := claim.BeginDispatch(); err != nil {
 		t.Fatal(err)
@@ -187,121 +188,122 @@
 	}
 }
 
-// The record of a gone owner is never run again, whatever its owner did.
-func TestRecordOfGoneOwner(t *testing.T) {
-	table := newTable()
+// A request whose owner died is never run again, whether or not the owner
+// dispatched it.
+func TestRecordOfDeadOwnerIsNotRunAgain(t *testing.T) {
+	table := newFaultyTable()
 	gone := func(o *Options) {
 		o.OwnerAlive = func(node control.NodeID, _ control.Incarnation) bool { return node != "a" }
 	}
 	a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b", gone)
-	paused := mustClaim(t, a, deploy)
-	wantRefused(t, b, deploy, result.RecordUnknown)
+	paused := mustClaim(t, a, testRequest)
+	wantRefused(t, b, testRequest, result.RecordUnknown)
 	if err := paused.BeginDispatch(); err != nil {
 		t.Fatal(err)
 	}
 	paused.Unknown(result.StreamBroken)
 	flush(t, a)
 	for _, k := range []*Keeper{a, b} {
-		if refusal := wantRefused(t, k, deploy, result.RecordUnknown); refusal.Ran != result.RanUnknown {
+		if refusal := wantRefused(t, k, testRequest, result.RecordUnknown); refusal.Ran != result.RanUnknown {
 			t.Fatalf("refusal says ran %v", refusal.Ran)
 		}
 	}
 }
 
-func TestTableDown(t *testing.T) {
-	table := newTable()
+func TestBreakerOpensWhileTableIsUnavailable(t *testing.T) {
+	table := newFaultyTable()
 	var now control.Instant
 	k := startKeeper(t, table, "a", func(o *Options) { o.Now = func() control.Instant { return now } })
-	for range breakerFailures {
-		table.inject(faultDown)
-		if refusal := wantRefused(t, k, deploy, result.RecordUnavailable); refusal.Ran != result.RanNo {
+	for range breakerThreshold {
+		table.injectFaults(faultUnavailable)
+		if refusal := wantRefused(t, k, testRequest, result.RecordUnavailable); refusal.Ran != result.RanNo {
 			t.Fatalf("refusal says ran %v", refusal.Ran)
 		}
 	}
-	if refusal := wantRefused(t, k, deploy, result.RecordUnavailable); !errors.Is(refusal, errBreakerOpen) {
-		t.Fatalf("the table was asked again at once: %v", refusal)
+	if refusal := wantRefused(t, k, testRequest, result.RecordUnavailable); !errors.Is(refusal, errBreakerOpen) {
+		t.Fatalf("the table was called again immediately: %v", refusal)
 	}
-	now += breakerPause
-	mustClaim(t, k, deploy)
-	other := deploy
+	now += breakerRetryInterval
+	mustClaim(t, k, testRequest)
+	other := testRequest
 	other.IdempotencyKey = "deploy-8"
 	mustClaim(t, k, other)
 }
 
 func TestAnswerOverTheLimitIsNotKept(t *testing.T) {
-	table := newTable()
+	table := newFaultyTable()
 	k := startKeeper(t, table, "a", func(o *Options) { o.MaxStoredBytes = 10 })
-	mustClaim(t, k, deploy).Answered(Outcome{Status: 200, Body: make([]byte, 11)})
+	mustClaim(t, k, testRequest).Answered(Outcome{Status: 200, Body: make([]byte, 11)})
 	flush(t, k)
-	if got := table.stored(t, deploy).Outcome; got.Body != nil || !got.BodyOmitted {
+	if got := table.storedRecord(t, testRequest).Outcome; got.Body != nil || !got.BodyOmitted {
 		t.Fatalf("stored %+v", got)
 	}
-	if refusal := wantRefused(t, k, deploy, result.RecordNotKept); refusal.Ran != result.RanYes {
+	if refusal := wantRefused(t, k, testRequest, result.RecordNotKept); refusal.Ran != result.RanYes {
 		t.Fatalf("refusal says ran %v", refusal.Ran)
 	}
 }
 
-// While the table is down the ended records wait in bounded memory.
+// While the table is unavailable, the ended records wait in bounded memory.
 func TestPendingEndsAreBounded(t *testing.T) {
-	k := newKeeper(Options{Table: newTable(), Node: "a", MaxPending: 2, MaxPendingBytes: 5, Metrics: metrics.NewSet()})
+	k := newKeeper(Options{Table: newFaultyTable(), Node: "a", MaxPending: 2, MaxPendingBytes: 5, Metrics: metrics.NewSet()})
 	for _, key := range []string{"1", "2", "3"} {
 		mustClaim(t, k, Request{Workspace: "w", IdempotencyKey: key}).Answered(Outcome{Body: []byte("four")})
 	}
 	if len(k.queue) != 2 || len(k.entries) != 2 || k.pendingBytes != 4 || !k.queue[1].record.Outcome.BodyOmitted {
 		t.Fatalf("%d queued, %d known, %d bytes", len(k.queue), len(k.entries), k.pendingBytes)
 	}
-	// The end that was dropped is lost: nobody here runs the request any more.
+	// The dropped end is lost: this router no longer runs the request.
 	wantRefused(t, k, Request{Workspace: "w", IdempotencyKey: "3"}, result.RecordUnknown)
 	if !k.writeBatch(context.Background(), k.nextBatch()) || len(k.entries) != 0 || k.pendingBytes != 0 {
 		t.Fatalf("%d known, %d bytes after writing", len(k.entries), k.pendingBytes)
 	}
 }
 
-// The update that replaces a given-up claim is lost in the same ways as an
-// insert: once refused, it must not take effect later.
+// The update that replaces a given-up claim can fail in the same ways as an
+// insert: once its request was refused, it must not take effect later.
 func TestLateReclaimIsFenced(t *testing.T) {
-	table := newTable()
+	table := newFaultyTable()
 	a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b")
-	mustClaim(t, b, deploy).NotRun(result.NoTarget)
+	mustClaim(t, b, testRequest).NotRun(result.NoTarget)
 	flush(t, b)
-	table.inject(faultNone, faultLate, faultDown) // the insert, the update, the update again
-	wantRefused(t, a, deploy, result.RecordUnavailable)
+	table.injectFaults(faultNone, faultLate, faultUnavailable) // the insert, the update, the update again
+	wantRefused(t, a, testRequest, result.RecordUnavailable)
 	flush(t, a)
-	if n := table.land(); n != 0 {
+	if n := table.applyLate(); n != 0 {
 		t.Fatal("a late update claimed the request after it was refused")
 	}
-	mustClaim(t, b, deploy)
+	mustClaim(t, b, testRequest)
 }
 
-// advance lets an epoch pass for a sweeper whose clock is now.
-func advance(t *testing.T, s *sweeper, now *control.Instant) {
+// advanceEpoch lets an epoch pass for a sweeper that uses the clock now.
+func advanceEpoch(t *testing.T, s *sweeper, now *control.Instant) {
 	t.Helper()
 	for range 2 {
-		if err := s.step(context.Background()); err != nil {
+		if err := s.sweep(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		*now += defaultEpochLength
 	}
 }
 
-func TestRecordsAreKeptForTheirRetention(t *testing.T) {
-	table := newTable()
+func TestRecordsExpireAfterTheirRetention(t *testing.T) {
+	table := newFaultyTable()
 	var now control.Instant
 	k := newKeeper(Options{
 		Table: table, Node: "a", Incarnation: 7, Metrics: metrics.NewSet(),
 		Now:       func() control.Instant { return now },
 		Retention: 2, ClaimedRetention: 4,
 	})
-	claimed := deploy
+	claimed := testRequest
 	claimed.IdempotencyKey = "claimed"
 	mustClaim(t, k, claimed)
-	mustClaim(t, k, deploy).Answered(Outcome{Status: 200})
+	mustClaim(t, k, testRequest).Answered(Outcome{Status: 200})
 	k.writeBatch(context.Background(), k.nextBatch())
 	s := &sweeper{keeper: k}
 	for epoch, want := range []int{2, 2, 2, 1, 1, 0} {
 		// Steps within one epoch neither advance it nor delete more.
 		for range 3 {
-			if err := s.step(context.Background()); err != nil {
+			if err := s.sweep(context.Background()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -313,21 +315,21 @@
 			t.Fatalf("epoch %d: %d records, want %d (%v)", epoch+1, len(rows), want, err)
 		}
 		now += defaultEpochLength
-		_ = s.step(context.Background())
+		_ = s.sweep(context.Background())
 	}
 }
 
-// A router that was paused stamps its claims with the epoch in force, not with
-// the one that it remembers.
-func TestStaleEpochIsNotStamped(t *testing.T) {
-	table := newTable()
+// A router that was paused must record the epoch in force in its claims, not
+// the one that it has cached.
+func TestClaimUsesCurrentEpoch(t *testing.T) {
+	table := newFaultyTable()
 	var now control.Instant
 	a := startKeeper(t, table, "a")
 	mustClaim(t, a, Request{Workspace: "w", IdempotencyKey: "first"})
 	b := newKeeper(Options{Table: table, Node: "b", Metrics: metrics.NewSet(), Now: func() control.Instant { return now }})
-	advance(t, newSweeper(b), &now)
-	mustClaim(t, a, deploy)
-	if got := table.stored(t, deploy).Epoch; got != 2 {
+	advanceEpoch(t, newSweeper(b), &now)
+	mustClaim(t, a, testRequest)
+	if got := table.storedRecord(t, testRequest).Epoch; got != 2 {
 		t.Fatalf("claimed in epoch %d, want 2", got)
 	}
 }
--- a/runrecord/sweep.go
+++ b/runrecord/sweep.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// sweepRows is how many rows one sweep reads.
-	sweepRows = 256
-	// maxSweeps bounds the sweeps in a row while many rows are found expired.
-	maxSweeps = 10
+	// sweepPageRows is the number of rows that a sweep reads at once.
+	sweepPageRows = 256
+	// maxPagesPerSweep limits the pages of one sweep while many rows are expired.
+	maxPagesPerSweep = 10
 )
 
 // sweeper advances the retention epoch and deletes expired records. Every
-// router runs one; they need not agree, since every write is conditional.
+// router runs one; they need no coordination, since every write is conditional.
 type sweeper struct {
 	keeper *Keeper
-	// cursor is where the next sweep begins.
+	// cursor is the key at which the next page begins.
 	cursor string
-	// seen is the epoch as last read, first seen at seenAt.
-	seen   epoch
-	seenAt control.Instant
+	// lastEpoch is the epoch as last read, first read at lastEpochSeenAt.
+	lastEpoch       epoch
+	lastEpochSeenAt control.Instant
 }
 
-// newSweeper returns a sweeper that begins anywhere, so that the routers of a
-// fleet are spread over the table.
+// newSweeper returns a sweeper that begins at a random key, so that the routers
+// of a fleet sweep different parts of the table.
 func newSweeper(k *Keeper) *sweeper {
 	return &sweeper{keeper: k, cursor: fmt.Sprintf("%08x", rand.Uint32())}
 }
@@ -45,45 +45,46 @@
 		case <-ctx.Done():
 			return
 		}
-		if err := s.step(ctx); err != nil {
+		if err := s.sweep(ctx); err != nil {
 			s.keeper.options.Logger.Warn("runrecord: Sweep failed.", "error", err)
 		}
 	}
 }
 
-// step follows and advances the epoch, and sweeps a part of the table.
-func (s *sweeper) step(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, maxSweeps*s.keeper.options.Timeout)
+// sweep reads the epoch, advances it if due, and sweeps a part of the table. It
+// reads a further page only if at least half of a full page was expired.
+func (s *sweeper) sweep(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, maxPagesPerSweep*s.keeper.options.Timeout)
 	defer cancel()
-	if err := s.followEpoch(ctx); err != nil {
+	if err := s.updateEpoch(ctx); err != nil {
 		return err
 	}
-	for range maxSweeps {
-		read, expired, err := s.sweep(ctx)
+	for range maxPagesPerSweep {
+		read, expired, err := s.sweepPage(ctx)
 		if err != nil {
 			return err
 		}
-		if read < sweepRows || 2*expired < read {
+		if read < sweepPageRows || 2*expired < read {
 			return nil
 		}
 	}
 	return nil
 }
 
-// followEpoch reads the epoch, and advances it once this process has seen it
-// stand still for a whole period.
-func (s *sweeper) followEpoch(ctx context.Context) error {
+// updateEpoch reads the epoch, and advances it once this process has observed it
+// unchanged for Options.EpochLength.
+func (s *sweeper) updateEpoch(ctx context.Context) error {
 	known, err := s.keeper.epoch.refresh(ctx, s.keeper.options.Table)
 	if err != nil {
 		return err
 	}
 	now := s.keeper.options.Now()
-	if known != s.seen {
-		s.seen = known
-		s.seenAt = now
+	if known != s.lastEpoch {
+		s.lastEpoch = known
+		s.lastEpochSeenAt = now
 		return nil
 	}
-	if now-s.seenAt < s.keeper.options.EpochLength {
+	if now-s.lastEpochSeenAt < s.keeper.options.EpochLength {
 		return nil
 	}
 	next := strconv.FormatUint(known.number+1, 10)
@@ -94,7 +95,7 @@
 		Value:    []byte(next),
 		Revision: known.revision,
 	}
-	s.keeper.epoch.forget()
+	s.keeper.epoch.invalidate()
 	err = s.keeper.options.Table.Commit(ctx, []store.Op{op})
 	if errors.Is(err, store.ErrConflict) {
 		return nil // another router advanced it
@@ -102,48 +103,48 @@
 	return err
 }
 
-// sweep reads one page of records and deletes the expired ones.
-func (s *sweeper) sweep(ctx context.Context) (read, expired int, err error) {
-	rows, err := s.keeper.options.Table.Scan(ctx, Table, s.cursor, sweepRows)
+// sweepPage reads one page of records and deletes the expired ones.
+func (s *sweeper) sweepPage(ctx context.Context) (read, expired int, err error) {
+	rows, err := s.keeper.options.Table.Scan(ctx, Table, s.cursor, sweepPageRows)
 	if err != nil {
-		return 0, 0, fmt.Errorf("runrecord: records cannot be scanned: %w", err)
+		return 0, 0, fmt.Errorf("runrecord: scan records: %w", err)
 	}
 	s.cursor = ""
-	if len(rows) == sweepRows {
+	if len(rows) == sweepPageRows {
 		s.cursor = rows[len(rows)-1].Key + "\x00"
 	}
 	var deletes []store.Op
 	for _, row := range rows {
-		if s.expired(row) {
+		if s.isExpired(row) {
 			deletes = append(deletes, deleteOp(row))
 		}
 	}
 	return len(rows), len(deletes), s.delete(ctx, deletes)
 }
 
-// expired says whether a record has outlived its retention. A record that is
+// isExpired reports whether a record has exceeded its retention. A record that is
 // still claimed is kept longer: only its owner knows whether it was dispatched.
-func (s *sweeper) expired(row store.Row) bool {
+func (s *sweeper) isExpired(row store.Row) bool {
 	record, err := decode(row.Value)
 	if err != nil {
-		s.keeper.options.Logger.Error("runrecord: Record cannot be read.", "key", row.Key, "error", err)
+		s.keeper.options.Logger.Error("runrecord: Decoding a record failed.", "key", row.Key, "error", err)
 		return false
 	}
 	retention := s.keeper.options.Retention
 	if record.State == StateClaimed {
 		retention = s.keeper.options.ClaimedRetention
 	}
-	return s.seen.number > record.Epoch+uint64(retention)
+	return s.lastEpoch.number > record.Epoch+uint64(retention)
 }
 
-// delete deletes rows in as few commits as allowed. Where a condition fails,
-// a row of the commit has changed; the next sweep meets it again.
+// delete deletes rows in as few commits as possible. If a commit fails with
+// a conflict, one of its rows has changed; a later sweep reads them again.
 func (s *sweeper) delete(ctx context.Context, deletes []store.Op) error {
 	for len(deletes) > 0 {
-		n := min(len(deletes), maxBatch)
+		n := min(len(deletes), maxBatchEnds)
 		err := s.keeper.options.Table.Commit(ctx, deletes[:n])
 		if err != nil && !errors.Is(err, store.ErrConflict) {
-			return fmt.Errorf("runrecord: expired records cannot be deleted: %w", err)
+			return fmt.Errorf("runrecord: delete expired records: %w", err)
 		}
 		if err == nil {
 			s.keeper.metrics.deleted.Add(n)
--- a/runrecord/writer.go
+++ b/runrecord/writer.go
@@ -8,67 +8,67 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// maxBatch and maxBatchBytes bound the ends that one commit writes.
+// maxBatchEnds and maxBatchBytes limit the ends written in one commit.
 const (
-	maxBatch      = 64
+	maxBatchEnds  = 64
 	maxBatchBytes = 512 << 10
 )
 
 // writeEnds writes the ends of claims until ctx is done. Ends that arrive
-// while one commit is under way go into the next, so that the number of
+// during a commit are written together in the next one, so that the number of
 // commits does not grow with the load.
 func (k *Keeper) writeEnds(ctx context.Context) {
 	for ctx.Err() == nil {
-		k.awaitEnds(ctx)
+		k.waitForEnds(ctx)
 		batch := k.nextBatch()
 		if len(batch) == 0 || k.writeBatch(ctx, batch) {
 			continue
 		}
 		k.metrics.endRetries.Inc()
-		k.pause(ctx, k.options.RetryEvery)
+		k.sleepUnlessFlushing(ctx, k.options.RetryEvery)
 	}
 }
 
-// awaitEnds waits for an end, and then a little for others.
-func (k *Keeper) awaitEnds(ctx context.Context) {
-	if k.queued() == 0 {
+// waitForEnds waits for an end, and then for up to Options.EndDelay for others.
+func (k *Keeper) waitForEnds(ctx context.Context) {
+	if k.queueLength() == 0 {
 		select {
-		case <-k.wake:
+		case <-k.queueGrew:
 		case <-ctx.Done():
 			return
 		}
 	}
-	if k.queued() < maxBatch {
-		k.pause(ctx, k.options.EndDelay)
+	if k.queueLength() < maxBatchEnds {
+		k.sleepUnlessFlushing(ctx, k.options.EndDelay)
 	}
 }
 
-func (k *Keeper) queued() int {
+func (k *Keeper) queueLength() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.queue)
 }
 
-// pause waits, unless somebody waits for the writer.
-func (k *Keeper) pause(ctx context.Context, d time.Duration) {
+// sleepUnlessFlushing waits for d, or until a goroutine waits for the writer.
+func (k *Keeper) sleepUnlessFlushing(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-k.hurry:
+	case <-k.flushRequested:
 	case <-ctx.Done():
 	}
 }
 
-// nextBatch returns the oldest ends that fit one commit.
+// nextBatch returns the oldest ends that fit into one commit.
 func (k *Keeper) nextBatch() []*entry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var batch []*entry
 	size := 0
 	for _, e := range k.queue {
-		size += e.record.Outcome.bytes()
-		if len(batch) == maxBatch || (len(batch) > 0 && size > maxBatchBytes) {
+		size += e.record.Outcome.size()
+		if len(batch) == maxBatchEnds || (len(batch) > 0 && size > maxBatchBytes) {
 			break
 		}
 		batch = append(batch, e)
@@ -76,42 +76,43 @@
 	return batch
 }
 
-// writeBatch writes the ends in one commit, and one by one if that fails for a
-// condition. It says whether the whole batch was written.
+// writeBatch writes the ends in one commit, or one by one if a revision is
+// unknown or the commit conflicts. It reports whether the whole batch was written.
 func (k *Keeper) writeBatch(ctx context.Context, batch []*entry) bool {
 	callCtx, cancel := context.WithTimeout(ctx, k.options.Timeout)
 	defer cancel()
 	var ops []store.Op
 	for _, e := range batch {
 		if e.revision == 0 {
-			return k.writeEach(ctx, batch)
+			return k.writeOneByOne(ctx, batch)
 		}
 		ops = append(ops, endOp(e, store.OpUpdate, e.revision))
 	}
 	err := k.options.Table.Commit(callCtx, ops)
 	if err == nil {
-		k.written(batch...)
+		k.removeWritten(batch...)
 		return true
 	}
 	if errors.Is(err, store.ErrConflict) {
-		return k.writeEach(ctx, batch)
+		return k.writeOneByOne(ctx, batch)
 	}
 	return false
 }
 
-// writeEach writes the ends one by one.
-func (k *Keeper) writeEach(ctx context.Context, batch []*entry) bool {
+// writeOneByOne writes each end in a commit of its own, up to the first failure.
+// It reports whether all were written.
+func (k *Keeper) writeOneByOne(ctx context.Context, batch []*entry) bool {
 	for _, e := range batch {
 		if err := k.writeEnd(ctx, e); err != nil {
-			k.options.Logger.Warn("runrecord: End not written.", "error", err)
+			k.options.Logger.Warn("runrecord: Writing the end of a record failed.", "error", err)
 			return false
 		}
-		k.written(e)
+		k.removeWritten(e)
 	}
 	return true
 }
 
-// writeEnd reads the row and writes the end if the row is still the claim's.
+// writeEnd reads the row and writes the end if the row still holds the claim.
 func (k *Keeper) writeEnd(ctx context.Context, e *entry) error {
 	ctx, cancel := context.WithTimeout(ctx, k.options.Timeout)
 	defer cancel()
@@ -124,13 +125,13 @@
 	case record == nil && !e.unresolved:
 		return nil // deleted after its retention
 	case record == nil:
-		// The insert may still be under way: the row that is written here
-		// makes it fail when it arrives.
+		// The claim's insert may still be in flight: inserting the row here makes
+		// it fail on arrival.
 		op = endOp(e, store.OpInsert, 0)
 	case record.Owner != e.record.Owner && record.State == StateNotRun && e.unresolved:
-		// The update may still be under way: rewriting the row makes it fail.
+		// The claim's update may still be in flight: rewriting the row makes it fail.
 	case record.Owner != e.record.Owner || record.State != StateClaimed:
-		return nil // another's, or written by a commit whose reply was lost
+		return nil // another owner's, or written by a commit whose reply was lost
 	}
 	return k.options.Table.Commit(ctx, []store.Op{op})
 }
@@ -139,13 +140,13 @@
 	return store.Op{Kind: kind, Table: Table, Key: e.key, Value: e.record.encode(), Revision: revision}
 }
 
-// written removes entries whose ends are in the table.
-func (k *Keeper) written(batch ...*entry) {
+// removeWritten removes the entries of a batch, whose ends are in the table.
+func (k *Keeper) removeWritten(batch ...*entry) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, e := range batch {
-		k.pendingBytes -= e.record.Outcome.bytes()
-		k.forget(e)
+		k.pendingBytes -= e.record.Outcome.size()
+		k.removeEntry(e)
 	}
 	k.queue = k.queue[len(batch):]
 }
