--- a/store/classify.go
+++ b/store/classify.go
@@ -8,25 +8,25 @@
 	"github.com/valyala/fasthttp"
 )
 
-// classify turns what came back into an answer or a Failure.
-func (c *Client) classify(op operation, result tryResult) (answer, *Failure) {
+// classify turns the result of an attempt into a response or a Failure.
+func (c *Client) classify(op operation, result attemptResult) (platformResponse, *Failure) {
 	if result.err != nil {
 		reason, kind := classifyTransport(result.err)
-		return answer{}, c.fail(op, kind, reason, result.err)
+		return platformResponse{}, c.newFailure(op, kind, reason, result.err)
 	}
-	if result.status == fasthttp.StatusOK || result.answer.unchanged {
-		return result.answer, nil
+	if result.status == fasthttp.StatusOK || result.response.notModified {
+		return result.response, nil
 	}
 	var reply ErrorReply
-	if err := json.Unmarshal(result.answer.body, &reply); err != nil {
-		return answer{}, c.fail(op, ErrUnknown, reasonBadReply, fmt.Errorf("status %d without an error code", result.status))
+	if err := json.Unmarshal(result.response.body, &reply); err != nil {
+		return platformResponse{}, c.newFailure(op, ErrUnknown, reasonBadReply, fmt.Errorf("status %d without an error code", result.status))
 	}
 	reason, kind := classifyCode(reply.Code)
-	return answer{}, c.fail(op, kind, reason, fmt.Errorf("status %d, code %q: %s", result.status, reply.Code, reply.Detail))
+	return platformResponse{}, c.newFailure(op, kind, reason, fmt.Errorf("status %d, code %q: %s", result.status, reply.Code, reply.Detail))
 }
 
-// classifyTransport tells a call that was surely not sent from one that may
-// have been. When in doubt it was sent.
+// classifyTransport distinguishes calls that were certainly not sent from those
+// that may have been. If in doubt, the call counts as sent.
 func classifyTransport(err error) (reason, error) {
 	var dial *dialError
 	switch {
@@ -43,8 +43,8 @@
 	}
 }
 
-// classifyCode maps the platform's own error codes; each proves that the call
-// was not applied. An unknown code proves nothing.
+// classifyCode maps the platform's error codes. Each known code proves that the
+// call was not applied; an unknown code proves nothing.
 func classifyCode(code ErrorCode) (reason, error) {
 	switch code {
 	case CodeNotFound:
--- a/store/classify_test.go
+++ b/store/classify_test.go
@@ -14,8 +14,8 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// answerWith runs a server with a fixed answer and returns a client of it.
-func answerWith(t *testing.T, handler http.HandlerFunc) *store.Client {
+// newClientFor runs a server with the given handler and returns a client of it.
+func newClientFor(t *testing.T, handler http.HandlerFunc) *store.Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	client := store.NewClient(store.Options{
@@ -29,9 +29,9 @@
 	return client
 }
 
-// TestForeignAnswers checks that only the platform's own error codes prove
-// that a write was not applied.
-func TestForeignAnswers(t *testing.T) {
+// TestOnlyPlatformErrorCodesProveNoEffect checks that a failed write counts as
+// not applied only if the response holds one of the platform's own error codes.
+func TestOnlyPlatformErrorCodesProveNoEffect(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
@@ -52,7 +52,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			calls := 0
-			client := answerWith(t, func(w http.ResponseWriter, _ *http.Request) {
+			client := newClientFor(t, func(w http.ResponseWriter, _ *http.Request) {
 				calls++
 				w.WriteHeader(c.status)
 				_, _ = io.WriteString(w, c.body)
@@ -65,17 +65,17 @@
 	}
 }
 
-func TestTruncatedAnswer(t *testing.T) {
-	client := answerWith(t, func(w http.ResponseWriter, _ *http.Request) {
+func TestTruncatedResponse(t *testing.T) {
+	client := newClientFor(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, `{"revision":1}`)
 	})
 	wantError(t, client.Commit(background, insert("a")), store.ErrUnknown, "reply_lost")
 }
 
-// TestClosedEarly checks that a write whose connection is closed unanswered is
-// not sent again: fasthttp would do so by itself.
-func TestClosedEarly(t *testing.T) {
+// TestWriteIsNotResentAfterConnectionClose checks that a write is not sent again
+// if its connection is closed without a response: fasthttp does so by default.
+func TestWriteIsNotResentAfterConnectionClose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -105,9 +105,9 @@
 	}
 }
 
-func TestReadsRetry(t *testing.T) {
+func TestReadsAreRetried(t *testing.T) {
 	calls := 0
-	client := answerWith(t, func(w http.ResponseWriter, _ *http.Request) {
+	client := newClientFor(t, func(w http.ResponseWriter, _ *http.Request) {
 		if calls++; calls < 3 {
 			w.WriteHeader(http.StatusBadGateway)
 			return
@@ -120,9 +120,9 @@
 	}
 }
 
-func TestReadsGiveUp(t *testing.T) {
+func TestReadRetriesAreLimited(t *testing.T) {
 	calls := 0
-	client := answerWith(t, func(w http.ResponseWriter, _ *http.Request) {
+	client := newClientFor(t, func(w http.ResponseWriter, _ *http.Request) {
 		calls++
 		w.WriteHeader(http.StatusBadGateway)
 	})
--- a/store/client.go
+++ b/store/client.go
@@ -24,37 +24,40 @@
 	DefaultWriteBurst      = 50
 	DefaultMaxWriteWait    = 200 * time.Millisecond
 	DefaultMaxConns        = 64
-	// queuedPerConn bounds the calls that wait for each connection.
-	queuedPerConn = 64
-	// maxIdleConn closes idle connections before a server is likely to.
-	maxIdleConn = 5 * time.Second
+	// maxQueuedPerConn limits the calls that wait for a connection, per connection.
+	maxQueuedPerConn = 64
+	// maxIdleConnDuration is how long a connection may be idle before it is closed.
+	// It is short so that the client closes the connection before the server does.
+	maxIdleConnDuration = 5 * time.Second
 )
 
-// Options configure a Client. Zero values take the stated defaults.
+// Options configures a Client. Zero fields take the stated defaults.
 type Options struct {
 	// Address is the "ip:port" of the platform. Required.
 	Address string
-	// Timeout bounds each try of a call, waiting for a connection included.
-	// A read may take ReadAttempts tries. Default 2 s.
+	// Timeout limits each attempt of a call, including the wait for a connection.
+	// A read may take ReadAttempts attempts. Default 2 s.
 	Timeout time.Duration
-	// DialTimeout bounds the opening of a connection. Default 500 ms.
+	// DialTimeout limits the opening of a connection. Default 500 ms.
 	DialTimeout time.Duration
-	// ReadAttempts bounds the tries of a read. Writes are tried once. Default 3.
+	// ReadAttempts limits the attempts of a read. Writes are attempted once. Default 3.
 	ReadAttempts int
-	// ReadBackoff is the mean wait before the second try of a read; it doubles
-	// up to MaxReadBackoff and is jittered by half. Defaults 25 ms and 500 ms.
+	// ReadBackoff is the mean delay before the second attempt of a read; it
+	// doubles up to MaxReadBackoff and is jittered by half. Defaults 25 ms and
+	// 500 ms.
 	ReadBackoff    time.Duration
 	MaxReadBackoff time.Duration
-	// WritesPerSecond and WriteBurst are this client's budget of commits and
-	// object writes. Default 50 and 50.
+	// WritesPerSecond and WriteBurst are this client's budget for commits and
+	// object writes. Defaults 50 and 50.
 	WritesPerSecond float64
 	WriteBurst      int
-	// MaxWriteWait bounds the wait for the budget; a write that would wait
-	// longer fails with ErrUnavailable at once. Default 200 ms.
+	// MaxWriteWait limits the wait for the write budget; a write that would wait
+	// longer fails immediately with ErrUnavailable. Default 200 ms.
 	MaxWriteWait time.Duration
-	// MaxConns bounds the connections, and so the calls in flight. Default 64.
+	// MaxConns limits the connections, and thereby the calls in flight. Default 64.
 	MaxConns int
-	// Metrics receives the client's counters. Default: the process's own set.
+	// Metrics is the set in which the client's metrics are registered. Default:
+	// the global set.
 	Metrics *metrics.Set
 }
 
@@ -80,15 +83,16 @@
 	}
 }
 
-// Client calls the platform over HTTP. It implements RevisionTable, VMList
-// and Weights; Objects returns the object store. All methods are safe for concurrent use.
+// Client is the HTTP client of the platform. It implements RevisionTable, VMList
+// and Weights; Objects returns a client of the object store. All methods are safe
+// for concurrent use.
 type Client struct {
 	options  Options
 	http     *fasthttp.HostClient
 	pool     pond.Pool
 	budget   *rate.Limiter
 	counters counters
-	vms      vmList
+	vmList   vmListCache
 }
 
 var (
@@ -97,10 +101,10 @@
 	_ Weights       = (*Client)(nil)
 )
 
-// NewClient returns a client. It connects on the first call.
+// NewClient returns a client, which connects on the first call.
 func NewClient(options Options) *Client {
 	options = options.withDefaults()
-	queue := options.MaxConns * queuedPerConn
+	queue := options.MaxConns * maxQueuedPerConn
 	return &Client{
 		options:  options,
 		http:     newHostClient(options),
@@ -111,14 +115,14 @@
 }
 
 // Close waits for the calls in flight, at most Options.Timeout, and closes the
-// connections. Calls made after it fail with ErrUnavailable.
+// connections. Later calls fail with ErrUnavailable.
 func (c *Client) Close() {
 	c.pool.StopAndWait()
 	c.http.CloseIdleConnections()
 }
 
 // SetWriteRate changes the write budget, in writes a second. A router that knows
-// the size of its fleet gives itself its part of what the platform takes.
+// the size of its fleet sets its share of the platform's write rate.
 func (c *Client) SetWriteRate(perSecond float64) {
 	c.budget.SetLimit(rate.Limit(perSecond))
 }
@@ -137,8 +141,8 @@
 	return row, err
 }
 
-// Scan implements Table. It reads as many pages as it takes; the pages are not
-// one snapshot of the table.
+// Scan implements Table. It reads as many pages as necessary; together they are
+// not a consistent snapshot of the table.
 func (c *Client) Scan(ctx context.Context, table, from string, limit int) ([]Row, error) {
 	if err := CheckName("table", table); err != nil {
 		return nil, err
@@ -179,13 +183,13 @@
 	if err := CheckOps(ops); err != nil {
 		return 0, err
 	}
-	answer, err := c.post(ctx, opCommit, PathCommit, CommitRequest{Ops: ops})
+	body, err := c.post(ctx, opCommit, PathCommit, CommitRequest{Ops: ops})
 	if err != nil {
 		return 0, err
 	}
 	var reply CommitReply
-	if err := json.Unmarshal(answer, &reply); err != nil || reply.Revision == 0 {
-		return 0, c.fail(opCommit, ErrUnknown, reasonBadReply, err)
+	if err := json.Unmarshal(body, &reply); err != nil || reply.Revision == 0 {
+		return 0, c.newFailure(opCommit, ErrUnknown, reasonBadReply, err)
 	}
 	return reply.Revision, nil
 }
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -13,8 +13,8 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// TestWriteOutcomes checks that a write is tried once, that its error says
-// truly whether it was applied, and that the failure is counted by reason.
+// TestWriteOutcomes checks that a write is attempted once, that its error states
+// correctly whether it was applied, and that the failure is counted by reason.
 func TestWriteOutcomes(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -34,7 +34,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f := start(t, store.Options{Timeout: 200 * time.Millisecond})
+			f := newFixture(t, store.Options{Timeout: 200 * time.Millisecond})
 			f.setFaults(t, c.faults)
 			if c.faults.WritesPerSecond > 0 {
 				if err := f.Commit(background, insert("first")); err != nil {
@@ -49,7 +49,7 @@
 				return
 			}
 			wantError(t, err, c.kind, c.reason)
-			if got := len(f.applied()); got != c.applied {
+			if got := len(f.appliedKeys()); got != c.applied {
 				t.Errorf("%d writes applied, want %d", got, c.applied)
 			}
 			if got := f.counter(`walnut_platform_errors_total{op="commit",reason=%q}`, c.reason); got != 1 {
@@ -59,8 +59,8 @@
 	}
 }
 
-func TestNothingListens(t *testing.T) {
-	f := start(t, store.Options{})
+func TestConnectionRefused(t *testing.T) {
+	f := newFixture(t, store.Options{})
 	if err := f.server.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -72,10 +72,10 @@
 	}
 }
 
-// TestRestart checks that reads survive a restart of the platform, which
-// leaves the client with closed connections.
-func TestRestart(t *testing.T) {
-	f := start(t, store.Options{})
+// TestReadsSurviveAPlatformRestart checks that reads succeed after a restart of
+// the platform, which leaves the client with closed connections.
+func TestReadsSurviveAPlatformRestart(t *testing.T) {
+	f := newFixture(t, store.Options{})
 	if err := f.Commit(background, insert("a")); err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 }
 
 func TestWriteBudget(t *testing.T) {
-	f := start(t, store.Options{WritesPerSecond: 1e-6, WriteBurst: 2})
+	f := newFixture(t, store.Options{WritesPerSecond: 1e-6, WriteBurst: 2})
 	for _, key := range []string{"a", "b"} {
 		if err := f.Commit(background, insert(key)); err != nil {
 			t.Fatal(err)
@@ -99,18 +99,18 @@
 	}
 	wantError(t, f.Commit(background, insert("c")), store.ErrUnavailable, "budget")
 	wantError(t, f.Objects().Put(background, "c", nil), store.ErrUnavailable, "budget")
-	if got := f.applied(); !slices.Equal(got, []string{"a", "b"}) {
+	if got := f.appliedKeys(); !slices.Equal(got, []string{"a", "b"}) {
 		t.Fatalf("applied %v", got)
 	}
 	f.SetWriteRate(1e6)
 	eventually(t, "budget refilled", func() bool { return f.Commit(background, insert("c")) == nil })
 }
 
-// TestFrozenPlatform checks that a call given up on before it was sent is
-// never applied, while one given up on after it was sent is reported as unknown
-// and may be applied late.
-func TestFrozenPlatform(t *testing.T) {
-	f := start(t, store.Options{MaxConns: 1, Timeout: time.Minute})
+// TestCancelledCallsOnAFrozenPlatform checks that a call cancelled before it was
+// sent is never applied, while one cancelled after it was sent is reported as
+// unknown and may be applied late.
+func TestCancelledCallsOnAFrozenPlatform(t *testing.T) {
+	f := newFixture(t, store.Options{MaxConns: 1, Timeout: time.Minute})
 	f.setFaults(t, standin.Faults{Outage: standin.OutageFreeze})
 	sent, cancelSent := context.WithCancel(background)
 	sentDone := make(chan error, 1)
@@ -129,19 +129,19 @@
 	}
 
 	f.setFaults(t, standin.Faults{})
-	eventually(t, "late write", func() bool { return len(f.applied()) > 0 })
+	eventually(t, "late write", func() bool { return len(f.appliedKeys()) > 0 })
 	if err := f.Commit(background, insert("last")); err != nil {
 		t.Fatal(err)
 	}
-	if got := f.applied(); !slices.Equal(got, []string{"sent", "last"}) {
+	if got := f.appliedKeys(); !slices.Equal(got, []string{"sent", "last"}) {
 		t.Fatalf("applied %v", got)
 	}
 }
 
-// TestScanPages checks that a scan is whole where a page is cut by its bytes
-// and where it is cut by its rows.
-func TestScanPages(t *testing.T) {
-	f := start(t, store.Options{})
+// TestScanReadsAllPages checks that a scan returns all rows if pages are truncated
+// by their bytes and if they are truncated by their rows.
+func TestScanReadsAllPages(t *testing.T) {
+	f := newFixture(t, store.Options{})
 	var bigKeys, smallKeys []string
 	for i := range store.MaxScanRows + 2 {
 		smallKeys = append(smallKeys, fmt.Sprintf("%04d", i))
@@ -183,7 +183,7 @@
 }
 
 func TestObjectsAndWeights(t *testing.T) {
-	f := start(t, store.Options{})
+	f := newFixture(t, store.Options{})
 	if err := f.Objects().Put(background, "o", []byte("whole")); err != nil {
 		t.Fatal(err)
 	}
@@ -216,8 +216,8 @@
 	}
 }
 
-func TestBytesCounted(t *testing.T) {
-	f := start(t, store.Options{})
+func TestBytesAreCounted(t *testing.T) {
+	f := newFixture(t, store.Options{})
 	if err := f.Commit(background, insert("a")); err != nil {
 		t.Fatal(err)
 	}
--- a/store/failure.go
+++ b/store/failure.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// operation names a call in metrics and errors.
+// operation identifies a kind of call in metrics and errors.
 type operation string
 
 // The operations of the client.
@@ -22,28 +22,28 @@
 	opWeightsFinish operation = "weights_finish"
 )
 
-// reason names why a call failed, in metrics and errors.
+// reason identifies why a call failed, in metrics and errors.
 type reason string
 
 // The reasons of a failure.
 const (
 	reasonNotFound    reason = "not_found"    // the row or object does not exist
 	reasonConflict    reason = "conflict"     // a condition failed
-	reasonInvalid     reason = "invalid"      // the platform refused the call as malformed
+	reasonInvalid     reason = "invalid"      // the platform rejected the call as malformed
 	reasonConnect     reason = "connect"      // no connection could be opened
 	reasonBusy        reason = "busy"         // no connection became free in time
-	reasonBudget      reason = "budget"       // this client's write budget is used up
-	reasonRefused     reason = "refused"      // the platform refused before applying
+	reasonBudget      reason = "budget"       // this client's write budget is exhausted
+	reasonRefused     reason = "refused"      // the platform refused the call without applying it
 	reasonRateLimited reason = "rate_limited" // the platform's own limit is reached
 	reasonReadOnly    reason = "read_only"    // the platform takes no writes
-	reasonTimeout     reason = "timeout"      // no answer in time
-	reasonCancelled   reason = "cancelled"    // the caller gave up
-	reasonReplyLost   reason = "reply_lost"   // the connection broke before the answer was whole
-	reasonBadReply    reason = "bad_reply"    // the answer was not the platform's
+	reasonTimeout     reason = "timeout"      // no response in time
+	reasonCancelled   reason = "cancelled"    // the caller cancelled the call
+	reasonReplyLost   reason = "reply_lost"   // the connection broke before the response was complete
+	reasonBadReply    reason = "bad_reply"    // the response did not come from the platform
 )
 
-// Failure is the error of a platform call. errors.Is finds its kind (one of the
-// package's errors) and its cause.
+// Failure is the error of a platform call. errors.Is matches its kind (one of
+// the package's errors) and its cause.
 type Failure struct {
 	// Kind is ErrNotFound, ErrConflict, ErrUnavailable, ErrUnknown or ErrInvalid.
 	Kind error
@@ -71,24 +71,25 @@
 	return []error{f.Kind, f.Cause}
 }
 
-// Reason is the failure's label in the metrics, for example "reply_lost".
+// Reason returns the reason as labelled in the metrics, for example "reply_lost".
 func (f *Failure) Reason() string { return string(f.reason) }
 
-// forRead turns ErrUnknown into ErrUnavailable: a read has no effect.
-func (f *Failure) forRead() *Failure {
+// asReadFailure changes the kind ErrUnknown to ErrUnavailable, since a read has
+// no effect.
+func (f *Failure) asReadFailure() *Failure {
 	if errors.Is(f.Kind, ErrUnknown) {
 		f.Kind = ErrUnavailable
 	}
 	return f
 }
 
-// fail counts a failure and returns it.
-func (c *Client) fail(op operation, kind error, reason reason, cause error) *Failure {
-	c.counters.failure(op, reason)
-	return &Failure{Kind: kind, Cause: cause, op: op, reason: reason, retryRead: readMayRetry(kind, reason)}
+// newFailure returns a failure and counts it.
+func (c *Client) newFailure(op operation, kind error, reason reason, cause error) *Failure {
+	c.counters.incFailures(op, reason)
+	return &Failure{Kind: kind, Cause: cause, op: op, reason: reason, retryRead: isReadRetryable(kind, reason)}
 }
 
-func readMayRetry(kind error, reason reason) bool {
+func isReadRetryable(kind error, reason reason) bool {
 	if reason == reasonCancelled {
 		return false
 	}
--- a/store/main_test.go
+++ b/store/main_test.go
@@ -14,9 +14,9 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// TestMain fails if a goroutine outlives the tests, but for those of fasthttp
-// that sleep out a fixed time: its clock, and the cleaners of idle workers and
-// connections, which end by themselves.
+// TestMain fails if a goroutine outlives the tests, except those of fasthttp that
+// end by themselves after a fixed time: its clock, and the cleaners of idle
+// workers and connections.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
@@ -25,7 +25,7 @@
 	)
 }
 
-// fixture is a stand-in and a client of it.
+// fixture is a stand-in of the platform with a client of it.
 type fixture struct {
 	*store.Client
 	server  *standin.Server
@@ -33,7 +33,7 @@
 	metrics *metrics.Set
 }
 
-func start(t *testing.T, options store.Options) *fixture {
+func newFixture(t *testing.T, options store.Options) *fixture {
 	t.Helper()
 	server := standin.New(standin.Options{})
 	address, err := server.Start("127.0.0.1:0")
@@ -60,8 +60,8 @@
 	}
 }
 
-// applied returns the keys of the applied writes, in order.
-func (f *fixture) applied() []string {
+// appliedKeys returns the keys of the applied writes, in order.
+func (f *fixture) appliedKeys() []string {
 	var keys []string
 	for _, entry := range f.server.Journal(0, 1000).Entries {
 		keys = append(keys, entry.Key)
@@ -85,10 +85,10 @@
 	}
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
--- a/store/objects.go
+++ b/store/objects.go
@@ -9,17 +9,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ObjectClient calls the object store over HTTP.
+// ObjectClient is the HTTP client of the object store.
 type ObjectClient struct{ client *Client }
 
 var _ Objects = (*ObjectClient)(nil)
 
-// Objects returns the object store, which shares the client's connections,
-// write budget and counters.
+// Objects returns a client of the object store, which shares the connections,
+// the write budget and the metrics of c.
 func (c *Client) Objects() *ObjectClient { return &ObjectClient{client: c} }
 
-// Put implements Objects. It may be sent again after ErrUnknown, since it
-// replaces the object whole.
+// Put implements Objects. It may be repeated after ErrUnknown, since it replaces
+// the complete object.
 func (o *ObjectClient) Put(ctx context.Context, name string, value []byte) error {
 	if err := CheckName("object", name); err != nil {
 		return err
@@ -32,7 +32,7 @@
 		method: fasthttp.MethodPut,
 		path:   PathObjects,
 		query:  url.Values{"name": {name}},
-		body:   bytes.Clone(value), // the try may outlive a cancelled call
+		body:   bytes.Clone(value), // the attempt may outlive a cancelled call
 	})
 	return err
 }
--- a/store/platform.go
+++ b/store/platform.go
@@ -1,7 +1,8 @@
-// Package store holds the interfaces to the platform's services: the
-// transactional table, the object store, the lagging list of VMs, and the
-// rate-limited weight store. The HTTP clients live here too; the protocol is
-// described in docs/PLATFORM.md. Everything that must last goes through it.
+// Package store defines the interfaces of the platform's services: the
+// transactional table, the object store, the list of VMs, which lags behind, and
+// the rate-limited weight store. It also contains their HTTP clients; the
+// protocol is described in docs/PLATFORM.md. All durable data is stored through
+// this package.
 package store
 
 import (
@@ -9,7 +10,7 @@
 	"errors"
 )
 
-// Errors of every platform call. Callers test with errors.Is.
+// Errors of all platform calls. Callers test for them with errors.Is.
 var (
 	// ErrNotFound: the row or object does not exist.
 	ErrNotFound = errors.New("platform: not found")
@@ -17,15 +18,15 @@
 	ErrConflict = errors.New("platform: condition failed")
 	// ErrUnavailable: the call did not take effect (refused, or never sent).
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrUnknown: the call may have taken effect; read back to find out.
+	// ErrUnknown: the call may have taken effect; only a read can tell.
 	ErrUnknown = errors.New("platform: outcome unknown")
-	// ErrInvalid: the call is malformed or over a limit; nothing was written.
+	// ErrInvalid: the call is malformed or exceeds a limit; nothing was written.
 	ErrInvalid = errors.New("platform: invalid call")
 )
 
 // Row is one row of a table.
 type Row struct {
-	// Table and Key identify the row. Keys sort bytewise.
+	// Table and Key identify the row. Keys are ordered bytewise.
 	Table string `json:"table"`
 	Key   string `json:"key"`
 	// Value is opaque to the platform.
@@ -34,7 +35,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// OpKind is what an operation of a transaction does.
+// OpKind is the kind of an operation of a transaction.
 type OpKind string
 
 // The operations of a transaction.
@@ -60,29 +61,30 @@
 
 // Table is the transactional table service.
 type Table interface {
-	// Get reads one row. ErrNotFound if it does not exist.
+	// Get reads one row. The error is ErrNotFound if it does not exist.
 	Get(ctx context.Context, table, key string) (Row, error)
 	// Scan reads up to limit rows with key >= from, in key order.
 	Scan(ctx context.Context, table, from string, limit int) ([]Row, error)
-	// Commit applies every operation or none. ErrConflict names no row: read
-	// back to learn which condition failed. ErrUnknown if the reply was lost.
+	// Commit applies all operations or none. ErrConflict does not identify the
+	// row: callers read the rows to learn which condition failed. The error is
+	// ErrUnknown if the reply was lost.
 	Commit(ctx context.Context, ops []Op) error
 }
 
-// RevisionTable is a Table that also tells which revision a commit gave to the
-// rows it wrote, which saves a read before the next conditional write.
+// RevisionTable is a Table that also returns the revision that a commit gave to
+// the rows it wrote, which saves a read before the next conditional write.
 type RevisionTable interface {
 	Table
-	// CommitRevision is Commit. Every row written by one commit gets the
-	// returned revision.
+	// CommitRevision is Commit that also returns the revision of the rows written
+	// by the commit; it is the same for all of them.
 	CommitRevision(ctx context.Context, ops []Op) (uint64, error)
 }
 
 // Objects is the object store.
 type Objects interface {
-	// Put writes an object whole.
+	// Put writes a complete object.
 	Put(ctx context.Context, name string, value []byte) error
-	// Get reads an object whole. ErrNotFound if it does not exist.
+	// Get reads a complete object. The error is ErrNotFound if it does not exist.
 	Get(ctx context.Context, name string) ([]byte, error)
 }
 
@@ -91,28 +93,28 @@
 
 // The states of a VM.
 const (
-	// VMLive: the VM runs.
+	// VMLive: the VM is running.
 	VMLive VMState = "live"
 	// VMLeaving: the VM is about to be stopped.
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one entry VM in the platform's lagging list.
+// VM is one entry VM in the platform's list.
 type VM struct {
 	// Name is the VM's name; it matches node.name in its settings.
 	Name string `json:"name"`
-	// DataCentre is where the VM runs.
+	// DataCentre is the data centre that the VM runs in.
 	DataCentre string `json:"data_centre"`
-	// PeerAddress is the "ip:port" where other routers reach it.
+	// PeerAddress is the "ip:port" at which other routers reach it.
 	PeerAddress string `json:"peer_address"`
 	// State is live or leaving.
 	State VMState `json:"state"`
-	// Cores is the processor that the VM has; zero: not known.
+	// Cores is the number of processor cores of the VM; zero: not known.
 	Cores float64 `json:"cores,omitempty"`
 }
 
-// VMList is the platform's list of VMs. It lags by seconds.
+// VMList is the platform's list of VMs, which lags by seconds.
 type VMList interface {
-	// ListVMs returns the list as the platform knows it.
+	// ListVMs returns the platform's current list.
 	ListVMs(ctx context.Context) ([]VM, error)
 }
--- a/store/transport.go
+++ b/store/transport.go
@@ -13,27 +13,27 @@
 	"github.com/valyala/fasthttp"
 )
 
-// call is one call of the protocol, before it is sent.
+// call describes one call of the protocol.
 type call struct {
 	op     operation
 	method string // GET if empty
 	path   string
 	query  url.Values
 	body   []byte
-	// known is the entity tag of an answer that the caller still holds; empty: none.
-	known string
+	// knownTag is the entity tag of a response that the caller still holds; empty: none.
+	knownTag string
 }
 
-// answer is what a call gave.
-type answer struct {
+// platformResponse is the response to a call.
+type platformResponse struct {
 	body []byte
-	// tag is the answer's entity tag; empty if the platform gives none.
-	tag string
-	// unchanged says that the answer is the one that the caller holds.
-	unchanged bool
+	// etag is the response's entity tag; empty if the platform gives none.
+	etag string
+	// notModified means that the response held by the caller is still valid.
+	notModified bool
 }
 
-// dialError marks a connection that could not be opened: nothing was sent.
+// dialError reports that a connection could not be opened and nothing was sent.
 type dialError struct{ cause error }
 
 func (e *dialError) Error() string { return "connect: " + e.cause.Error() }
@@ -43,7 +43,7 @@
 	return &fasthttp.HostClient{
 		Addr:                      options.Address,
 		MaxConns:                  options.MaxConns,
-		MaxIdleConnDuration:       maxIdleConn,
+		MaxIdleConnDuration:       maxIdleConnDuration,
 		MaxResponseBodySize:       MaxObjectBytes + 1<<20,
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr: func(*fasthttp.Request, int, error) (resetTimeout, retry bool) {
@@ -56,7 +56,8 @@
 	}
 }
 
-// dial opens a connection within limit, or within what is left of the call.
+// dial opens a connection within limit, or within the time left for the call if
+// that is shorter.
 func dial(address string, limit, left time.Duration) (net.Conn, error) {
 	if left > 0 {
 		limit = min(limit, left)
@@ -68,7 +69,7 @@
 	return conn, nil
 }
 
-// readJSON makes a read, with retries, and decodes its answer into reply.
+// readJSON makes a read, with retries, and decodes the response into reply.
 func (c *Client) readJSON(ctx context.Context, call call, reply any) error {
 	got, err := c.read(ctx, call)
 	if err != nil {
@@ -77,75 +78,75 @@
 	return c.decode(call.op, got, reply)
 }
 
-// decode decodes the answer of a read.
-func (c *Client) decode(op operation, got answer, reply any) error {
+// decode decodes the response to a read.
+func (c *Client) decode(op operation, got platformResponse, reply any) error {
 	if err := json.Unmarshal(got.body, reply); err != nil {
-		return c.fail(op, ErrUnavailable, reasonBadReply, err)
+		return c.newFailure(op, ErrUnavailable, reasonBadReply, err)
 	}
 	return nil
 }
 
-// read makes a read and tries again after a jittered back-off. A read has no
-// effect, so an answer that got lost is ErrUnavailable too.
-func (c *Client) read(ctx context.Context, call call) (answer, error) {
+// read makes a read and retries it after a jittered back-off. Since a read has no
+// effect, a lost response counts as ErrUnavailable.
+func (c *Client) read(ctx context.Context, call call) (platformResponse, error) {
 	backoff := c.options.ReadBackoff
 	for attempt := 1; ; attempt++ {
-		got, failure := c.try(ctx, call)
+		got, failure := c.attempt(ctx, call)
 		if failure == nil {
 			return got, nil
 		}
 		if !failure.retryRead || attempt >= c.options.ReadAttempts || !sleep(ctx, jitter(backoff)) {
-			return answer{}, failure.forRead()
+			return platformResponse{}, failure.asReadFailure()
 		}
-		c.counters.retry(call.op, failure.reason)
+		c.counters.incRetries(call.op, failure.reason)
 		backoff = min(2*backoff, c.options.MaxReadBackoff)
 	}
 }
 
-// write makes a write, once, within the write budget.
+// write makes a write within the write budget. It is not retried.
 func (c *Client) write(ctx context.Context, call call) ([]byte, error) {
-	if err := c.spendBudget(ctx, call.op); err != nil {
+	if err := c.waitForWriteBudget(ctx, call.op); err != nil {
 		return nil, err
 	}
-	got, failure := c.try(ctx, call)
+	got, failure := c.attempt(ctx, call)
 	if failure != nil {
 		return nil, failure
 	}
 	return got.body, nil
 }
 
-func (c *Client) spendBudget(ctx context.Context, op operation) error {
+func (c *Client) waitForWriteBudget(ctx context.Context, op operation) error {
 	reservation := c.budget.Reserve()
 	wait := reservation.Delay()
 	if !reservation.OK() || wait > c.options.MaxWriteWait {
 		reservation.Cancel()
-		return c.fail(op, ErrUnavailable, reasonBudget, nil)
+		return c.newFailure(op, ErrUnavailable, reasonBudget, nil)
 	}
 	if !sleep(ctx, wait) {
 		reservation.Cancel()
-		return c.fail(op, ErrUnavailable, reasonCancelled, ctx.Err())
+		return c.newFailure(op, ErrUnavailable, reasonCancelled, ctx.Err())
 	}
 	return nil
 }
 
-// The states of one try.
+// The states of an attempt.
 const (
-	tryWaiting int32 = iota
-	trySending
-	tryAbandoned
+	attemptWaiting int32 = iota
+	attemptSending
+	attemptAbandoned
 )
 
-type tryResult struct {
-	status int
-	answer answer
-	err    error
+type attemptResult struct {
+	status   int
+	response platformResponse
+	err      error
 }
 
-// try makes a call once. It returns as soon as ctx ends, even where the call
-// itself goes on in the background until its time limit.
-func (c *Client) try(ctx context.Context, call call) (answer, *Failure) {
+// attempt makes a call once. It returns as soon as ctx ends, even if the call
+// itself continues in the background until its deadline.
+func (c *Client) attempt(ctx context.Context, call call) (platformResponse, *Failure) {
 	if ctx.Err() != nil {
-		return answer{}, c.fail(call.op, ErrUnavailable, reasonCancelled, ctx.Err())
+		return platformResponse{}, c.newFailure(call.op, ErrUnavailable, reasonCancelled, ctx.Err())
 	}
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
@@ -153,39 +154,39 @@
 	deadline, _ := ctx.Deadline()
 
 	var state atomic.Int32
-	done := make(chan tryResult, 1)
-	c.counters.call(call.op)
+	done := make(chan attemptResult, 1)
+	c.counters.incCalls(call.op)
 	err := c.pool.Go(func() {
-		if state.CompareAndSwap(tryWaiting, trySending) {
+		if state.CompareAndSwap(attemptWaiting, attemptSending) {
 			done <- c.exchange(call, deadline)
 		}
 	})
 	if err != nil {
-		return answer{}, c.fail(call.op, ErrUnavailable, reasonBusy, err)
+		return platformResponse{}, c.newFailure(call.op, ErrUnavailable, reasonBusy, err)
 	}
 
 	select {
 	case result := <-done:
-		c.counters.duration(call.op, started)
+		c.counters.observeDuration(call.op, started)
 		return c.classify(call.op, result)
 	case <-ctx.Done():
-		c.counters.duration(call.op, started)
-		if state.CompareAndSwap(tryWaiting, tryAbandoned) {
-			return answer{}, c.fail(call.op, ErrUnavailable, reasonBusy, ctx.Err())
+		c.counters.observeDuration(call.op, started)
+		if state.CompareAndSwap(attemptWaiting, attemptAbandoned) {
+			return platformResponse{}, c.newFailure(call.op, ErrUnavailable, reasonBusy, ctx.Err())
 		}
-		return answer{}, c.fail(call.op, ErrUnknown, endReason(ctx), ctx.Err())
+		return platformResponse{}, c.newFailure(call.op, ErrUnknown, contextReason(ctx), ctx.Err())
 	}
 }
 
-func endReason(ctx context.Context) reason {
+func contextReason(ctx context.Context) reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return reasonTimeout
 	}
 	return reasonCancelled
 }
 
-// exchange sends the call and reads its answer whole.
-func (c *Client) exchange(call call, deadline time.Time) tryResult {
+// exchange sends the call and reads the complete response.
+func (c *Client) exchange(call call, deadline time.Time) attemptResult {
 	request := fasthttp.AcquireRequest()
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -202,27 +203,27 @@
 	if call.body != nil {
 		request.SetBodyRaw(call.body)
 	}
-	if call.known != "" {
-		request.Header.Set(fasthttp.HeaderIfNoneMatch, call.known)
+	if call.knownTag != "" {
+		request.Header.Set(fasthttp.HeaderIfNoneMatch, call.knownTag)
 	}
 	if err := c.http.DoDeadline(request, response, deadline); err != nil {
-		return tryResult{err: err}
+		return attemptResult{err: err}
 	}
-	got := answer{
-		body:      append([]byte{}, response.Body()...),
-		tag:       string(response.Header.Peek(fasthttp.HeaderETag)),
-		unchanged: call.known != "" && response.StatusCode() == fasthttp.StatusNotModified,
+	got := platformResponse{
+		body:        append([]byte{}, response.Body()...),
+		etag:        string(response.Header.Peek(fasthttp.HeaderETag)),
+		notModified: call.knownTag != "" && response.StatusCode() == fasthttp.StatusNotModified,
 	}
-	c.counters.bytes(call.op, len(uri)+len(call.body), len(got.body))
-	return tryResult{status: response.StatusCode(), answer: got}
+	c.counters.addBytes(call.op, len(uri)+len(call.body), len(got.body))
+	return attemptResult{status: response.StatusCode(), response: got}
 }
 
-// jitter returns a random duration from half of mean to one and a half.
+// jitter returns a random duration from 0.5 to 1.5 times mean.
 func jitter(mean time.Duration) time.Duration {
 	return mean/2 + rand.N(mean)
 }
 
-// sleep waits for d and says whether ctx was still alive at its end.
+// sleep waits for d or until ctx ends. It reports whether the wait completed.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/store/vms_bench_test.go
+++ b/store/vms_bench_test.go
@@ -14,21 +14,21 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// listPeriod is the default of the setting platform.vm_list_every, in seconds.
-const listPeriod = 2
+// listPeriodSeconds is the default of the setting platform.vm_list_every, in seconds.
+const listPeriodSeconds = 2
 
-// BenchmarkUnchangedList reads a list that does not change from a platform with
-// and without entity tags.
+// BenchmarkUnchangedList reads an unchanging list from a platform with and without
+// entity tags.
 func BenchmarkUnchangedList(b *testing.B) {
 	for _, vms := range []int{9, 340} {
 		for _, tags := range []bool{false, true} {
-			b.Run(fmt.Sprintf("vms=%d/tags=%v", vms, tags), func(b *testing.B) { readList(b, vms, tags) })
+			b.Run(fmt.Sprintf("vms=%d/tags=%v", vms, tags), func(b *testing.B) { benchmarkListVMs(b, vms, tags) })
 		}
 	}
 }
 
-func readList(b *testing.B, vms int, tags bool) {
-	list, err := json.Marshal(store.VMsReply{VMs: fleetOf(vms)})
+func benchmarkListVMs(b *testing.B, vms int, tags bool) {
+	list, err := json.Marshal(store.VMsReply{VMs: makeVMs(vms)})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 		b.Fatal(err)
 	}
 	var bytes atomic.Int64
-	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { serveList(ctx, list, tags) }}
+	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { serveVMList(ctx, list, tags) }}
 	go func() { _ = server.Serve(countconn.Listener{Listener: listener, Bytes: &bytes}) }()
 	defer func() { _ = server.Shutdown() }()
 	client := store.NewClient(store.Options{Address: listener.Addr().String(), Metrics: metrics.NewSet()})
@@ -54,10 +54,10 @@
 	}
 	read := float64(bytes.Load()-before) / float64(b.N)
 	b.ReportMetric(read, "bytes/read")
-	b.ReportMetric(read/listPeriod, "bytes/s-at-2s")
+	b.ReportMetric(read/listPeriodSeconds, "bytes/s-at-2s")
 }
 
-func serveList(ctx *fasthttp.RequestCtx, list []byte, tags bool) {
+func serveVMList(ctx *fasthttp.RequestCtx, list []byte, tags bool) {
 	const tag = `"0123456789abcdef"`
 	if !tags {
 		ctx.SetBody(list)
--- a/store/vms_test.go
+++ b/store/vms_test.go
@@ -15,7 +15,7 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-func fleetOf(n int) []store.VM {
+func makeVMs(n int) []store.VM {
 	var vms []store.VM
 	for i := range n {
 		vms = append(vms, store.VM{
@@ -55,8 +55,8 @@
 }
 
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
-	f := start(t, store.Options{})
-	vms := fleetOf(3)
+	f := newFixture(t, store.Options{})
+	vms := makeVMs(3)
 	f.setVMs(t, vms)
 	wantVMs(t, f.Client, vms)
 	received := func() uint64 { return f.counter(`walnut_platform_received_bytes_total{op="vms"}`) }
@@ -76,10 +76,11 @@
 	wantVMs(t, f.Client, vms)
 }
 
-// The peer addresses of a view are part of what its tag stands for.
-func TestListOfAView(t *testing.T) {
-	f := start(t, store.Options{})
-	vms := fleetOf(2)
+// TestListTagCoversPeerAddresses checks that the entity tag of a view's list
+// changes with the view's peer addresses.
+func TestListTagCoversPeerAddresses(t *testing.T) {
+	f := newFixture(t, store.Options{})
+	vms := makeVMs(2)
 	f.setVMs(t, vms)
 	view, err := f.server.StartView("127.0.0.1:0")
 	if err != nil {
@@ -96,7 +97,8 @@
 	wantVMs(t, client, vms)
 }
 
-// A platform that gives no entity tags sends the list each time.
+// TestListWithoutTags checks that the list is read again each time if the platform
+// gives no entity tags.
 func TestListWithoutTags(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/store/weights.go
+++ b/store/weights.go
@@ -9,49 +9,51 @@
 	"github.com/valyala/fasthttp"
 )
 
-// WeightFetch asks the weight store to let a target load weights.
+// WeightFetch is a request to the weight store for a permit to load weights to a
+// target.
 type WeightFetch struct {
-	// ID names the fetch. The caller picks it; asking again with the same ID
-	// gives the same permit, so a lost reply does no harm. Required.
+	// ID identifies the fetch and is chosen by the caller. A repeated request with
+	// the same ID returns the same permit, so a lost reply is harmless. Required.
 	ID string `json:"id"`
 	// Artifact is the model, adapter or version to load. Required.
 	Artifact string `json:"artifact"`
 	// Target is the target that will load it. Required.
 	Target string `json:"target"`
-	// Bytes is the size of the artifact if the caller knows it; else zero.
+	// Bytes is the size of the artifact; zero: not known.
 	Bytes int64 `json:"bytes,omitempty"`
 }
 
-// WeightPermit is the weight store's answer to a WeightFetch.
+// WeightPermit is the weight store's response to a WeightFetch.
 type WeightPermit struct {
-	// Granted says that the target may load now.
+	// Granted reports whether the target may load now.
 	Granted bool `json:"granted"`
-	// BytesPerSecond is the rate that the target may load at, if granted.
+	// BytesPerSecond is the rate at which the target may load, if granted.
 	BytesPerSecond int64 `json:"bytes_per_second,omitempty"`
-	// TimeLeft is how long a granted permit still holds, in nanoseconds.
+	// TimeLeft is the remaining validity of a granted permit, in nanoseconds.
 	TimeLeft time.Duration `json:"time_left_ns,omitempty"`
-	// RetryAfter is when to ask again if not granted, in nanoseconds.
+	// RetryAfter is the time after which to ask again if not granted, in
+	// nanoseconds.
 	RetryAfter time.Duration `json:"retry_after_ns,omitempty"`
 }
 
-// WeightRate is the present use of the weight store.
+// WeightRate is the current utilisation of the weight store and its limits.
 type WeightRate struct {
-	// BytesPerSecond is the store's limit for all permits together.
+	// BytesPerSecond is the store's rate limit for all permits together.
 	BytesPerSecond int64 `json:"bytes_per_second"`
-	// Fetches and MaxFetches are the permits that hold now, and their limit.
+	// Fetches is the number of valid permits, MaxFetches its limit.
 	Fetches    int `json:"fetches"`
 	MaxFetches int `json:"max_fetches"`
 }
 
-// Weights is the rate-limited weight store. Routers do not load weights; they
-// ask it before they order a target to.
+// Weights is the rate-limited weight store. Routers do not load weights
+// themselves; they request a permit before they order a target to load weights.
 type Weights interface {
-	// WeightsRate returns the present use of the store.
+	// WeightsRate returns the current utilisation of the store.
 	WeightsRate(ctx context.Context) (WeightRate, error)
-	// RequestFetch asks for a permit. It may be sent again after ErrUnknown.
+	// RequestFetch requests a permit. It may be repeated after ErrUnknown.
 	RequestFetch(ctx context.Context, fetch WeightFetch) (WeightPermit, error)
-	// FinishFetch gives a permit back early. It may be sent again, and does
-	// nothing if the permit is not known.
+	// FinishFetch returns a permit before it expires. It may be repeated, and has
+	// no effect if the permit is not known.
 	FinishFetch(ctx context.Context, id string) error
 }
 
@@ -60,7 +62,7 @@
 	ID string `json:"id"`
 }
 
-// CheckFetch returns ErrInvalid unless fetch can be asked for.
+// CheckFetch returns ErrInvalid unless fetch is well formed.
 func CheckFetch(fetch WeightFetch) error {
 	if err := CheckName("id", fetch.ID); err != nil {
 		return err
@@ -87,12 +89,12 @@
 	if err := CheckFetch(fetch); err != nil {
 		return permit, err
 	}
-	answer, err := c.post(ctx, opWeightsFetch, PathWeightsFetch, fetch)
+	body, err := c.post(ctx, opWeightsFetch, PathWeightsFetch, fetch)
 	if err != nil {
 		return permit, err
 	}
-	if err := json.Unmarshal(answer, &permit); err != nil {
-		return permit, c.fail(opWeightsFetch, ErrUnknown, reasonBadReply, err)
+	if err := json.Unmarshal(body, &permit); err != nil {
+		return permit, c.newFailure(opWeightsFetch, ErrUnknown, reasonBadReply, err)
 	}
 	return permit, nil
 }
--- a/store/wire.go
+++ b/store/wire.go
@@ -18,19 +18,19 @@
 	PathWeightsFinish = "/v1/weights/finish"
 )
 
-// Limits of the protocol. A call beyond them is answered with ErrInvalid.
+// Limits of the protocol. A call that exceeds them fails with ErrInvalid.
 const (
-	// MaxNameBytes bounds the name of a table, a key or an object.
+	// MaxNameBytes limits the name of a table, a key or an object.
 	MaxNameBytes = 512
-	// MaxCommitOps bounds the operations of one commit.
+	// MaxCommitOps limits the operations of one commit.
 	MaxCommitOps = 256
-	// MaxValueBytes bounds the value of one row.
+	// MaxValueBytes limits the value of one row.
 	MaxValueBytes = 1 << 20
-	// MaxCommitBytes bounds the values of one commit together.
+	// MaxCommitBytes limits the total size of the values of one commit.
 	MaxCommitBytes = 4 << 20
-	// MaxObjectBytes bounds one object.
+	// MaxObjectBytes limits one object.
 	MaxObjectBytes = 64 << 20
-	// MaxScanRows and MaxScanBytes bound one page of a scan. A page holds at
+	// MaxScanRows and MaxScanBytes limit one page of a scan. A page holds at
 	// least one row if there is one.
 	MaxScanRows  = 1000
 	MaxScanBytes = 4 << 20
@@ -41,29 +41,29 @@
 	Ops []Op `json:"ops"`
 }
 
-// CommitReply answers a commit that was applied.
+// CommitReply is the response to a commit that was applied.
 type CommitReply struct {
-	// Revision is the revision given to every row written; never zero.
+	// Revision is the new revision of every row written; never zero.
 	Revision uint64 `json:"revision"`
 }
 
-// ScanReply answers a scan with one page.
+// ScanReply is the response to a scan: one page of rows.
 type ScanReply struct {
 	Rows []Row `json:"rows"`
-	// More says that the page was cut short by the limits of the protocol.
+	// More means that the page was truncated because of the protocol's limits.
 	// The next page starts at the last key followed by a zero byte.
 	More bool `json:"more,omitempty"`
 }
 
-// VMsReply answers a read of the list of VMs.
+// VMsReply is the response to a read of the list of VMs.
 type VMsReply struct {
 	VMs []VM `json:"vms"`
 }
 
-// ErrorCode names why the platform refused a call.
+// ErrorCode identifies why the platform refused a call.
 type ErrorCode string
 
-// The error codes. Each says that the call was surely not applied.
+// The error codes. Each of them means that the call was certainly not applied.
 const (
 	CodeNotFound    ErrorCode = "not_found"
 	CodeConflict    ErrorCode = "condition_failed"
@@ -73,14 +73,15 @@
 	CodeInvalid     ErrorCode = "invalid"
 )
 
-// ErrorReply is the body of every answer that is not a success. An answer
-// without it did not come from the platform itself and proves nothing.
+// ErrorReply is the body of every unsuccessful response. A response without it
+// did not come from the platform itself, and the call may have been applied.
 type ErrorReply struct {
 	Code   ErrorCode `json:"code"`
 	Detail string    `json:"detail,omitempty"`
 }
 
-// CheckName returns ErrInvalid unless name can name a table, a key or an object.
+// CheckName returns ErrInvalid unless name is a valid name of a table, a key or
+// an object. what is the name's kind, for the error.
 func CheckName(what, name string) error {
 	if name == "" {
 		return fmt.Errorf("%w: %s is empty", ErrInvalid, what)
@@ -88,7 +89,8 @@
 	return CheckFrom(what, name)
 }
 
-// CheckFrom is CheckName for a value that may be empty, as the start of a scan.
+// CheckOptionalName is CheckName for a name that may be empty, such as the start
+// key of a scan.
 func CheckFrom(what, name string) error {
 	if len(name) > MaxNameBytes {
 		return fmt.Errorf("%w: %s is over %d bytes", ErrInvalid, what, MaxNameBytes)
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// CheckOps returns ErrInvalid unless ops can be committed.
+// CheckOps returns ErrInvalid unless ops is a valid transaction.
 func CheckOps(ops []Op) error {
 	if len(ops) == 0 {
 		return fmt.Errorf("%w: no operation", ErrInvalid)
