--- a/store/batch/batch.go
+++ b/store/batch/batch.go
@@ -1,10 +1,11 @@
-// Package batch puts independent commits of concurrent callers into few
-// transactions of the table service, which takes only several hundred a second.
+// Package batch combines independent commits of concurrent callers into few
+// transactions of the table service, which accepts only several hundred a second.
 //
 // A commit waits a few milliseconds for others to join it. If a condition of a
-// joint transaction fails, the rows are read back to find whose it was: only
-// that caller gets ErrConflict, and the others are committed again without it.
-// ErrUnavailable and ErrUnknown go to every caller of the transaction.
+// combined transaction fails, the rows are read back to find the commit that it
+// belongs to: only its caller gets ErrConflict, and the other commits are sent
+// again without it. ErrUnavailable and ErrUnknown are returned to all callers of
+// the transaction.
 package batch
 
 import (
@@ -30,31 +31,32 @@
 	DefaultMaxInFlight = 4
 	DefaultMaxQueued   = 4096
 	DefaultTimeout     = 2 * time.Second
-	// readers bounds the rows read back at once.
-	readers = 16
+	// maxConcurrentReads limits the rows read back concurrently.
+	maxConcurrentReads = 16
 )
 
-// Options configure a Table. Zero values take the stated defaults.
+// Options configures a Table. Zero fields take the stated defaults.
 type Options struct {
-	// MaxWait bounds how long a commit waits for others while a transaction
-	// may be sent. Default 3 ms.
+	// MaxWait limits how long a commit waits for others when a transaction could
+	// be sent. Default 3 ms.
 	MaxWait time.Duration
-	// MaxOps and MaxBytes bound the operations and values of a transaction. A
-	// commit beyond them goes alone. Defaults 128 and 1 MiB.
+	// MaxOps and MaxBytes limit the operations and values of a transaction. A
+	// commit that exceeds them is sent alone. Defaults 128 and 1 MiB.
 	MaxOps   int
 	MaxBytes int
-	// MaxInFlight bounds the transactions in flight. Default 4.
+	// MaxInFlight limits the transactions in flight. Default 4.
 	MaxInFlight int
-	// MaxQueued bounds the commits that wait; one more fails at once with
+	// MaxQueued limits the waiting commits; further commits fail immediately with
 	// ErrUnavailable. Default 4096.
 	MaxQueued int
-	// PerSecond bounds the transactions sent a second, so that they grow while
-	// they wait instead of waiting in the client's write budget. Set it to what
-	// the client may send. Default: no bound.
+	// PerSecond limits the transactions sent per second, so that commits wait here,
+	// where others can join them, and not for the client's write budget. Set it to
+	// the client's budget. Default: no limit.
 	PerSecond float64
-	// Timeout bounds each call to the table service. Default 2 s.
+	// Timeout limits each call to the table service. Default 2 s.
 	Timeout time.Duration
-	// Metrics receives the counters. Default: the process's own set.
+	// Metrics is the set in which the counters are registered. Default: the global
+	// set.
 	Metrics *metrics.Set
 }
 
@@ -79,29 +81,29 @@
 	}
 }
 
-// Table is a table whose commits are batched. Its reads pass through. All
-// methods are safe for concurrent use.
+// Table is a table that batches commits. Reads are passed through. All methods
+// are safe for concurrent use.
 type Table struct {
 	store.RevisionTable // for reads
 
-	options  Options
-	counters counters
-	senders  pond.Pool
-	readers  pond.Pool
-	pace     *rate.Limiter
-	slots    chan struct{} // one for each transaction in flight
-	done     chan struct{} // closed when the collector has ended
+	options       Options
+	counters      counters
+	senders       pond.Pool
+	readers       pond.Pool
+	limiter       *rate.Limiter
+	inFlightSlots chan struct{} // holds one element per transaction in flight
+	collectorDone chan struct{} // closed when the collector has returned
 
-	mu       sync.Mutex
-	queue    []*group // waiting, oldest first
-	queued   int      // operations of the queue
-	blocked  []*group // waiting for a transaction in flight that has their row
-	checking int      // groups that waited for a row and are being checked
-	inFlight rowUses
-	closed   bool
-	closing  context.Context // ended by stop when Close begins
-	stop     context.CancelFunc
-	wake     chan struct{} // tells the collector of a change; capacity 1
+	mu             sync.Mutex
+	queue          []*group // waiting groups, oldest first
+	queuedOps      int      // operations in the queue
+	blocked        []*group // waiting for a transaction in flight that uses one of their rows
+	checkingGroups int      // number of groups that waited for a row and are being checked
+	rowsInFlight   rowUsage
+	closed         bool
+	closeCtx       context.Context // cancelled by cancelCloseCtx when Close begins
+	cancelCloseCtx context.CancelFunc
+	changed        chan struct{} // notifies the collector of a change; capacity 1
 }
 
 var _ store.RevisionTable = (*Table)(nil)
@@ -113,7 +115,8 @@
 	groupAbandoned
 )
 
-// group is the commit of one caller: its operations stay together.
+// group is the commit of one caller. Its operations always stay in one
+// transaction.
 type group struct {
 	ops     []store.Op
 	bytes   int
@@ -127,55 +130,56 @@
 	err      error
 }
 
-// New returns a table that batches the commits to table.
+// New returns a table that batches commits to table.
 func New(table store.RevisionTable, options Options) *Table {
 	options = options.withDefaults()
-	closing, stop := context.WithCancel(context.Background())
+	closeCtx, cancelCloseCtx := context.WithCancel(context.Background())
 	t := &Table{
-		closing:       closing,
-		stop:          stop,
-		RevisionTable: table,
-		options:       options,
-		counters:      newCounters(options.Metrics),
-		senders:       pond.NewPool(options.MaxInFlight),
-		readers:       pond.NewPool(readers),
-		pace:          newPace(options.PerSecond),
-		slots:         make(chan struct{}, options.MaxInFlight),
-		done:          make(chan struct{}),
-		inFlight:      make(rowUses),
-		wake:          make(chan struct{}, 1),
+		closeCtx:       closeCtx,
+		cancelCloseCtx: cancelCloseCtx,
+		RevisionTable:  table,
+		options:        options,
+		counters:       newCounters(options.Metrics),
+		senders:        pond.NewPool(options.MaxInFlight),
+		readers:        pond.NewPool(maxConcurrentReads),
+		limiter:        newLimiter(options.PerSecond),
+		inFlightSlots:  make(chan struct{}, options.MaxInFlight),
+		collectorDone:  make(chan struct{}),
+		rowsInFlight:   make(rowUsage),
+		changed:        make(chan struct{}, 1),
 	}
 	go t.collect()
 	return t
 }
 
-// newPace returns the limit of transactions a second. It allows no burst: one
-// that the client's write budget does not allow would wait there from then on.
-func newPace(perSecond float64) *rate.Limiter {
+// newLimiter returns the limiter of transactions per second. It allows no burst: a
+// burst beyond the client's write budget would build up a queue there that does
+// not drain.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond == 0 {
 		return rate.NewLimiter(rate.Inf, 1)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), 1)
 }
 
-// SetRate changes the transactions sent a second; zero means no bound.
+// SetRate changes the limit of transactions per second; zero means no limit.
 func (t *Table) SetRate(perSecond float64) {
 	limit := rate.Limit(perSecond)
 	if perSecond == 0 {
 		limit = rate.Inf
 	}
-	t.pace.SetLimit(limit)
+	t.limiter.SetLimit(limit)
 }
 
-// Close sends what waits and waits for the answers. Later commits fail with
-// ErrUnavailable.
+// Close sends the waiting commits and waits for their results. Later commits fail
+// with ErrUnavailable.
 func (t *Table) Close() {
 	t.mu.Lock()
 	t.closed = true
 	t.mu.Unlock()
-	t.stop()
-	t.signal()
-	<-t.done
+	t.cancelCloseCtx()
+	t.notifyCollector()
+	<-t.collectorDone
 	t.senders.StopAndWait()
 	t.readers.StopAndWait()
 }
@@ -186,8 +190,8 @@
 	return err
 }
 
-// CommitRevision implements store.RevisionTable. The operations of one call
-// are applied together or not at all, as ever.
+// CommitRevision implements store.RevisionTable. As without batching, the
+// operations of one call are applied together or not at all.
 func (t *Table) CommitRevision(ctx context.Context, ops []store.Op) (uint64, error) {
 	if err := store.CheckOps(ops); err != nil {
 		return 0, err
@@ -224,59 +228,59 @@
 	if t.closed {
 		return t.refuse("closed", nil)
 	}
-	if len(t.queue)+len(t.blocked)+t.checking >= t.options.MaxQueued {
+	if len(t.queue)+len(t.blocked)+t.checkingGroups >= t.options.MaxQueued {
 		return t.refuse("queue_full", nil)
 	}
 	t.queue = append(t.queue, g)
-	t.queued += len(g.ops)
+	t.queuedOps += len(g.ops)
 	t.counters.commits.Inc()
-	t.signal()
+	t.notifyCollector()
 	return nil
 }
 
-// abandon ends the wait of a caller whose context ended. A group that was not
-// sent yet never will be.
+// abandon ends the wait of a caller whose context ended. A group that has not
+// been sent yet is never sent.
 func (t *Table) abandon(ctx context.Context, g *group) (uint64, error) {
 	if g.state.CompareAndSwap(groupWaiting, groupAbandoned) {
-		t.remove(g)
+		t.removeGroup(g)
 		return 0, t.refuse("cancelled", ctx.Err())
 	}
-	t.counters.refusal("cancelled_sent").Inc()
+	t.counters.refusals("cancelled_sent").Inc()
 	return 0, fmt.Errorf("%w (batch: cancelled): %w", store.ErrUnknown, ctx.Err())
 }
 
-// remove frees the place of an abandoned group.
-func (t *Table) remove(g *group) {
+// removeGroup removes an abandoned group from the queue.
+func (t *Table) removeGroup(g *group) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if i := slices.Index(t.queue, g); i >= 0 {
 		t.queue = slices.Delete(t.queue, i, i+1)
-		t.queued -= len(g.ops)
+		t.queuedOps -= len(g.ops)
 	}
 	if i := slices.Index(t.blocked, g); i >= 0 {
 		t.blocked = slices.Delete(t.blocked, i, i+1)
 	}
-	t.signal() // the collector may wait for this group alone
+	t.notifyCollector() // the collector may be waiting only for this group
 }
 
-// refuse counts a commit that was surely not sent and returns its error.
+// refuse counts a commit that was certainly not sent and returns its error.
 func (t *Table) refuse(reason string, cause error) error {
-	t.counters.refusal(reason).Inc()
+	t.counters.refusals(reason).Inc()
 	if cause != nil {
 		return fmt.Errorf("%w (batch: %s): %w", store.ErrUnavailable, reason, cause)
 	}
 	return fmt.Errorf("%w (batch: %s)", store.ErrUnavailable, reason)
 }
 
-// signal tells the collector that something changed.
-func (t *Table) signal() {
+// notifyCollector tells the collector that the state of the table has changed.
+func (t *Table) notifyCollector() {
 	select {
-	case t.wake <- struct{}{}:
+	case t.changed <- struct{}{}:
 	default:
 	}
 }
 
-// finish tells a caller the outcome of its commit.
+// finish passes the outcome of a commit to its caller.
 func (g *group) finish(revision uint64, err error) {
 	g.done <- outcome{revision: revision, err: err}
 }
--- a/store/batch/bench_test.go
+++ b/store/batch/bench_test.go
@@ -17,12 +17,12 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// benchCallers is the number of concurrent callers for each processor.
-const benchCallers = 64
+// benchCallersPerProcessor is the number of concurrent callers per processor.
+const benchCallersPerProcessor = 64
 
-// BenchmarkInsert inserts rows over HTTP from many callers at once: one by one
-// and batched, with no limit and within a budget of 200 transactions a second,
-// and with a part of the inserts failing for a row that exists.
+// BenchmarkInsert inserts rows over HTTP from many concurrent callers: one by one
+// and batched, without a limit and within a budget of 200 transactions a second,
+// and with some of the inserts failing because the row exists.
 func BenchmarkInsert(b *testing.B) {
 	for _, budget := range []float64{0, 200} {
 		for _, batched := range []bool{false, true} {
@@ -46,19 +46,19 @@
 		defer batcher.Close()
 		table = batcher
 	}
-	insertTaken(b, client)
+	insertExistingRows(b, client)
 	if budget > 0 {
 		client.SetWriteRate(budget)
 	}
 	var next, refused, waited atomic.Int64
-	b.SetParallelism(benchCallers)
+	b.SetParallelism(benchCallersPerProcessor)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		random := rand.New(rand.NewPCG(1, uint64(next.Add(1))))
 		for pb.Next() {
 			key := fmt.Sprintf("k%d", next.Add(1))
 			if random.Float64() < conflicts {
-				key = takenKey(random.IntN(benchTaken))
+				key = existingKey(random.IntN(existingRows))
 			}
 			start := time.Now()
 			err := table.Commit(context.Background(), insert(key))
@@ -73,7 +73,7 @@
 		return float64(set.GetOrCreateCounter(fmt.Sprintf(`walnut_platform_calls_total{op=%q}`, op)).Get())
 	}
 	b.ReportMetric(float64(b.N)/seconds, "rows/s")
-	commits := calls("commit") - benchTaken/100
+	commits := calls("commit") - existingRows/100
 	b.ReportMetric(commits/seconds, "commits/s")
 	b.ReportMetric(calls("get")/seconds, "reads/s")
 	b.ReportMetric(float64(b.N)/commits, "rows/commit")
@@ -82,17 +82,17 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// benchTaken is the number of rows that exist before the benchmark.
-const benchTaken = 10_000
+// existingRows is the number of rows that exist before the benchmark.
+const existingRows = 10_000
 
-func takenKey(i int) string { return fmt.Sprintf("taken%d", i) }
+func existingKey(i int) string { return fmt.Sprintf("taken%d", i) }
 
-func insertTaken(b *testing.B, table store.Table) {
+func insertExistingRows(b *testing.B, table store.Table) {
 	b.Helper()
-	for first := 0; first < benchTaken; first += 100 {
+	for first := 0; first < existingRows; first += 100 {
 		var keys []string
 		for i := range 100 {
-			keys = append(keys, takenKey(first+i))
+			keys = append(keys, existingKey(first+i))
 		}
 		if err := table.Commit(context.Background(), insert(keys...)); err != nil {
 			b.Fatal(err)
@@ -119,7 +119,7 @@
 	return client
 }
 
-// BenchmarkLoneInsert measures the wait of a caller that no other joins.
+// BenchmarkLoneInsert measures the wait of a single caller.
 func BenchmarkLoneInsert(b *testing.B) {
 	set := metrics.NewSet()
 	table := New(startClient(b, set), Options{Metrics: set})
@@ -131,8 +131,8 @@
 	}
 }
 
-// BenchmarkArrivals inserts 500 rows a second, as they arrive, within a budget
-// of 50 transactions a second: a router's part of a busy fleet.
+// BenchmarkArrivals inserts 500 rows a second at a constant rate, within a budget
+// of 50 transactions a second: a router's share in a busy fleet.
 func BenchmarkArrivals(b *testing.B) {
 	const perSecond, budget = 500, 50
 	for _, paced := range []bool{false, true} {
--- a/store/batch/blocked.go
+++ b/store/batch/blocked.go
@@ -7,67 +7,68 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// release frees the rows of a transaction that has ended. The groups that waited
-// for one of them most likely conflict with it now, so their rows are read
-// before a transaction is spent on them.
-func (t *Table) release(batch []*group) {
-	freed := t.takeBlocked(batch)
-	<-t.slots
-	t.signal()
-	conflicting, others := t.divide(freed, t.conflictSeen())
+// releaseRows releases the rows of a completed transaction. The groups that waited
+// for one of them most likely conflict now, so their rows are read before a
+// transaction is spent on them.
+func (t *Table) releaseRows(batch []*group) {
+	unblocked := t.takeUnblocked(batch)
+	<-t.inFlightSlots
+	t.notifyCollector()
+	conflicting, others := t.partition(unblocked, t.newConflictCheck())
 	t.failConflicting(conflicting)
-	t.requeue(others, len(freed))
+	t.requeue(others, len(unblocked))
 }
 
-// takeBlocked frees the rows of a transaction and returns the groups that waited
-// for them.
-func (t *Table) takeBlocked(batch []*group) []*group {
+// takeUnblocked releases the rows of a transaction, and removes and returns the
+// groups that are no longer blocked.
+func (t *Table) takeUnblocked(batch []*group) []*group {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, g := range batch {
-		t.inFlight.remove(g)
+		t.rowsInFlight.remove(g)
 	}
-	wanted := make(rowUses)
-	var freed, left []*group
+	wanted := make(rowUsage)
+	var unblocked, stillBlocked []*group
 	for _, g := range t.blocked {
-		if t.inFlight.exclude(g) || wanted.exclude(g) {
-			left = append(left, g)
+		if t.rowsInFlight.conflictsWith(g) || wanted.conflictsWith(g) {
+			stillBlocked = append(stillBlocked, g)
 			wanted.add(g)
 		} else {
-			freed = append(freed, g)
+			unblocked = append(unblocked, g)
 		}
 	}
-	t.blocked = left
-	t.checking += len(freed)
-	return freed
+	t.blocked = stillBlocked
+	t.checkingGroups += len(unblocked)
+	return unblocked
 }
 
-// requeue puts groups that were checked back at the front of the queue.
+// requeue puts groups back at the front of the queue. checked is the number of
+// groups that were checked.
 func (t *Table) requeue(groups []*group, checked int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.checking -= checked
+	t.checkingGroups -= checked
 	t.queue = append(groups, t.queue...)
-	t.queued += countOps(groups)
-	t.signal()
+	t.queuedOps += countOps(groups)
+	t.notifyCollector()
 }
 
-// conflictSeen returns a check that says whether a row of a group was read and
-// broke its condition. It reads each row once.
-func (t *Table) conflictSeen() func(*group) bool {
-	seen := make(map[rowName]uint64)
+// newConflictCheck returns a function that reports whether a row of a group was
+// read and violates its condition. The function reads each row once.
+func (t *Table) newConflictCheck() func(*group) bool {
+	revisions := make(map[rowName]uint64)
 	return func(g *group) bool {
 		for _, op := range g.ops {
 			name := rowName{op.Table, op.Key}
-			revision, ok := seen[name]
+			revision, ok := revisions[name]
 			if !ok {
 				var err error
 				if revision, err = t.readRevision(name); err != nil {
 					return false
 				}
-				seen[name] = revision
+				revisions[name] = revision
 			}
-			if !holds(op, revision) {
+			if !conditionHolds(op, revision) {
 				return true
 			}
 		}
@@ -75,7 +76,7 @@
 	}
 }
 
-// readRevision returns the revision of a row; zero if it does not exist.
+// readRevision returns the revision of a row, or zero if it does not exist.
 func (t *Table) readRevision(name rowName) (uint64, error) {
 	t.counters.reads.Inc()
 	ctx, cancel := context.WithTimeout(context.Background(), t.options.Timeout)
@@ -87,8 +88,8 @@
 	return row.Revision, err
 }
 
-// holds says whether the condition of op is met by a row of this revision.
-func holds(op store.Op, revision uint64) bool {
+// conditionHolds reports whether a row of this revision meets the condition of op.
+func conditionHolds(op store.Op, revision uint64) bool {
 	if op.Kind == store.OpInsert {
 		return revision == 0
 	}
--- a/store/batch/collect.go
+++ b/store/batch/collect.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// collect gathers waiting groups into transactions until the table is closed
-// and no group is left.
+// collect combines waiting groups into transactions until the table is closed and
+// no group is left.
 func (t *Table) collect() {
-	defer close(t.done)
+	defer close(t.collectorDone)
 	for t.waitForGroup() {
 		t.waitForOthers()
-		_ = t.pace.Wait(t.closing) // what is left at Close goes at once
-		t.slots <- struct{}{}
-		batch := t.take()
+		_ = t.limiter.Wait(t.closeCtx) // after Close, the rest is sent without delay
+		t.inFlightSlots <- struct{}{}
+		batch := t.takeBatch()
 		if len(batch) == 0 {
-			<-t.slots
+			<-t.inFlightSlots
 			continue
 		}
 		t.senders.Submit(func() { t.send(batch) })
@@ -24,7 +24,7 @@
 func (t *Table) waitForGroup() bool {
 	for {
 		t.mu.Lock()
-		queued, blocked, closed := len(t.queue), len(t.blocked)+t.checking, t.closed
+		queued, blocked, closed := len(t.queue), len(t.blocked)+t.checkingGroups, t.closed
 		t.mu.Unlock()
 		if queued > 0 {
 			return true
@@ -32,12 +32,12 @@
 		if closed && blocked == 0 {
 			return false
 		}
-		<-t.wake
+		<-t.changed
 	}
 }
 
-// waitForOthers waits until the oldest group has waited for MaxWait or enough
-// groups are queued to fill a transaction.
+// waitForOthers waits until the oldest group has waited for MaxWait or the queue
+// can fill a transaction.
 func (t *Table) waitForOthers() {
 	timer := time.NewTimer(t.timeToSend())
 	defer timer.Stop()
@@ -45,7 +45,7 @@
 		select {
 		case <-timer.C:
 			return
-		case <-t.wake:
+		case <-t.changed:
 			if t.timeToSend() <= 0 {
 				return
 			}
@@ -53,53 +53,53 @@
 	}
 }
 
-// timeToSend is how long the oldest group may still wait for others.
+// timeToSend returns how long the oldest group may still wait for others.
 func (t *Table) timeToSend() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.closed || len(t.queue) == 0 || t.queued >= t.options.MaxOps {
+	if t.closed || len(t.queue) == 0 || t.queuedOps >= t.options.MaxOps {
 		return 0
 	}
 	return t.options.MaxWait - time.Since(t.queue[0].arrived)
 }
 
-// take removes from the queue the groups of the next transaction, oldest first.
-// It leaves those that do not fit, sets aside those that share a row with a
-// transaction in flight or with a group set aside before, and forgets the
-// abandoned ones.
-func (t *Table) take() []*group {
+// takeBatch removes the groups of the next transaction from the queue, oldest
+// first. It leaves groups that do not fit, moves groups to blocked that share a
+// row with a transaction in flight or with a group blocked before them, and drops
+// abandoned groups.
+func (t *Table) takeBatch() []*group {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	wanted := wantedRows(t.blocked)
-	var batch, left []*group
+	var batch, remaining []*group
 	ops, size := 0, 0
 	for _, g := range t.queue {
-		if t.inFlight.exclude(g) || wanted.exclude(g) {
+		if t.rowsInFlight.conflictsWith(g) || wanted.conflictsWith(g) {
 			t.blocked = append(t.blocked, g)
 			wanted.add(g)
 			continue
 		}
 		if ops+len(g.ops) > t.options.MaxOps || size+g.bytes > t.options.MaxBytes {
-			left = append(left, g)
+			remaining = append(remaining, g)
 			continue
 		}
 		if !g.state.CompareAndSwap(groupWaiting, groupSending) {
 			continue
 		}
-		t.inFlight.add(g)
+		t.rowsInFlight.add(g)
 		batch = append(batch, g)
 		ops += len(g.ops)
 		size += g.bytes
 	}
-	t.queue = left
-	t.queued = countOps(left)
+	t.queue = remaining
+	t.queuedOps = countOps(remaining)
 	return batch
 }
 
-// wantedRows returns the rows of groups that were set aside. Later groups must
-// not pass these, or a write of a row would wait for ever behind checks of it.
-func wantedRows(groups []*group) rowUses {
-	wanted := make(rowUses)
+// wantedRows returns the rows of blocked groups. Later groups must not overtake
+// these, or a write of a row could wait forever behind checks of it.
+func wantedRows(groups []*group) rowUsage {
+	wanted := make(rowUsage)
 	for _, g := range groups {
 		wanted.add(g)
 	}
--- a/store/batch/counters.go
+++ b/store/batch/counters.go
@@ -9,12 +9,12 @@
 // counters are the metrics of a Table.
 type counters struct {
 	set          *metrics.Set
-	commits      *metrics.Counter   // commits that callers made
-	transactions *metrics.Counter   // transactions sent for them
-	conflicts    *metrics.Counter   // callers told ErrConflict
-	isolations   *metrics.Counter   // transactions read back to find the conflict
+	commits      *metrics.Counter   // commits made by callers
+	transactions *metrics.Counter   // transactions sent for these commits
+	conflicts    *metrics.Counter   // commits that failed with ErrConflict
+	isolations   *metrics.Counter   // transactions whose rows were read back to find the conflict
 	reads        *metrics.Counter   // rows read back
-	rows         *metrics.Histogram // operations of each transaction
+	rows         *metrics.Histogram // operations per transaction
 }
 
 func newCounters(set *metrics.Set) counters {
@@ -29,7 +29,7 @@
 	}
 }
 
-// refusal counts commits that were given up on, by reason.
-func (c counters) refusal(reason string) *metrics.Counter {
+// refusals counts the commits that were given up, by reason.
+func (c counters) refusals(reason string) *metrics.Counter {
 	return c.set.GetOrCreateCounter(fmt.Sprintf(`walnut_batch_refusals_total{reason=%q}`, reason))
 }
--- a/store/batch/send.go
+++ b/store/batch/send.go
@@ -7,31 +7,31 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// maxReadBack bounds the groups whose rows are read back to find a conflict.
-// Larger transactions are halved first. A platform takes about seven reads for
-// each write, and at 32 the two cost about the same; see
+// maxGroupsReadBack limits the groups whose rows are read back to find a conflict.
+// Larger transactions are halved first. The platform accepts about seven reads for
+// each write, and at 32 groups reading and halving cost about the same; see
 // docs/design/0009-batched-commits.md.
-const maxReadBack = 32
+const maxGroupsReadBack = 32
 
-// send commits a batch and tells every caller its outcome.
+// send commits a batch and passes the outcomes to the callers.
 func (t *Table) send(batch []*group) {
-	defer t.release(batch)
-	t.resolve(batch)
+	defer t.releaseRows(batch)
+	t.commitGroups(batch)
 }
 
-// resolve commits the groups together. If a condition fails it finds whose, and
-// commits the others again.
-func (t *Table) resolve(groups []*group) {
+// commitGroups commits the groups together. If a condition fails, it finds the
+// group that it belongs to and commits the others again.
+func (t *Table) commitGroups(groups []*group) {
 	if len(groups) == 0 {
 		return
 	}
-	revision, err := t.commit(groups)
+	revision, err := t.commitTransaction(groups)
 	if len(groups) > 1 && errors.Is(err, store.ErrConflict) {
-		t.isolate(groups)
+		t.isolateConflicts(groups)
 		return
 	}
 	if len(groups) > 1 && errors.Is(err, store.ErrInvalid) {
-		t.resolveHalves(groups)
+		t.commitHalves(groups)
 		return
 	}
 	if errors.Is(err, store.ErrConflict) {
@@ -42,7 +42,7 @@
 	}
 }
 
-func (t *Table) commit(groups []*group) (uint64, error) {
+func (t *Table) commitTransaction(groups []*group) (uint64, error) {
 	ops := joinOps(groups)
 	t.counters.transactions.Inc()
 	t.counters.rows.Update(float64(len(ops)))
@@ -51,8 +51,8 @@
 	return t.RevisionTable.CommitRevision(ctx, ops)
 }
 
-// joinOps returns the operations of the groups. A check that several groups
-// share stands once, since a transaction may name a row only once.
+// joinOps returns the operations of the groups. A check that several groups share
+// is included once, since a transaction may name a row only once.
 func joinOps(groups []*group) []store.Op {
 	var ops []store.Op
 	checked := make(map[rowName]bool)
@@ -69,23 +69,24 @@
 	return ops
 }
 
-// isolate finds whose condition made a joint transaction fail. It halves large
-// transactions, then reads back the rows of what is left. Callers whose condition does not hold get ErrConflict; the others
-// are committed again. Where reading finds no culprit, because a row changed
-// in between or could not be read, the groups are halved.
-func (t *Table) isolate(groups []*group) {
-	if len(groups) > maxReadBack {
-		t.resolveHalves(groups)
+// isolateConflicts finds the groups whose conditions made a combined transaction
+// fail. It halves large transactions, and reads back the rows of smaller ones.
+// Groups whose conditions do not hold fail with ErrConflict; the others are
+// committed again. If reading finds no conflict, because a row changed in between
+// or could not be read, the groups are halved.
+func (t *Table) isolateConflicts(groups []*group) {
+	if len(groups) > maxGroupsReadBack {
+		t.commitHalves(groups)
 		return
 	}
 	t.counters.isolations.Inc()
-	conflicting, others := t.divide(groups, t.readBack(groups))
+	conflicting, others := t.partition(groups, t.findConflicts(groups))
 	if len(conflicting) == 0 {
-		t.resolveHalves(groups)
+		t.commitHalves(groups)
 		return
 	}
 	t.failConflicting(conflicting)
-	t.resolve(others)
+	t.commitGroups(others)
 }
 
 func (t *Table) failConflicting(groups []*group) {
@@ -95,32 +96,32 @@
 	}
 }
 
-func (t *Table) resolveHalves(groups []*group) {
+func (t *Table) commitHalves(groups []*group) {
 	half := len(groups) / 2
-	t.resolve(groups[:half])
-	t.resolve(groups[half:])
+	t.commitGroups(groups[:half])
+	t.commitGroups(groups[half:])
 }
 
-// readBack reads the rows of the groups at once and returns a check that says
-// whether a condition of a group was seen to fail.
-func (t *Table) readBack(groups []*group) func(*group) bool {
-	fails := make([]bool, len(groups))
+// findConflicts reads the rows of the groups concurrently and returns a function
+// that reports whether a group was found to violate a condition.
+func (t *Table) findConflicts(groups []*group) func(*group) bool {
+	isFailing := make([]bool, len(groups))
 	tasks := t.readers.NewGroup()
 	for i, g := range groups {
-		tasks.Submit(func() { fails[i] = t.conflictSeen()(g) })
+		tasks.Submit(func() { isFailing[i] = t.newConflictCheck()(g) })
 	}
 	_ = tasks.Wait() // the tasks return no error
 	failed := make(map[*group]bool, len(groups))
 	for i, g := range groups {
-		failed[g] = fails[i]
+		failed[g] = isFailing[i]
 	}
 	return func(g *group) bool { return failed[g] }
 }
 
-// divide parts the groups by whether they conflict, in order.
-func (t *Table) divide(groups []*group, conflicts func(*group) bool) (conflicting, others []*group) {
+// partition separates conflicting groups from the others, keeping their order.
+func (t *Table) partition(groups []*group, isConflicting func(*group) bool) (conflicting, others []*group) {
 	for _, g := range groups {
-		if conflicts(g) {
+		if isConflicting(g) {
 			conflicting = append(conflicting, g)
 		} else {
 			others = append(others, g)
