--- a/store/forward/encode.go
+++ b/store/forward/encode.go
@@ -10,23 +10,23 @@
 	"github.com/walnutcove/walnutcove/store/forward/forwardpb"
 )
 
-var kinds = map[store.OpKind]forwardpb.Kind{
+var kindToProto = map[store.OpKind]forwardpb.Kind{
 	store.OpInsert: forwardpb.Kind_KIND_INSERT,
 	store.OpUpdate: forwardpb.Kind_KIND_UPDATE,
 	store.OpDelete: forwardpb.Kind_KIND_DELETE,
 	store.OpCheck:  forwardpb.Kind_KIND_CHECK,
 }
 
-var kindNames = map[forwardpb.Kind]store.OpKind{
+var kindFromProto = map[forwardpb.Kind]store.OpKind{
 	forwardpb.Kind_KIND_INSERT: store.OpInsert,
 	forwardpb.Kind_KIND_UPDATE: store.OpUpdate,
 	forwardpb.Kind_KIND_DELETE: store.OpDelete,
 	forwardpb.Kind_KIND_CHECK:  store.OpCheck,
 }
 
-// results are the errors whose meaning crosses the wire. Any other error is
-// RESULT_UNKNOWN.
-var results = map[forwardpb.Result]error{
+// resultErrors maps the results of the protocol to errors. All other errors are
+// encoded as RESULT_UNKNOWN.
+var resultErrors = map[forwardpb.Result]error{
 	forwardpb.Result_RESULT_CONFLICT:    store.ErrConflict,
 	forwardpb.Result_RESULT_UNAVAILABLE: store.ErrUnavailable,
 	forwardpb.Result_RESULT_INVALID:     store.ErrInvalid,
@@ -36,7 +36,7 @@
 	request := &forwardpb.Commit{}
 	for _, op := range ops {
 		request.Ops = append(request.Ops, &forwardpb.Op{
-			Kind:     kinds[op.Kind],
+			Kind:     kindToProto[op.Kind],
 			Table:    op.Table,
 			Key:      op.Key,
 			Value:    op.Value,
@@ -54,7 +54,7 @@
 	var ops []store.Op
 	for _, op := range request.GetOps() {
 		ops = append(ops, store.Op{
-			Kind:     kindNames[op.GetKind()],
+			Kind:     kindFromProto[op.GetKind()],
 			Table:    op.GetTable(),
 			Key:      op.GetKey(),
 			Value:    op.GetValue(),
@@ -64,7 +64,7 @@
 	return ops, store.CheckOps(ops)
 }
 
-// encodeOutcome encodes how a commit ended.
+// encodeOutcome encodes the outcome of a commit.
 func encodeOutcome(revision uint64, err error) []byte {
 	outcome := &forwardpb.Outcome{Result: resultOf(err), Revision: revision}
 	if err != nil {
@@ -72,13 +72,13 @@
 	}
 	encoded, err := proto.Marshal(outcome)
 	if err != nil {
-		return nil // reads as RESULT_UNKNOWN; an error's text may be no valid UTF-8
+		return nil // decoded as RESULT_UNKNOWN; an error's text may be invalid UTF-8
 	}
 	return encoded
 }
 
-// resultOf is RESULT_UNKNOWN for an error that is marked as unknown, whatever
-// else it is marked as.
+// resultOf returns the result for an error. It is RESULT_UNKNOWN for an error that
+// wraps store.ErrUnknown, whatever else it wraps.
 func resultOf(err error) forwardpb.Result {
 	if err == nil {
 		return forwardpb.Result_RESULT_APPLIED
@@ -86,7 +86,7 @@
 	if errors.Is(err, store.ErrUnknown) {
 		return forwardpb.Result_RESULT_UNKNOWN
 	}
-	for result, meaning := range results {
+	for result, meaning := range resultErrors {
 		if errors.Is(err, meaning) {
 			return result
 		}
@@ -94,17 +94,17 @@
 	return forwardpb.Result_RESULT_UNKNOWN
 }
 
-// decodeOutcome returns how the writer's commit ended.
+// decodeOutcome returns the outcome of the writer's commit.
 func decodeOutcome(answer []byte) (uint64, error) {
 	var outcome forwardpb.Outcome
 	if err := proto.Unmarshal(answer, &outcome); err != nil {
-		return 0, fmt.Errorf("%w (forward: answer cannot be read): %w", store.ErrUnknown, err)
+		return 0, fmt.Errorf("%w (forward: decode outcome): %w", store.ErrUnknown, err)
 	}
 	if outcome.GetResult() == forwardpb.Result_RESULT_APPLIED {
 		return outcome.GetRevision(), nil
 	}
-	if meaning, ok := results[outcome.GetResult()]; ok {
-		return 0, fmt.Errorf("%w (forward: at the writer): %s", meaning, outcome.GetDetail())
+	if meaning, ok := resultErrors[outcome.GetResult()]; ok {
+		return 0, fmt.Errorf("%w (forward: reported by the writer): %s", meaning, outcome.GetDetail())
 	}
-	return 0, fmt.Errorf("%w (forward: at the writer): %s", store.ErrUnknown, outcome.GetDetail())
+	return 0, fmt.Errorf("%w (forward: reported by the writer): %s", store.ErrUnknown, outcome.GetDetail())
 }
--- a/store/forward/forward.go
+++ b/store/forward/forward.go
@@ -1,13 +1,13 @@
-// Package forward sends commits of a large fleet's routers to a few of them,
-// the writers, which batch them. With hundreds of routers each has too few
-// commits for batches of its own, and a table service takes only several
-// hundred transactions a second from all of them.
+// Package forward sends the commits of a large fleet's routers to a few of them,
+// the writers, which batch them. Of hundreds of routers each has too few commits
+// for batches of its own, and the table service accepts only several hundred
+// transactions a second from all of them.
 //
-// A row's commits go to the writer that rendezvous hashing picks among the live
-// routers in view. Views may differ: a writer applies whatever it is asked for,
-// and the conditions of the operations alone decide. A commit that surely did
-// not reach a writer goes to the next one, and then is made here. One that may
-// have reached it fails with store.ErrUnknown.
+// The commits of a row go to the writer that rendezvous hashing selects among the
+// live routers in view. Views may differ: a writer applies every commit that it
+// receives, and correctness depends only on the conditions of the operations. A
+// commit that certainly did not reach a writer is sent to the next one, and then
+// made locally. One that may have reached a writer fails with store.ErrUnknown.
 package forward
 
 import (
@@ -25,40 +25,42 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// Method is the method of the calls between routers, answered by Table.Serve.
+// Method is the name of the peer method that Table.Serve implements.
 const Method = "table.commit"
 
 const (
 	// DefaultTimeout is the default of Options.Timeout.
 	DefaultTimeout = time.Second
-	// maxWriters bounds the writers that one commit tries.
-	maxWriters = 2
-	// avoidFor is how long a writer that failed is passed over.
-	avoidFor = time.Second
+	// maxWritersTried limits the writers that one commit tries.
+	maxWritersTried = 2
+	// avoidDuration is how long a writer is skipped after a failure.
+	avoidDuration = time.Second
 )
 
-// Caller makes calls to other routers. peer.Transport is one.
+// Caller makes calls to other routers. peer.Transport implements it.
 type Caller interface {
-	// Call sends a request and waits for the answer. ErrUnreachable, ErrBusy
-	// and ErrCallFailed of package peer say that the request had no effect.
+	// Call sends a request and waits for the answer. The errors ErrUnreachable,
+	// ErrBusy and ErrCallFailed of package peer mean that the request had no
+	// effect.
 	Call(ctx context.Context, to control.NodeID, method string, payload []byte) ([]byte, error)
 }
 
-// Options configure a Table. Zero values take the stated defaults.
+// Options configures a Table. Zero fields take the stated defaults.
 type Options struct {
 	// Self is this router. Required.
 	Self control.NodeID
-	// Table makes the commits of this router, and those that others send it.
-	// Required.
+	// Table makes the local commits of this router, and those that other routers
+	// send to it. Required.
 	Table store.RevisionTable
-	// Caller reaches the writers. Required.
+	// Caller makes the calls to the writers. Required.
 	Caller Caller
-	// Timeout bounds the wait for a writer. It should be well below the time
-	// that callers of Commit have, so that they can read back. Default 1 s.
+	// Timeout limits the wait for a writer. It should be well below the timeout of
+	// the callers of Commit, so that they have time to read back. Default 1 s.
 	Timeout time.Duration
-	// Now tells the time. Default time.Now.
+	// Now is the clock. Default time.Now.
 	Now func() time.Time
-	// Metrics receives the counters. Default: the process's own set.
+	// Metrics is the set in which the counters are registered. Default: the global
+	// set.
 	Metrics *metrics.Set
 }
 
@@ -75,37 +77,37 @@
 	return o
 }
 
-// Table is a table whose commits are made by the fleet's writers. Its reads
-// pass through. All methods are safe for concurrent use.
+// Table is a table that forwards commits to the fleet's writers. Reads are passed
+// through. All methods are safe for concurrent use.
 type Table struct {
-	store.RevisionTable // for reads, and for commits made here
+	store.RevisionTable // for reads and local commits
 
 	options  Options
 	counters counters
 	writers  atomic.Pointer[[]writer]
 
 	mu sync.Mutex
-	// avoided holds writers that failed, and until when they are passed over.
-	avoided map[control.NodeID]time.Time
+	// avoidedUntil holds the time until which a failed writer is skipped.
+	avoidedUntil map[control.NodeID]time.Time
 }
 
 var _ store.RevisionTable = (*Table)(nil)
 
-// New returns a table that makes every commit here, until SetMembers.
+// New returns a table that makes all commits locally until SetMembers is called.
 func New(options Options) *Table {
 	options = options.withDefaults()
 	t := &Table{
 		RevisionTable: options.Table,
 		options:       options,
 		counters:      newCounters(options.Metrics),
-		avoided:       make(map[control.NodeID]time.Time),
+		avoidedUntil:  make(map[control.NodeID]time.Time),
 	}
 	t.writers.Store(new([]writer))
 	return t
 }
 
-// SetMembers replaces the live routers in view, with this one unless it is
-// leaving. It returns whether this router is now a writer.
+// SetMembers replaces the set of live routers in view, which includes this one
+// unless it is leaving. It reports whether this router is now a writer.
 func (t *Table) SetMembers(alive []control.NodeID) (isWriter bool) {
 	writers := pickWriters(alive)
 	t.writers.Store(&writers)
@@ -121,13 +123,13 @@
 	return err
 }
 
-// CommitRevision implements store.RevisionTable. The operations of one call
-// are applied together or not at all; the first one's row picks the writer.
+// CommitRevision implements store.RevisionTable. The operations of one call are
+// applied together or not at all; the row of the first one determines the writer.
 func (t *Table) CommitRevision(ctx context.Context, ops []store.Op) (uint64, error) {
 	if err := store.CheckOps(ops); err != nil {
 		return 0, err
 	}
-	for _, to := range t.candidates(ops[0].Key) {
+	for _, to := range t.candidateWriters(ops[0].Key) {
 		if to == t.options.Self {
 			break
 		}
@@ -140,8 +142,8 @@
 	return t.RevisionTable.CommitRevision(ctx, ops)
 }
 
-// candidates returns the writers that a row's commit tries, best first.
-func (t *Table) candidates(key string) []control.NodeID {
+// candidateWriters returns the writers that a row's commit tries, in order.
+func (t *Table) candidateWriters(key string) []control.NodeID {
 	writers := *t.writers.Load()
 	if len(writers) == 0 {
 		return nil
@@ -150,31 +152,31 @@
 	defer t.mu.Unlock()
 	now := t.options.Now()
 	var nodes []control.NodeID
-	for _, w := range inOrder(writers, key) {
-		if len(nodes) < maxWriters && !now.Before(t.avoided[w.node]) {
+	for _, w := range writersByScore(writers, key) {
+		if len(nodes) < maxWritersTried && !now.Before(t.avoidedUntil[w.node]) {
 			nodes = append(nodes, w.node)
 		}
 	}
 	return nodes
 }
 
-// avoid passes a writer over for a while.
+// avoid makes commits skip a writer for avoidDuration.
 func (t *Table) avoid(node control.NodeID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.options.Now()
-	for other, until := range t.avoided {
+	for other, until := range t.avoidedUntil {
 		if !now.Before(until) {
-			delete(t.avoided, other)
+			delete(t.avoidedUntil, other)
 		}
 	}
-	t.avoided[node] = now.Add(avoidFor)
+	t.avoidedUntil[node] = now.Add(avoidDuration)
 }
 
-// errNotApplied marks a commit that a writer surely did not apply, and never will.
+// errNotApplied means that a writer certainly did not apply a commit, and never will.
 var errNotApplied = errors.New("forward: not applied by the writer")
 
-// forward asks a writer to make a commit.
+// forward sends a commit to a writer and returns its outcome.
 func (t *Table) forward(ctx context.Context, to control.NodeID, ops []store.Op) (uint64, error) {
 	payload, err := encodeCommit(ops)
 	if err != nil {
@@ -185,38 +187,38 @@
 	defer cancel()
 	answer, err := t.options.Caller.Call(callCtx, to, Method, payload)
 	if err != nil {
-		return 0, t.callFailed(ctx, to, err)
+		return 0, t.callError(ctx, to, err)
 	}
 	revision, err := decodeOutcome(answer)
 	if errors.Is(err, store.ErrUnavailable) {
-		t.counters.failure(reasonUnavailable)
+		t.counters.incFailure(reasonUnavailable)
 		t.avoid(to)
 		return 0, fmt.Errorf("%w: %w", errNotApplied, err)
 	}
 	return revision, err
 }
 
-// callFailed tells a commit that surely was not made from one that may have
-// been. When in doubt it may have been.
-func (t *Table) callFailed(ctx context.Context, to control.NodeID, err error) error {
+// callError returns the error of a commit whose call failed: errNotApplied if the
+// commit was certainly not made, and otherwise store.ErrUnknown.
+func (t *Table) callError(ctx context.Context, to control.NodeID, err error) error {
 	switch {
 	case errors.Is(err, peer.ErrBusy):
-		t.counters.failure(reasonBusy)
+		t.counters.incFailure(reasonBusy)
 		return fmt.Errorf("%w: %w", errNotApplied, err)
 	case errors.Is(err, peer.ErrUnreachable), errors.Is(err, peer.ErrCallFailed):
-		t.counters.failure(reasonUnreachable)
+		t.counters.incFailure(reasonUnreachable)
 		t.avoid(to)
 		return fmt.Errorf("%w: %w", errNotApplied, err)
 	}
-	t.counters.failure(reasonLost)
+	t.counters.incFailure(reasonReplyLost)
 	if ctx.Err() == nil {
 		t.avoid(to)
 	}
 	return fmt.Errorf("%w (forward: call to %s): %w", store.ErrUnknown, to, err)
 }
 
-// Serve makes a commit that another router sent. An error means that it was not
-// made and never will be; how a commit ended that was tried is in the answer.
+// Serve makes a commit that another router sent, and returns the encoded outcome.
+// An error means that the commit was not made and never will be.
 func (t *Table) Serve(ctx context.Context, payload []byte) ([]byte, error) {
 	ops, err := decodeCommit(payload)
 	if err != nil {
--- a/store/forward/forward_test.go
+++ b/store/forward/forward_test.go
@@ -16,18 +16,20 @@
 	"github.com/walnutcove/walnutcove/store/memory"
 )
 
-// fleet is some routers over one store. It is the Caller between them.
-type fleet struct {
+// testFleet is a fleet of routers over one store. It implements the calls between
+// them.
+type testFleet struct {
 	store  *memory.Store
 	now    time.Time
 	tables map[control.NodeID]*Table
-	// called lists the writers that were asked.
+	// called lists the writers that were called, in order.
 	called []control.NodeID
-	// before and after fail a call before or after the writer's commit.
-	before, after map[control.NodeID]error
+	// failBefore and failAfter hold errors with which calls to a router fail before
+	// or after its commit.
+	failBefore, failAfter map[control.NodeID]error
 }
 
-func nodes(n int) []control.NodeID {
+func nodeNames(n int) []control.NodeID {
 	var all []control.NodeID
 	for i := range n {
 		all = append(all, control.NodeID(fmt.Sprint("vm-", i)))
@@ -35,31 +37,31 @@
 	return all
 }
 
-func newFleet(n int) *fleet {
-	f := &fleet{
-		store:  memory.New(memory.Options{}),
-		now:    time.Unix(0, 0),
-		tables: make(map[control.NodeID]*Table),
-		before: make(map[control.NodeID]error),
-		after:  make(map[control.NodeID]error),
+func newTestFleet(n int) *testFleet {
+	f := &testFleet{
+		store:      memory.New(memory.Options{}),
+		now:        time.Unix(0, 0),
+		tables:     make(map[control.NodeID]*Table),
+		failBefore: make(map[control.NodeID]error),
+		failAfter:  make(map[control.NodeID]error),
 	}
-	for _, node := range nodes(n) {
+	for _, node := range nodeNames(n) {
 		f.tables[node] = New(Options{
 			Self: node, Table: f.store, Caller: f, Now: func() time.Time { return f.now }, Metrics: metrics.NewSet(),
 		})
-		f.tables[node].SetMembers(nodes(n))
+		f.tables[node].SetMembers(nodeNames(n))
 	}
 	return f
 }
 
-func (f *fleet) Call(ctx context.Context, to control.NodeID, method string, payload []byte) ([]byte, error) {
+func (f *testFleet) Call(ctx context.Context, to control.NodeID, method string, payload []byte) ([]byte, error) {
 	f.called = append(f.called, to)
-	if err := f.before[to]; err != nil || method != Method {
+	if err := f.failBefore[to]; err != nil || method != Method {
 		return nil, err
 	}
 	answer, err := f.tables[to].Serve(ctx, payload)
-	if f.after[to] != nil {
-		return nil, f.after[to]
+	if f.failAfter[to] != nil {
+		return nil, f.failAfter[to]
 	}
 	return answer, err
 }
@@ -68,10 +70,11 @@
 	return []store.Op{{Kind: store.OpInsert, Table: "t", Key: key, Value: []byte(value)}}
 }
 
-// ordinary returns a router that is no writer, and the two writers that a key tries.
-func (f *fleet) ordinary(key string) (*Table, []control.NodeID) {
+// nonWriter returns a router that is not one of the two writers that a commit of
+// the key tries, and these writers.
+func (f *testFleet) nonWriter(key string) (*Table, []control.NodeID) {
 	for _, t := range f.tables {
-		writers := t.candidates(key)
+		writers := t.candidateWriters(key)
 		if writers[0] != t.options.Self && writers[1] != t.options.Self {
 			return t, writers
 		}
@@ -79,9 +82,9 @@
 	panic("every router is a writer")
 }
 
-func TestOutcomesOfTheWriterComeBack(t *testing.T) {
-	f := newFleet(100)
-	from, writers := f.ordinary("k")
+func TestWriterOutcomesAreReturned(t *testing.T) {
+	f := newTestFleet(100)
+	from, writers := f.nonWriter("k")
 	revision, err := from.CommitRevision(context.Background(), insert("k", "v"))
 	if err != nil {
 		t.Fatal(err)
@@ -110,14 +113,14 @@
 	}
 }
 
-// What surely did not reach a writer, or was refused there, is committed by
-// another. All else is unknown, and is not committed again.
-func TestFailedCalls(t *testing.T) {
+// A commit that certainly did not reach a writer, or was refused there, is made by
+// another router. In all other cases its outcome is unknown, and it is not repeated.
+func TestFailedWriterCalls(t *testing.T) {
 	lost := fmt.Errorf("call: %w", peer.ErrSessionEnded)
 	for _, c := range []struct {
 		name          string
 		before, after error
-		elsewhere     bool // committed elsewhere
+		elsewhere     bool // committed by another writer
 		applied       bool
 	}{
 		{name: "unreachable", before: peer.ErrUnreachable, elsewhere: true, applied: true},
@@ -129,9 +132,9 @@
 		{name: "another error", before: errors.New("boom")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFleet(100)
-			from, writers := f.ordinary("k")
-			f.before[writers[0]], f.after[writers[0]] = c.before, c.after
+			f := newTestFleet(100)
+			from, writers := f.nonWriter("k")
+			f.failBefore[writers[0]], f.failAfter[writers[0]] = c.before, c.after
 			err := from.Commit(context.Background(), insert("k", "v"))
 			if c.elsewhere && (err != nil || len(f.called) != 2) {
 				t.Fatalf("called %v: %v", f.called, err)
@@ -146,49 +149,49 @@
 	}
 }
 
-func TestCommitsHereIfNoWriterCanBeAsked(t *testing.T) {
-	f := newFleet(100)
-	from, _ := f.ordinary("k")
-	for _, node := range nodes(100) {
-		f.before[node] = peer.ErrUnreachable
+func TestCommitsLocallyIfNoWriterIsReachable(t *testing.T) {
+	f := newTestFleet(100)
+	from, _ := f.nonWriter("k")
+	for _, node := range nodeNames(100) {
+		f.failBefore[node] = peer.ErrUnreachable
 	}
-	if err := from.Commit(context.Background(), insert("k", "v")); err != nil || len(f.called) != maxWriters {
+	if err := from.Commit(context.Background(), insert("k", "v")); err != nil || len(f.called) != maxWritersTried {
 		t.Fatalf("called %v: %v", f.called, err)
 	}
 }
 
-func TestFailedWriterIsPassedOverForAWhile(t *testing.T) {
-	f := newFleet(100)
-	from, writers := f.ordinary("k")
-	f.before[writers[0]] = peer.ErrUnreachable
+func TestFailedWriterIsAvoidedTemporarily(t *testing.T) {
+	f := newTestFleet(100)
+	from, writers := f.nonWriter("k")
+	f.failBefore[writers[0]] = peer.ErrUnreachable
 	for range 3 {
 		_ = from.Commit(context.Background(), insert("k", "v"))
 	}
-	if len(f.called) != 4 { // the first try, and the other writer three times
+	if len(f.called) != 4 { // the failed writer once, and the other writer three times
 		t.Fatalf("called %v", f.called)
 	}
-	f.now = f.now.Add(avoidFor)
-	if next := from.candidates("k"); next[0] != writers[0] {
+	f.now = f.now.Add(avoidDuration)
+	if next := from.candidateWriters("k"); next[0] != writers[0] {
 		t.Fatalf("%v after the pause, want %v", next, writers)
 	}
 }
 
-// Routers whose views differ commit a row through different writers. The
-// table's condition still lets one of them win.
-func TestTwoWritersForOneKey(t *testing.T) {
-	f := newFleet(100)
-	a, writers := f.ordinary("k")
-	var without []control.NodeID
-	for _, node := range nodes(100) {
+// Routers with different views commit a row through different writers. The
+// operation's condition still lets only one of the commits succeed.
+func TestRoutersWithDifferentViewsUseDifferentWriters(t *testing.T) {
+	f := newTestFleet(100)
+	a, writers := f.nonWriter("k")
+	var withoutFirstWriter []control.NodeID
+	for _, node := range nodeNames(100) {
 		if node != writers[0] {
-			without = append(without, node)
+			withoutFirstWriter = append(withoutFirstWriter, node)
 		}
 	}
 	for _, b := range f.tables {
 		if b.options.Self == a.options.Self || b.options.Self == writers[1] {
 			continue
 		}
-		b.SetMembers(without)
+		b.SetMembers(withoutFirstWriter)
 		f.called = nil
 		first, second := a.Commit(context.Background(), insert("k", "a")), b.Commit(context.Background(), insert("k", "b"))
 		if first != nil || !errors.Is(second, store.ErrConflict) || len(f.called) != 2 || f.called[0] == f.called[1] {
@@ -198,8 +201,8 @@
 	}
 }
 
-func TestServeRefusesWhatItCannotRead(t *testing.T) {
-	table := newFleet(1).tables["vm-0"]
+func TestServeRejectsInvalidCommits(t *testing.T) {
+	table := newTestFleet(1).tables["vm-0"]
 	bad, err := encodeCommit([]store.Op{{Kind: store.OpUpdate, Table: "t", Key: "k"}})
 	if err != nil {
 		t.Fatal(err)
@@ -214,18 +217,18 @@
 	}
 }
 
-// The routers that see each other, on every side of a partition, spend no more
-// than the fleet's budget.
-func TestSharesAddUpToTheBudget(t *testing.T) {
+// The routers on all sides of a partition together must not exceed the fleet's
+// write budget.
+func TestSharesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const budget = 300.0
 		listed := rapid.IntRange(1, 500).Draw(t, "listed")
 		sum := 0.0
-		for left := listed; left > 0; {
-			side := rapid.IntRange(1, left).Draw(t, "side")
-			left -= side
+		for remaining := listed; remaining > 0; {
+			side := rapid.IntRange(1, remaining).Draw(t, "side")
+			remaining -= side
 			fleet := Fleet{WritesPerSecond: budget, Listed: listed, Alive: side}
-			writers := len(pickWriters(nodes(side)))
+			writers := len(pickWriters(nodeNames(side)))
 			sum += float64(writers)*fleet.Share(true) + float64(side-writers)*fleet.Share(false)
 		}
 		if sum > budget*1.0001 {
@@ -234,29 +237,30 @@
 	})
 }
 
-// A router that leaves moves only the keys of the writer that it was.
-func TestWritersAreFewAndStay(t *testing.T) {
-	all := nodes(340)
+// If a writer leaves the fleet, only the keys of that writer move, apart from those
+// that its successor takes over.
+func TestWriterSelectionIsStable(t *testing.T) {
+	all := nodeNames(340)
 	writers := pickWriters(all)
-	if len(writers) != 9 || pickWriters(nodes(LocalMembers)) != nil || len(pickWriters(nodes(LocalMembers+1))) != 1 {
+	if len(writers) != 9 || pickWriters(nodeNames(LocalMembers)) != nil || len(pickWriters(nodeNames(LocalMembers+1))) != 1 {
 		t.Fatalf("%d writers", len(writers))
 	}
-	gone := writers[3].node
-	var left []control.NodeID
+	removed := writers[3].node
+	var remaining []control.NodeID
 	for _, node := range all {
-		if node != gone {
-			left = append(left, node)
+		if node != removed {
+			remaining = append(remaining, node)
 		}
 	}
-	after := pickWriters(left)
+	after := pickWriters(remaining)
 	rows := make(map[control.NodeID]int)
 	const keys = 2000
 	for i := range keys {
 		key := fmt.Sprintf("%032x", i)
-		was, is := inOrder(writers, key)[0].node, inOrder(after, key)[0].node
-		rows[was]++
-		if was != gone && is != was && is != after[len(after)-1].node {
-			t.Fatalf("key moved from %s to %s", was, is)
+		oldWriter, newWriter := writersByScore(writers, key)[0].node, writersByScore(after, key)[0].node
+		rows[oldWriter]++
+		if oldWriter != removed && newWriter != oldWriter && newWriter != after[len(after)-1].node {
+			t.Fatalf("key moved from %s to %s", oldWriter, newWriter)
 		}
 	}
 	for _, w := range writers {
--- a/store/forward/writers.go
+++ b/store/forward/writers.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// LocalMembers is the largest fleet in which every router commits for
-	// itself: there a hop costs more than it saves.
+	// MaxMembersWithoutWriters is the size of the largest fleet in which every
+	// router commits for itself: there, forwarding costs more than it saves.
 	LocalMembers = 12
-	// MembersPerWriter is how many live routers share one writer in larger fleets.
+	// MembersPerWriter is the number of live routers per writer in larger fleets.
 	MembersPerWriter = 40
-	// writerKey is the rendezvous key by which the writers are picked.
-	writerKey = "record-writer"
-	// localPart is the part of the fleet's writes that all routers share
-	// evenly, for commits that no writer could be asked for.
-	localPart = 0.2
+	// writerSelectionKey is the rendezvous key by which the writers are selected.
+	writerSelectionKey = "record-writer"
+	// localWriteFraction is the fraction of the fleet's write budget that is divided
+	// evenly among all routers, for commits that cannot be forwarded.
+	localWriteFraction = 0.2
 )
 
 // writer is a router that commits for others.
@@ -27,7 +27,7 @@
 	hash uint64
 }
 
-// pickWriters returns the writers among the live routers; none if every router
+// pickWriters returns the writers among the live routers, or none if every router
 // commits for itself.
 func pickWriters(alive []control.NodeID) []writer {
 	if len(alive) <= LocalMembers {
@@ -37,7 +37,7 @@
 	for _, node := range alive {
 		candidates = append(candidates, writer{node: node, hash: member.HashOf(string(node))})
 	}
-	sortByScore(candidates, member.HashOf(writerKey))
+	sortByScore(candidates, member.HashOf(writerSelectionKey))
 	return candidates[:writerCount(len(alive))]
 }
 
@@ -45,14 +45,16 @@
 	return (alive + MembersPerWriter - 1) / MembersPerWriter
 }
 
-// inOrder returns the writers in the order in which a row's commits try them.
-func inOrder(writers []writer, key string) []writer {
+// writersByScore returns the writers in the order in which commits of a row try
+// them.
+func writersByScore(writers []writer, key string) []writer {
 	sorted := slices.Clone(writers)
 	sortByScore(sorted, member.HashOf(key))
 	return sorted
 }
 
-// sortByScore puts the node that rendezvous hashing gives the key to first.
+// sortByScore sorts nodes by their rendezvous hashing score for the key, highest
+// first.
 func sortByScore(nodes []writer, key uint64) {
 	slices.SortFunc(nodes, func(a, b writer) int {
 		byScore := cmp.Compare(member.Score(b.hash, key), member.Score(a.hash, key))
@@ -60,30 +62,30 @@
 	})
 }
 
-// Fleet is what a router knows of the fleet that shares a write budget.
+// Fleet describes a fleet that shares a write budget, as known to one router.
 type Fleet struct {
-	// WritesPerSecond is the budget of the whole fleet.
+	// WritesPerSecond is the write budget of the whole fleet.
 	WritesPerSecond float64
-	// Listed is how many routers the platform's list names; zero if unknown.
+	// Listed is the number of routers in the platform's list; zero if unknown.
 	Listed int
-	// Alive is how many routers are live in this router's view.
+	// Alive is the number of live routers in this router's view.
 	Alive int
 }
 
-// Share returns the writes a second that one router may make. In a small fleet
-// each has an even part. In a larger one the writers have most, and every
-// router a little for commits that no writer could be asked for. Routers that
-// see a part of the fleet only share that part of the budget, so that
-// two sides of a partition do not spend it twice.
+// Share returns the writes per second that one router may make. In a small fleet
+// all routers have equal shares. In a larger one the writers have most of the
+// budget, and every router has a small share for commits that cannot be forwarded.
+// Routers that see only a part of the fleet divide only that part of the budget,
+// so that the two sides of a partition do not spend it twice.
 func (f Fleet) Share(isWriter bool) float64 {
-	known := float64(max(f.Listed, f.Alive, 1))
+	fleetSize := float64(max(f.Listed, f.Alive, 1))
 	if f.Alive <= LocalMembers {
-		return f.WritesPerSecond / known
+		return f.WritesPerSecond / fleetSize
 	}
-	share := localPart * f.WritesPerSecond / known
+	share := localWriteFraction * f.WritesPerSecond / fleetSize
 	if isWriter {
 		writers := float64(writerCount(f.Alive))
-		share += (1 - localPart) * f.WritesPerSecond * float64(f.Alive) / known / writers
+		share += (1 - localWriteFraction) * f.WritesPerSecond * float64(f.Alive) / fleetSize / writers
 	}
 	return share
 }
