--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -1,6 +1,6 @@
-// Package memory is an in-memory implementation of the platform's table,
-// object store and list of VMs, for tests and for embedding. It is linearizable
-// and keeps nothing when the process ends.
+// Package memory is an in-memory implementation of the platform's services, for
+// tests and for embedding: the table, the object store, the list of VMs and the
+// weight store. It is linearizable and not persistent.
 package memory
 
 import (
@@ -15,10 +15,10 @@
 
 // Change is one applied write of a row or object.
 type Change struct {
-	// Kind is insert, update or delete; writes of objects are OpUpdate with
+	// Kind is OpInsert, OpUpdate or OpDelete; a write of an object is OpUpdate with
 	// an empty Table.
 	Kind store.OpKind
-	// Table and Key name the row; for an object, Key is its name.
+	// Table and Key identify the row; for an object, Key is its name.
 	Table string
 	Key   string
 	// Revision is the revision of the commit that made the change.
@@ -27,25 +27,25 @@
 	Bytes int
 }
 
-// Options configure a Store. The zero value is usable.
+// Options configures a Store. The zero value is usable.
 type Options struct {
-	// OnChange, if set, is called for every applied write in the order of
-	// their application. It must be quick and must not call the store.
+	// OnChange, if set, is called for every applied write, in order. It must return
+	// quickly and must not call the store.
 	OnChange func(Change)
-	// Now is the clock of the VM list's lag. Default time.Now.
+	// Now is the clock for the lag of the VM list. Default time.Now.
 	Now func() time.Time
 }
 
 // Store holds tables, objects and the list of VMs. It implements
-// store.RevisionTable and store.VMList; Objects returns its object store.
+// store.RevisionTable and store.VMList; Objects returns the object store.
 type Store struct {
 	options Options
 
-	mu       sync.Mutex
-	tables   map[string]*tableRows
-	objects  map[string][]byte
-	revision uint64
-	vms      vmHistory
+	mu        sync.Mutex
+	tables    map[string]*tableRows
+	objects   map[string][]byte
+	revision  uint64
+	vmHistory vmListHistory
 }
 
 var (
@@ -72,7 +72,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	row, ok := s.row(table, key)
+	row, ok := s.findRow(table, key)
 	if !ok {
 		return store.Row{}, fmt.Errorf("%w: %s/%s", store.ErrNotFound, table, key)
 	}
@@ -111,7 +111,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, op := range ops {
-		if !s.holds(op) {
+		if !s.conditionHolds(op) {
 			return 0, store.ErrConflict
 		}
 	}
@@ -122,9 +122,9 @@
 	return s.revision, nil
 }
 
-// holds says whether the condition of op is met.
-func (s *Store) holds(op store.Op) bool {
-	row, ok := s.row(op.Table, op.Key)
+// conditionHolds reports whether the condition of op is met.
+func (s *Store) conditionHolds(op store.Op) bool {
+	row, ok := s.findRow(op.Table, op.Key)
 	switch op.Kind {
 	case store.OpInsert:
 		return !ok
@@ -138,21 +138,21 @@
 func (s *Store) apply(op store.Op) {
 	switch op.Kind {
 	case store.OpInsert, store.OpUpdate:
-		s.table(op.Table).put(store.Row{
+		s.tableFor(op.Table).put(store.Row{
 			Table:    op.Table,
 			Key:      op.Key,
 			Value:    bytes.Clone(op.Value),
 			Revision: s.revision,
 		})
 	case store.OpDelete:
-		s.table(op.Table).remove(op.Key)
+		s.tableFor(op.Table).remove(op.Key)
 	default:
 		return
 	}
-	s.changed(Change{Kind: op.Kind, Table: op.Table, Key: op.Key, Revision: s.revision, Bytes: len(op.Value)})
+	s.notifyChange(Change{Kind: op.Kind, Table: op.Table, Key: op.Key, Revision: s.revision, Bytes: len(op.Value)})
 }
 
-func (s *Store) row(table, key string) (store.Row, bool) {
+func (s *Store) findRow(table, key string) (store.Row, bool) {
 	t := s.tables[table]
 	if t == nil {
 		return store.Row{}, false
@@ -161,7 +161,7 @@
 	return row, ok
 }
 
-func (s *Store) table(name string) *tableRows {
+func (s *Store) tableFor(name string) *tableRows {
 	t := s.tables[name]
 	if t == nil {
 		t = newTableRows()
@@ -170,7 +170,7 @@
 	return t
 }
 
-func (s *Store) changed(change Change) {
+func (s *Store) notifyChange(change Change) {
 	if s.options.OnChange != nil {
 		s.options.OnChange(change)
 	}
--- a/store/memory/memory_test.go
+++ b/store/memory/memory_test.go
@@ -10,13 +10,13 @@
 
 var background = context.Background()
 
-// clock is a clock that tests set.
-type clock struct{ now time.Time }
+// manualClock is a clock that the tests set.
+type manualClock struct{ now time.Time }
 
-func (c *clock) Now() time.Time { return c.now }
+func (c *manualClock) Now() time.Time { return c.now }
 
 func TestVMListLags(t *testing.T) {
-	c := &clock{now: time.Unix(1000, 0)}
+	c := &manualClock{now: time.Unix(1000, 0)}
 	table := New(Options{Now: c.Now})
 	table.SetVMLag(2 * time.Second)
 	for _, name := range []string{"first", "second"} {
@@ -33,35 +33,35 @@
 }
 
 func TestWeightPermits(t *testing.T) {
-	c := &clock{now: time.Unix(1000, 0)}
+	c := &manualClock{now: time.Unix(1000, 0)}
 	weights := NewWeights(WeightsOptions{BytesPerSecond: 100, MaxFetches: 2, PermitTime: time.Minute, Now: c.Now})
-	ask := func(id string) store.WeightPermit {
+	request := func(id string) store.WeightPermit {
 		permit, err := weights.RequestFetch(background, store.WeightFetch{ID: id, Artifact: "m", Target: "t"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return permit
 	}
-	if got := ask("a"); !got.Granted || got.BytesPerSecond != 50 {
+	if got := request("a"); !got.Granted || got.BytesPerSecond != 50 {
 		t.Fatalf("first: %+v", got)
 	}
 	c.now = c.now.Add(30 * time.Second)
-	if got := ask("a"); !got.Granted || got.TimeLeft != 30*time.Second {
+	if got := request("a"); !got.Granted || got.TimeLeft != 30*time.Second {
 		t.Fatalf("asked again: %+v", got)
 	}
-	ask("b")
-	if got := ask("c"); got.Granted || got.RetryAfter <= 0 {
+	request("b")
+	if got := request("c"); got.Granted || got.RetryAfter <= 0 {
 		t.Fatalf("over the limit: %+v", got)
 	}
 	c.now = c.now.Add(30 * time.Second)
-	if got := ask("c"); !got.Granted {
+	if got := request("c"); !got.Granted {
 		t.Fatalf("after a permit ended: %+v", got)
 	}
 }
 
-// TestScanSeesEveryWrite checks that the lazily ordered keys stay right over
+// TestScanReflectsAllWrites checks that the lazily sorted keys stay correct after
 // deletes and inserts of the same key.
-func TestScanSeesEveryWrite(t *testing.T) {
+func TestScanReflectsAllWrites(t *testing.T) {
 	table := New(Options{})
 	commit := func(kind store.OpKind, key string, revision uint64) uint64 {
 		op := store.Op{Kind: kind, Table: "t", Key: key, Revision: revision}
--- a/store/memory/objects.go
+++ b/store/memory/objects.go
@@ -22,7 +22,7 @@
 	return err
 }
 
-// PutRevision is Put and returns the revision of the write.
+// PutRevision is Put that also returns the revision of the write.
 func (o *Objects) PutRevision(ctx context.Context, name string, value []byte) (uint64, error) {
 	if err := checkObject(ctx, name); err != nil {
 		return 0, err
@@ -35,7 +35,7 @@
 	defer s.mu.Unlock()
 	s.revision++
 	s.objects[name] = bytes.Clone(value)
-	s.changed(Change{Kind: store.OpUpdate, Key: name, Revision: s.revision, Bytes: len(value)})
+	s.notifyChange(Change{Kind: store.OpUpdate, Key: name, Revision: s.revision, Bytes: len(value)})
 	return s.revision, nil
 }
 
--- a/store/memory/rows.go
+++ b/store/memory/rows.go
@@ -8,16 +8,16 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// tableRows is one table: rows by key, and the keys in order for scans. Writes
-// take constant time; the first scan after a write puts the keys in order.
+// tableRows is one table: the rows by key, and the sorted keys for scans. Writes
+// take constant time; the first scan after a write sorts the keys.
 type tableRows struct {
 	rows map[string]store.Row
-	// keys is in order; it may hold keys that were deleted.
+	// keys is sorted; it may contain keys that were deleted.
 	keys []string
-	// added are keys written since keys was put in order.
-	added []string
-	// deleted says that a row was deleted since then.
-	deleted bool
+	// addedKeys holds the keys inserted since keys was last sorted, unsorted.
+	addedKeys []string
+	// hasDeleted is set if a row was deleted since then.
+	hasDeleted bool
 }
 
 func newTableRows() *tableRows {
@@ -26,19 +26,19 @@
 
 func (t *tableRows) put(row store.Row) {
 	if _, ok := t.rows[row.Key]; !ok {
-		t.added = append(t.added, row.Key)
+		t.addedKeys = append(t.addedKeys, row.Key)
 	}
 	t.rows[row.Key] = row
 }
 
 func (t *tableRows) remove(key string) {
 	delete(t.rows, key)
-	t.deleted = true
+	t.hasDeleted = true
 }
 
 // scan returns up to limit rows with key >= from. The values are copies.
 func (t *tableRows) scan(from string, limit int) []store.Row {
-	t.order()
+	t.sortKeys()
 	var rows []store.Row
 	for i := sort.SearchStrings(t.keys, from); i < len(t.keys) && len(rows) < limit; i++ {
 		row := t.rows[t.keys[i]]
@@ -48,24 +48,24 @@
 	return rows
 }
 
-// order merges the added keys into keys and takes out the deleted ones.
-func (t *tableRows) order() {
-	if len(t.added) > 0 {
-		slices.Sort(t.added)
-		t.keys = merge(t.keys, t.added)
-		t.added = nil
+// sortKeys merges the added keys into keys and removes the deleted ones.
+func (t *tableRows) sortKeys() {
+	if len(t.addedKeys) > 0 {
+		slices.Sort(t.addedKeys)
+		t.keys = mergeSorted(t.keys, t.addedKeys)
+		t.addedKeys = nil
 	}
-	if t.deleted {
+	if t.hasDeleted {
 		t.keys = slices.DeleteFunc(t.keys, func(key string) bool {
 			_, ok := t.rows[key]
 			return !ok
 		})
-		t.deleted = false
+		t.hasDeleted = false
 	}
 }
 
-// merge returns the keys of two ordered lists in order, each once.
-func merge(a, b []string) []string {
+// mergeSorted merges two sorted lists and removes duplicates.
+func mergeSorted(a, b []string) []string {
 	merged := make([]string, 0, len(a)+len(b))
 	for len(a) > 0 && len(b) > 0 {
 		if a[0] <= b[0] {
--- a/store/memory/vms.go
+++ b/store/memory/vms.go
@@ -9,28 +9,29 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// vmHistory keeps the lists that a lagging reader may still see.
-type vmHistory struct {
-	lag     time.Duration
-	entries []vmEntry // oldest first
+// vmListHistory holds the versions of the list that lagging readers may still see.
+type vmListHistory struct {
+	lag      time.Duration
+	versions []vmListVersion // oldest first
 }
 
-type vmEntry struct {
+type vmListVersion struct {
 	since time.Time
 	vms   []store.VM
 }
 
-// maxVMEntries bounds the history; older lists are forgotten.
-const maxVMEntries = 1024
+// maxVMListVersions limits the history; older versions are dropped.
+const maxVMListVersions = 1024
 
-// SetVMs replaces the list of VMs. Readers see it once the lag has passed.
+// SetVMs replaces the list of VMs. Readers see the new list once the lag has
+// passed.
 func (s *Store) SetVMs(vms []store.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	entry := vmEntry{since: s.options.Now(), vms: slices.Clone(vms)}
-	s.vms.entries = append(s.vms.entries, entry)
-	if extra := len(s.vms.entries) - maxVMEntries; extra > 0 {
-		s.vms.entries = slices.Delete(s.vms.entries, 0, extra)
+	version := vmListVersion{since: s.options.Now(), vms: slices.Clone(vms)}
+	s.vmHistory.versions = append(s.vmHistory.versions, version)
+	if extra := len(s.vmHistory.versions) - maxVMListVersions; extra > 0 {
+		s.vmHistory.versions = slices.Delete(s.vmHistory.versions, 0, extra)
 	}
 }
 
@@ -38,7 +39,7 @@
 func (s *Store) SetVMLag(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.vms.lag = lag
+	s.vmHistory.lag = lag
 }
 
 // ListVMs implements store.VMList.
@@ -48,11 +49,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	latest := s.options.Now().Add(-s.vms.lag)
-	for i := len(s.vms.entries) - 1; i >= 0; i-- {
-		entry := s.vms.entries[i]
-		if !entry.since.After(latest) {
-			return slices.Clone(entry.vms), nil
+	latest := s.options.Now().Add(-s.vmHistory.lag)
+	for i := len(s.vmHistory.versions) - 1; i >= 0; i-- {
+		version := s.vmHistory.versions[i]
+		if !version.since.After(latest) {
+			return slices.Clone(version.vms), nil
 		}
 	}
 	return nil, nil
--- a/store/memory/weights.go
+++ b/store/memory/weights.go
@@ -17,13 +17,13 @@
 	fetchRetryAfter             = time.Second
 )
 
-// WeightsOptions configure Weights. Zero values take the stated defaults.
+// WeightsOptions configures Weights. Zero fields take the stated defaults.
 type WeightsOptions struct {
-	// BytesPerSecond is shared equally by MaxFetches permits. Default 10 GiB.
+	// BytesPerSecond is divided equally among MaxFetches permits. Default 10 GiB.
 	BytesPerSecond int64
-	// MaxFetches bounds the permits that hold at once. Default 4.
+	// MaxFetches limits the permits that are valid at once. Default 4.
 	MaxFetches int
-	// PermitTime is how long a permit holds. Default 5 min.
+	// PermitTime is how long a permit is valid. Default 5 min.
 	PermitTime time.Duration
 	// Now is the clock. Default time.Now.
 	Now func() time.Time
@@ -31,14 +31,14 @@
 
 // Weights is an in-memory implementation of store.Weights.
 type Weights struct {
-	options WeightsOptions
-	mu      sync.Mutex
-	permits map[string]time.Time // end of each permit by its ID
+	options    WeightsOptions
+	mu         sync.Mutex
+	permitEnds map[string]time.Time // end of each permit's validity, by ID
 }
 
 var _ store.Weights = (*Weights)(nil)
 
-// NewWeights returns a weight store with no permit given.
+// NewWeights returns a weight store without permits.
 func NewWeights(options WeightsOptions) *Weights {
 	if options.BytesPerSecond == 0 {
 		options.BytesPerSecond = defaultWeightBytesPerSecond
@@ -52,7 +52,7 @@
 	if options.Now == nil {
 		options.Now = time.Now
 	}
-	return &Weights{options: options, permits: make(map[string]time.Time)}
+	return &Weights{options: options, permitEnds: make(map[string]time.Time)}
 }
 
 // WeightsRate implements store.Weights.
@@ -62,10 +62,10 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.expire()
+	w.removeExpired()
 	return store.WeightRate{
 		BytesPerSecond: w.options.BytesPerSecond,
-		Fetches:        len(w.permits),
+		Fetches:        len(w.permitEnds),
 		MaxFetches:     w.options.MaxFetches,
 	}, nil
 }
@@ -80,14 +80,14 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.expire()
-	end, held := w.permits[fetch.ID]
-	if !held && len(w.permits) >= w.options.MaxFetches {
+	w.removeExpired()
+	end, exists := w.permitEnds[fetch.ID]
+	if !exists && len(w.permitEnds) >= w.options.MaxFetches {
 		return store.WeightPermit{RetryAfter: fetchRetryAfter}, nil
 	}
-	if !held {
+	if !exists {
 		end = w.options.Now().Add(w.options.PermitTime)
-		w.permits[fetch.ID] = end
+		w.permitEnds[fetch.ID] = end
 	}
 	return store.WeightPermit{
 		Granted:        true,
@@ -103,15 +103,15 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.permits, id)
+	delete(w.permitEnds, id)
 	return nil
 }
 
-func (w *Weights) expire() {
+func (w *Weights) removeExpired() {
 	now := w.options.Now()
-	for id, end := range w.permits {
+	for id, end := range w.permitEnds {
 		if !end.After(now) {
-			delete(w.permits, id)
+			delete(w.permitEnds, id)
 		}
 	}
 }
