--- a/config/follower/fleet_test.go
+++ b/config/follower/fleet_test.go
@@ -110,7 +110,7 @@
 		seen.waitFor(t, 1)
 		waitReady(t, f)
 		if f.Current().Digest != first.Current().Digest {
-			t.Fatalf("%s holds another content", name)
+			t.Fatalf("%s holds different content", name)
 		}
 		previous = name
 	}
@@ -155,7 +155,7 @@
 	f.VersionSeen("peer", 10)
 	seen.waitFor(t, 10)
 	if got := seen.versions(); len(got) != 1 {
-		t.Fatalf("versions %v, want one whole swap", got)
+		t.Fatalf("versions %v, want only the newest, from a snapshot", got)
 	}
 }
 
@@ -359,9 +359,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		whole := len(update.Whole) > 0
-		if whole != (want == -1) || (!whole && len(update.Entries) != want) {
-			t.Errorf("from %d: %d entries, whole %v", from, len(update.Entries), whole)
+		hasSnapshot := len(update.Whole) > 0
+		if hasSnapshot != (want == -1) || (!hasSnapshot && len(update.Entries) != want) {
+			t.Errorf("from %d: %d entries, snapshot %v", from, len(update.Entries), hasSnapshot)
 		}
 	}
 }
--- a/config/follower/follower_test.go
+++ b/config/follower/follower_test.go
@@ -138,7 +138,7 @@
 	seen := r.versions()
 	for i := 1; i < len(seen); i++ {
 		if seen[i] <= seen[i-1] {
-			t.Fatalf("versions %v went down", seen)
+			t.Fatalf("versions %v are not increasing", seen)
 		}
 	}
 }
--- a/config/index.go
+++ b/config/index.go
@@ -19,10 +19,10 @@
 // Index holds the lookup tables that the request path needs for one version.
 // It is immutable, so readers share it without locks.
 type Index struct {
-	keysByPrefix      map[uint64][]keyOwner // by the first eight bytes of the hash
+	keysByHashPrefix  map[uint64][]keyOwner // by the first eight bytes of the hash
 	poolsByModel      map[string]string
-	poolsByPathPrefix []prefixPool // longest first
-	targetsByPool     map[string]map[string][]string
+	poolsByPathPrefix []pathPrefixPool               // longest first
+	targetsByPool     map[string]map[string][]string // target names by pool and data centre
 	routes            routeTable
 }
 
@@ -31,13 +31,13 @@
 	workspace string
 }
 
-type prefixPool struct {
+type pathPrefixPool struct {
 	prefix string
 	pool   string
 }
 
 func newEmptyIndex() *Index {
-	return &Index{keysByPrefix: map[uint64][]keyOwner{}}
+	return &Index{keysByHashPrefix: map[uint64][]keyOwner{}}
 }
 
 // Index returns the index of the snapshot, building it on the first call.
@@ -55,9 +55,9 @@
 
 // derive returns the index of next. Tables without changes are shared with x.
 func (x *Index) derive(old, next Declarations, touched rawDocument) *Index {
-	derived := &Index{keysByPrefix: x.keysByPrefix, poolsByModel: x.poolsByModel, poolsByPathPrefix: x.poolsByPathPrefix, targetsByPool: x.targetsByPool, routes: x.routes}
+	derived := &Index{keysByHashPrefix: x.keysByHashPrefix, poolsByModel: x.poolsByModel, poolsByPathPrefix: x.poolsByPathPrefix, targetsByPool: x.targetsByPool, routes: x.routes}
 	if changed := workspacesWithChangedKeys(old, next, touched); len(changed) > 0 {
-		derived.keysByPrefix = maps.Clone(x.keysByPrefix)
+		derived.keysByHashPrefix = maps.Clone(x.keysByHashPrefix)
 		for _, name := range changed {
 			derived.removeKeys(name, old.Workspaces[name].KeyHashes)
 		}
@@ -102,7 +102,7 @@
 			continue // Not a hash: no key can match it.
 		}
 		bucket := hash.bucket()
-		x.keysByPrefix[bucket] = append(slices.Clip(x.keysByPrefix[bucket]), keyOwner{hash: hash, workspace: workspace})
+		x.keysByHashPrefix[bucket] = append(slices.Clip(x.keysByHashPrefix[bucket]), keyOwner{hash: hash, workspace: workspace})
 	}
 }
 
@@ -113,17 +113,17 @@
 			continue
 		}
 		bucket := hash.bucket()
-		kept := make([]keyOwner, 0, len(x.keysByPrefix[bucket]))
-		for _, owner := range x.keysByPrefix[bucket] {
+		kept := make([]keyOwner, 0, len(x.keysByHashPrefix[bucket]))
+		for _, owner := range x.keysByHashPrefix[bucket] {
 			if owner.hash != hash || owner.workspace != workspace {
 				kept = append(kept, owner)
 			}
 		}
 		if len(kept) == 0 {
-			delete(x.keysByPrefix, bucket)
+			delete(x.keysByHashPrefix, bucket)
 			continue
 		}
-		x.keysByPrefix[bucket] = kept
+		x.keysByHashPrefix[bucket] = kept
 	}
 }
 
@@ -136,7 +136,7 @@
 			x.poolsByModel[model] = name
 		}
 		if pool.PathPrefix != "" {
-			x.poolsByPathPrefix = append(x.poolsByPathPrefix, prefixPool{prefix: pool.PathPrefix, pool: name})
+			x.poolsByPathPrefix = append(x.poolsByPathPrefix, pathPrefixPool{prefix: pool.PathPrefix, pool: name})
 		}
 	}
 	sort.SliceStable(x.poolsByPathPrefix, func(i, j int) bool {
@@ -168,7 +168,7 @@
 // to. The hash is looked up by its first eight bytes and then compared in
 // constant time, even if the lookup found no candidate.
 func (x *Index) WorkspaceByKeyHash(hash KeyHash) (string, bool) {
-	candidates := x.keysByPrefix[hash.bucket()]
+	candidates := x.keysByHashPrefix[hash.bucket()]
 	if len(candidates) == 0 {
 		candidates = dummyOwner
 	}
--- a/config/property_test.go
+++ b/config/property_test.go
@@ -103,20 +103,20 @@
 	if errors.As(err, &broken) {
 		return s
 	}
-	whole, wholeErr := applyByFullDecode(s.Declarations, []byte(changes))
-	if (err == nil) != (wholeErr == nil) {
-		t.Fatalf("%s\non %s\nincremental: %v\nwhole: %v", changes, before, err, wholeErr)
+	full, fullErr := applyByFullDecode(s.Declarations, []byte(changes))
+	if (err == nil) != (fullErr == nil) {
+		t.Fatalf("%s\non %s\nincremental: %v\nfull decode: %v", changes, before, err, fullErr)
 	}
 	if err != nil {
 		return s
 	}
-	if !reflect.DeepEqual(next.Declarations, whole.Declarations) {
-		t.Fatalf("%s\nincremental %+v\nwhole %+v", changes, next.Declarations, whole.Declarations)
+	if !reflect.DeepEqual(next.Declarations, full.Declarations) {
+		t.Fatalf("%s\nincremental %+v\nfull decode %+v", changes, next.Declarations, full.Declarations)
 	}
-	if next.contentSum() != whole.contentSum() {
+	if next.contentSum() != full.contentSum() {
 		t.Fatalf("%s: content sums differ", changes)
 	}
-	checkIndexes(t, next, whole)
+	checkIndexes(t, next, full)
 	checkRoundTrip(t, next)
 	return next
 }
@@ -126,8 +126,8 @@
 	if !reflect.DeepEqual(a.poolsByModel, b.poolsByModel) || !reflect.DeepEqual(a.targetsByPool, b.targetsByPool) || !reflect.DeepEqual(a.poolsByPathPrefix, b.poolsByPathPrefix) {
 		t.Fatalf("indexes differ: %+v and %+v", a, b)
 	}
-	if len(a.keysByPrefix) != len(b.keysByPrefix) {
-		t.Fatalf("%d keys, want %d", len(a.keysByPrefix), len(b.keysByPrefix))
+	if len(a.keysByHashPrefix) != len(b.keysByHashPrefix) {
+		t.Fatalf("%d keys, want %d", len(a.keysByHashPrefix), len(b.keysByHashPrefix))
 	}
 	for name, workspace := range want.Declarations.Workspaces {
 		for _, text := range workspace.KeyHashes {
@@ -202,7 +202,7 @@
 			t.Fatalf("apply %s: %v", changes, err)
 		}
 		if !reflect.DeepEqual(got.Declarations, to.Declarations) {
-			t.Fatalf("diff %s leads to %+v, want %+v", changes, got.Declarations, to.Declarations)
+			t.Fatalf("diff %s results in %+v, want %+v", changes, got.Declarations, to.Declarations)
 		}
 		equal := reflect.DeepEqual(from.Declarations, to.Declarations)
 		if equal != (len(rows) == 0) || equal != (string(changes) == "{}") {
--- a/config/store/faults_test.go
+++ b/config/store/faults_test.go
@@ -79,11 +79,11 @@
 		}
 		var conflict *config.VersionConflictError
 		if !errors.As(err, &conflict) || conflict.Newest != 4 || conflict.WinnerPatchID != winner.Patch.ID {
-			t.Errorf("a loser got %v", err)
+			t.Errorf("a losing patch got %v", err)
 		}
 	}
 	if got := newestVersion(t, s); got != 4 {
-		t.Fatalf("head %d", got)
+		t.Fatalf("newest version %d", got)
 	}
 }
 
@@ -101,7 +101,7 @@
 	}
 	wg.Wait()
 	if got := newestVersion(t, s); got != 1 {
-		t.Fatalf("head %d", got)
+		t.Fatalf("newest version %d", got)
 	}
 }
 
@@ -136,7 +136,7 @@
 			}
 			return pass(ctx, ops)
 		},
-		"write lands between read back and second send": func(pass call, calls int, ctx context.Context, ops []store.Op) error {
+		"write arrives between read back and second send": func(pass call, calls int, ctx context.Context, ops []store.Op) error {
 			if calls == 1 {
 				return store.ErrUnknown
 			}
@@ -165,7 +165,7 @@
 			}
 			accepted := submit(t, s, numberedPatch(0))
 			if accepted.Entry.Version != 1 || accepted.Snapshot == nil || newestVersion(t, healthy) != 1 {
-				t.Fatalf("accepted %d, head %d", accepted.Entry.Version, newestVersion(t, healthy))
+				t.Fatalf("accepted %d, newest version %d", accepted.Entry.Version, newestVersion(t, healthy))
 			}
 		})
 	}
@@ -206,7 +206,7 @@
 	}
 	again := submit(t, healthy, p)
 	if again.Entry.Version != 1 || newestVersion(t, healthy) != 1 {
-		t.Fatalf("accepted again as %d, head %d", again.Entry.Version, newestVersion(t, healthy))
+		t.Fatalf("accepted again as %d, newest version %d", again.Entry.Version, newestVersion(t, healthy))
 	}
 }
 
@@ -217,7 +217,7 @@
 		_, err := s.Submit(context.Background(), nil, numberedPatch(0))
 		var unknown *CommitUnknownError
 		if !errors.Is(err, refusal) || errors.As(err, &unknown) || newestVersion(t, healthy) != 0 {
-			t.Fatalf("error %v, head %d", err, newestVersion(t, healthy))
+			t.Fatalf("error %v, newest version %d", err, newestVersion(t, healthy))
 		}
 	}
 }
@@ -227,7 +227,7 @@
 	_, err := s.Submit(context.Background(), nil, patch(0, `{"workspaces": {"bakery": {"share": -1}}}`))
 	var invalid *config.ValidationError
 	if !errors.As(err, &invalid) || newestVersion(t, s) != 0 {
-		t.Fatalf("error %v, head %d", err, newestVersion(t, s))
+		t.Fatalf("error %v, newest version %d", err, newestVersion(t, s))
 	}
 }
 
@@ -259,11 +259,11 @@
 	damaged := &faultyObjects{Objects: backing.Objects(), content: map[string][]byte{snapshotName(20): []byte("{")}}
 	reader := New(backing, damaged, Options{})
 	if got := newestVersion(t, reader); got != 23 {
-		t.Fatalf("head %d", got)
+		t.Fatalf("newest version %d", got)
 	}
 	damaged.content[snapshotName(10)] = nil
 	if got := newestVersion(t, reader); got != 23 {
-		t.Fatalf("head %d without any snapshot", got)
+		t.Fatalf("newest version %d without any snapshot", got)
 	}
 }
 
@@ -314,7 +314,7 @@
 	s := New(backing, objects, Options{})
 	_, err := s.Submit(context.Background(), nil, patch(0, string(largeChanges())))
 	if !errors.Is(err, store.ErrUnavailable) || newestVersion(t, s) != 0 {
-		t.Fatalf("error %v, head %d", err, newestVersion(t, s))
+		t.Fatalf("error %v, newest version %d", err, newestVersion(t, s))
 	}
 }
 
@@ -335,7 +335,7 @@
 			t.Fatalf("accepted %d, %v", accepted.Entry.Version, err)
 		}
 		if got := newestVersion(t, s); got != stored+1 {
-			t.Fatalf("head %d", got)
+			t.Fatalf("newest version %d", got)
 		}
 	}
 	empty, _ := newStore(t)
--- a/runrecord/forward_test.go
+++ b/runrecord/forward_test.go
@@ -118,7 +118,7 @@
 		a, b := startForwardingKeeper(t, w), startKeeper(t, w.table, "b")
 		claim := mustClaim(t, a, testRequest)
 		if n := w.table.applyLate(); n != 0 {
-			t.Fatal("a late claim took effect beside another")
+			t.Fatal("a late claim took effect in addition to another")
 		}
 		wantRefused(t, b, testRequest, result.RecordInProgress)
 		claim.Answered(Outcome{Status: 200})
--- a/runrecord/runrecord_test.go
+++ b/runrecord/runrecord_test.go
@@ -73,7 +73,7 @@
 	claim := mustClaim(t, a, testRequest)
 	refusal := wantRefused(t, b, testRequest, result.RecordInProgress)
 	if refusal.RetryAfter < minRetryAfter || refusal.Ran != result.RanUnknown {
-		t.Fatalf("bad advice: %+v", refusal)
+		t.Fatalf("unexpected refusal: %+v", refusal)
 	}
 	wantRefused(t, a, testRequest, result.RecordInProgress)
 	if err := claim.BeginDispatch(); err != nil {
@@ -122,7 +122,7 @@
 		table.setReadsUnavailable(true)
 		refusal := wantRefused(t, a, testRequest, result.RecordUnavailable)
 		if refusal.Ran != result.RanNo {
-			t.Fatalf("refusal says ran %v", refusal.Ran)
+			t.Fatalf("refusal has Ran %v", refusal.Ran)
 		}
 		table.setReadsUnavailable(false)
 		flush(t, a)
@@ -205,7 +205,7 @@
 	flush(t, a)
 	for _, k := range []*Keeper{a, b} {
 		if refusal := wantRefused(t, k, testRequest, result.RecordUnknown); refusal.Ran != result.RanUnknown {
-			t.Fatalf("refusal says ran %v", refusal.Ran)
+			t.Fatalf("refusal has Ran %v", refusal.Ran)
 		}
 	}
 }
@@ -217,7 +217,7 @@
 	for range breakerThreshold {
 		table.injectFaults(faultUnavailable)
 		if refusal := wantRefused(t, k, testRequest, result.RecordUnavailable); refusal.Ran != result.RanNo {
-			t.Fatalf("refusal says ran %v", refusal.Ran)
+			t.Fatalf("refusal has Ran %v", refusal.Ran)
 		}
 	}
 	if refusal := wantRefused(t, k, testRequest, result.RecordUnavailable); !errors.Is(refusal, errBreakerOpen) {
@@ -239,7 +239,7 @@
 		t.Fatalf("stored %+v", got)
 	}
 	if refusal := wantRefused(t, k, testRequest, result.RecordNotKept); refusal.Ran != result.RanYes {
-		t.Fatalf("refusal says ran %v", refusal.Ran)
+		t.Fatalf("refusal has Ran %v", refusal.Ran)
 	}
 }
 
--- a/store/batch/batch_test.go
+++ b/store/batch/batch_test.go
@@ -79,11 +79,11 @@
 // commitAll commits each group in a goroutine of its own and returns the errors.
 func commitAll(table store.Table, groups ...[]store.Op) []error {
 	errs := make([]error, len(groups))
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, ops := range groups {
-		wait.Go(func() { errs[i] = table.Commit(context.Background(), ops) })
+		wg.Go(func() { errs[i] = table.Commit(context.Background(), ops) })
 	}
-	wait.Wait()
+	wg.Wait()
 	return errs
 }
 
@@ -294,7 +294,7 @@
 				continue
 			}
 			if other, ok := owners[keys[i]]; ok {
-				t.Fatalf("row %s went to %d and %d", keys[i], other, i)
+				t.Fatalf("row %s was inserted by callers %d and %d", keys[i], other, i)
 			}
 			owners[keys[i]] = i
 		}
@@ -352,16 +352,16 @@
 	}
 	table := New(underlying, Options{MaxWait: time.Microsecond, MaxInFlight: 4, Metrics: metrics.NewSet()})
 	defer table.Close()
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	var firstErr, advanceErr, lastErr error
-	wait.Go(func() { firstErr = table.Commit(context.Background(), claim("first")) })
+	wg.Go(func() { firstErr = table.Commit(context.Background(), claim("first")) })
 	<-started
-	wait.Go(func() { advanceErr = table.Commit(context.Background(), advance) })
+	wg.Go(func() { advanceErr = table.Commit(context.Background(), advance) })
 	waitForBlockedGroups(table, 1)
-	wait.Go(func() { lastErr = table.Commit(context.Background(), claim("last")) })
+	wg.Go(func() { lastErr = table.Commit(context.Background(), claim("last")) })
 	waitForBlockedGroups(table, 2)
 	close(release)
-	wait.Wait()
+	wg.Wait()
 	wantErrors(t, []error{firstErr, advanceErr, lastErr}, nil, nil, store.ErrConflict)
 }
 
