--- a/config/decode.go
+++ b/config/decode.go
@@ -194,14 +194,14 @@
 		return rawDocument{}, errors.New("must be a JSON object")
 	}
 	var document rawDocument
-	into := map[string]*map[string]json.RawMessage{
+	sections := map[string]*map[string]json.RawMessage{
 		sectionWorkspaces: &document.Workspaces,
 		sectionPools:      &document.Pools,
 		sectionTargets:    &document.Targets,
 		sectionRoutes:     &document.Routes,
 	}
 	for name, member := range members {
-		objects, known := into[name]
+		objects, known := sections[name]
 		if !known {
 			return rawDocument{}, fmt.Errorf("unknown section %q", name)
 		}
--- a/config/diff.go
+++ b/config/diff.go
@@ -72,12 +72,12 @@
 func diffSection[T any](s section[T], from, to map[string]T, changes map[string]map[string]json.RawMessage, rows []DiffRow) ([]DiffRow, error) {
 	objects := make(map[string]json.RawMessage)
 	for _, name := range sortedNames(unionNames(from, to)) {
-		old, had := from[name]
-		next, has := to[name]
-		if had && has && reflect.DeepEqual(s.normalise(old), s.normalise(next)) {
+		old, inOld := from[name]
+		next, inNext := to[name]
+		if inOld && inNext && reflect.DeepEqual(s.normalise(old), s.normalise(next)) {
 			continue
 		}
-		change, added, err := diffObject(s, name, old, next, had, has)
+		change, added, err := diffObject(s, name, old, next, inOld, inNext)
 		if err != nil {
 			return nil, err
 		}
@@ -105,12 +105,12 @@
 }
 
 // diffObject returns the merge patch and the differences of one object.
-func diffObject[T any](s section[T], name string, old, next T, had, has bool) (json.RawMessage, []DiffRow, error) {
+func diffObject[T any](s section[T], name string, old, next T, inOld, inNext bool) (json.RawMessage, []DiffRow, error) {
 	object := s.path(name)
-	if !has {
+	if !inNext {
 		return json.RawMessage("null"), []DiffRow{{Kind: ChangeRemoved, Object: object}}, nil
 	}
-	if !had {
+	if !inOld {
 		encoded, err := json.Marshal(s.normalise(next))
 		return encoded, []DiffRow{{Kind: ChangeAdded, Object: object}}, err
 	}
--- a/config/load.go
+++ b/config/load.go
@@ -96,8 +96,8 @@
 }
 
 func (l *loader) addSection(file, name string, value any) {
-	into := l.section(name)
-	if into == nil {
+	objectsByName := l.section(name)
+	if objectsByName == nil {
 		l.addError(file, name, "unknown section")
 		return
 	}
@@ -106,11 +106,11 @@
 		l.addError(file, name, "must be a table of tables by name")
 		return
 	}
-	if *into == nil {
-		*into = make(map[string]json.RawMessage)
+	if *objectsByName == nil {
+		*objectsByName = make(map[string]json.RawMessage)
 	}
 	for _, object := range sortedNames(objects) {
-		l.addObject(file, name+"."+object, object, objects[object], *into)
+		l.addObject(file, name+"."+object, object, objects[object], *objectsByName)
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 }
 
-func (l *loader) addObject(file, key, name string, value any, into map[string]json.RawMessage) {
+func (l *loader) addObject(file, key, name string, value any, objectsByName map[string]json.RawMessage) {
 	if first, taken := l.files[key]; taken {
 		l.addError(file, key, "is also declared in %s", first)
 		return
@@ -151,7 +151,7 @@
 		l.addError(file, key, "cannot be encoded: %v", err)
 		return
 	}
-	into[name] = encoded
+	objectsByName[name] = encoded
 }
 
 // decodeAndValidate decodes and validates the collected objects.
--- a/config/route.go
+++ b/config/route.go
@@ -89,10 +89,10 @@
 	if total == 0 {
 		return ""
 	}
-	left := int(point * float64(total))
+	remaining := int(point * float64(total))
 	for _, share := range r.Split {
-		left -= max(0, share.Weight)
-		if left < 0 {
+		remaining -= max(0, share.Weight)
+		if remaining < 0 {
 			return share.Pool
 		}
 	}
--- a/config/store/store_test.go
+++ b/config/store/store_test.go
@@ -76,8 +76,8 @@
 	s, _ := newStore(t)
 	submitVersions(t, s, 1)
 	winner := submit(t, s, numberedPatch(1))
-	fillFrom := numberedPatch(2)
-	submit(t, s, fillFrom)
+	later := numberedPatch(2)
+	submit(t, s, later)
 	_, err := s.Submit(context.Background(), nil, numberedPatch(1))
 	var conflict *config.VersionConflictError
 	if !errors.As(err, &conflict) {
@@ -103,9 +103,9 @@
 		t.Fatalf("version 17: %v, %v", old, err)
 	}
 	request := RollbackRequest{ID: config.NewPatchID(), Base: 25, To: 17, Author: "ada", Note: "too much"}
-	back, err := s.Rollback(context.Background(), loaded, request)
-	if err != nil || back.Entry.Version != 26 || back.Snapshot.Declarations.Workspaces["bakery"].Share != 17 {
-		t.Fatalf("rollback %+v, %v", back, err)
+	rolledBack, err := s.Rollback(context.Background(), loaded, request)
+	if err != nil || rolledBack.Entry.Version != 26 || rolledBack.Snapshot.Declarations.Workspaces["bakery"].Share != 17 {
+		t.Fatalf("rollback %+v, %v", rolledBack, err)
 	}
 	again, err := s.Rollback(context.Background(), nil, request)
 	if err != nil || again.Entry.Version != 26 {
--- a/store/batch/send.go
+++ b/store/batch/send.go
@@ -105,15 +105,15 @@
 // findConflicts reads the rows of the groups concurrently and returns a function
 // that reports whether a group was found to violate a condition.
 func (t *Table) findConflicts(groups []*group) func(*group) bool {
-	isFailing := make([]bool, len(groups))
+	hasConflict := make([]bool, len(groups))
 	tasks := t.readers.NewGroup()
 	for i, g := range groups {
-		tasks.Submit(func() { isFailing[i] = t.newConflictCheck()(g) })
+		tasks.Submit(func() { hasConflict[i] = t.newConflictCheck()(g) })
 	}
 	_ = tasks.Wait() // the tasks return no error
 	failed := make(map[*group]bool, len(groups))
 	for i, g := range groups {
-		failed[g] = isFailing[i]
+		failed[g] = hasConflict[i]
 	}
 	return func(g *group) bool { return failed[g] }
 }
