--- a/config/follower/fleet_test.go
+++ b/config/follower/fleet_test.go
@@ -348,7 +348,7 @@
 func TestServe(t *testing.T) {
 	entries, snapshots := makeHistory(t, 6)
 	f := New(Options{KeepEntries: 2})
-	if update, err := f.Serve(0); err != nil || len(update.Entries)+len(update.Whole) != 0 {
+	if update, err := f.Serve(0); err != nil || len(update.Entries)+len(update.Snapshot) != 0 {
 		t.Fatalf("before ready: %+v, %v", update, err)
 	}
 	if err := f.apply(candidate{snapshot: snapshots[2], entries: entries[2:]}); err != nil {
@@ -359,7 +359,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		hasSnapshot := len(update.Whole) > 0
+		hasSnapshot := len(update.Snapshot) > 0
 		if hasSnapshot != (want == -1) || (!hasSnapshot && len(update.Entries) != want) {
 			t.Errorf("from %d: %d entries, snapshot %v", from, len(update.Entries), hasSnapshot)
 		}
--- a/config/follower/follower.go
+++ b/config/follower/follower.go
@@ -290,5 +290,5 @@
 	if err != nil {
 		return Update{}, fmt.Errorf("config follower: serve: %w", err)
 	}
-	return Update{Whole: encoded}, nil
+	return Update{Snapshot: encoded}, nil
 }
--- a/config/follower/loop.go
+++ b/config/follower/loop.go
@@ -236,8 +236,8 @@
 		return c
 	}
 	c.entries = update.Entries
-	if len(update.Whole) > 0 {
-		c.snapshot, c.err = config.DecodeSnapshot(update.Whole)
+	if len(update.Snapshot) > 0 {
+		c.snapshot, c.err = config.DecodeSnapshot(update.Snapshot)
 	}
 	return c
 }
--- a/config/follower/update.go
+++ b/config/follower/update.go
@@ -15,7 +15,7 @@
 	// Entries are consecutive, oldest first.
 	Entries []config.Entry `json:"entries,omitempty"`
 	// Snapshot is a snapshot encoded by config.EncodeSnapshot.
-	Whole json.RawMessage `json:"whole,omitempty"`
+	Snapshot json.RawMessage `json:"whole,omitempty"`
 }
 
 // Encode returns the update as sent between peers.
--- a/config/ordered.go
+++ b/config/ordered.go
@@ -7,7 +7,7 @@
 
 // HasOrders reports whether the declaration prescribes loaded models or a role,
 // which the target may have to be ordered to adopt.
-func (t Target) Ordered() bool { return len(t.LoadModels) > 0 || t.Role != "" }
+func (t Target) HasOrders() bool { return len(t.LoadModels) > 0 || t.Role != "" }
 
 // checkOrders checks the loaded models and the role prescribed for a target.
 func checkOrders(d Declarations, object string, t Target, problems *problemList) {
--- a/config/route.go
+++ b/config/route.go
@@ -81,7 +81,7 @@
 
 // PickPool selects the pool for a request in proportion to the weights. point
 // is in [0, 1); equal points select the same pool.
-func (r Route) Pick(point float64) string {
+func (r Route) PickPool(point float64) string {
 	total := 0
 	for _, share := range r.Split {
 		total += max(0, share.Weight)
@@ -223,11 +223,11 @@
 }
 
 // String formats the order for logs.
-func (o Order) String() string { return fmt.Sprintf("%d at %s", o.Version, o.Targets) }
+func (o SnapshotOrder) String() string { return fmt.Sprintf("%d at %s", o.Version, o.Targets) }
 
 // SnapshotOrder ranks snapshots: by version, and within a version by the revision of
 // the target listing. A node never goes back to a snapshot of lower order.
-type Order struct {
+type SnapshotOrder struct {
 	// Version is the configuration version.
 	Version Version
 	// Config is Snapshot.ConfigRevision. It distinguishes contents published
@@ -243,7 +243,7 @@
 // After reports whether a snapshot of order o may replace one of order other:
 // no component is lower, and at least one is higher. Config is compared only
 // within one version.
-func (o Order) After(other Order) bool {
+func (o SnapshotOrder) After(other SnapshotOrder) bool {
 	if o.Version < other.Version || o.Targets < other.Targets || o.Lapsed < other.Lapsed {
 		return false
 	}
@@ -254,6 +254,6 @@
 }
 
 // Order returns the snapshot's order.
-func (s *Snapshot) Order() Order {
-	return Order{Version: s.Version, Config: s.ConfigRevision, Targets: s.TargetsRevision, Lapsed: s.TargetsLapsed}
+func (s *Snapshot) Order() SnapshotOrder {
+	return SnapshotOrder{Version: s.Version, Config: s.ConfigRevision, Targets: s.TargetsRevision, Lapsed: s.TargetsLapsed}
 }
--- a/config/store/faults_test.go
+++ b/config/store/faults_test.go
@@ -284,7 +284,7 @@
 func largeChanges() json.RawMessage {
 	var changes bytes.Buffer
 	changes.WriteString(`{"workspaces":{`)
-	for i := 0; changes.Len() <= InlineBytes; i++ {
+	for i := 0; changes.Len() <= MaxInlineBytes; i++ {
 		fmt.Fprintf(&changes, `"w%05d":{"share":%d},`, i, i+1)
 	}
 	changes.WriteString(`"last":{}}}`)
@@ -296,7 +296,7 @@
 	p := patch(0, string(largeChanges()))
 	submit(t, s, p)
 	row, err := backing.Get(context.Background(), TableVersions, versionKey(1))
-	if err != nil || len(row.Value) > InlineBytes {
+	if err != nil || len(row.Value) > MaxInlineBytes {
 		t.Fatalf("row of %d bytes, %v", len(row.Value), err)
 	}
 	if again := submit(t, s, p); again.Entry.Version != 1 {
--- a/config/store/row.go
+++ b/config/store/row.go
@@ -27,7 +27,7 @@
 // inserted.
 func (s *Store) encodeRow(ctx context.Context, entry config.Entry) ([]byte, error) {
 	row := entryRow{Entry: entry}
-	if len(entry.Patch.Changes) > InlineBytes {
+	if len(entry.Patch.Changes) > MaxInlineBytes {
 		sum := sha256.Sum256(entry.Patch.Changes)
 		row.ChangesObject = ChangesPrefix + hex.EncodeToString(sum[:])
 		if err := s.objects.Put(ctx, row.ChangesObject, entry.Patch.Changes); err != nil {
--- a/config/store/store.go
+++ b/config/store/store.go
@@ -39,7 +39,7 @@
 
 // MaxInlineBytes is the maximum size of changes that are kept in the row
 // itself. The platform limits a row to 1 MiB.
-const InlineBytes = 256 << 10
+const MaxInlineBytes = 256 << 10
 
 // Defaults of Options.
 const (
--- a/control/topology.go
+++ b/control/topology.go
@@ -12,7 +12,7 @@
 
 // topology is the state that the machine derives from a configuration version.
 type topology struct {
-	order config.Order
+	order config.SnapshotOrder
 	decl  *config.Declarations
 	// pools maps a pool to its shards, in order of data centre.
 	pools  map[string][]ShardID
--- a/devfleet/writers_test.go
+++ b/devfleet/writers_test.go
@@ -17,7 +17,7 @@
 // enough to have writers, until one has committed for another router. Each call
 // is answered and runs once.
 func TestWritersCommitForOthers(t *testing.T) {
-	fleet := startFleet(t, devfleet.Options{Routers: forward.LocalMembers + 1, Services: 2, ServiceSlots: 32})
+	fleet := startFleet(t, devfleet.Options{Routers: forward.MaxMembersWithoutWriters + 1, Services: 2, ServiceSlots: 32})
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	served := metrics.GetOrCreateCounter(`walnut_forward_served_total`)
--- a/directory/lapse_test.go
+++ b/directory/lapse_test.go
@@ -68,7 +68,7 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		var before config.Order
+		var before config.SnapshotOrder
 		for n, snapshot := range s.snapshots {
 			if n > 0 && !snapshot.Order().After(before) {
 				t.Errorf("snapshot %d of %s does not come after %s", n, snapshot.Order(), before)
--- a/filters/route/route.go
+++ b/filters/route/route.go
@@ -146,7 +146,7 @@
 
 // setRouteFields sets the fields that follow from the route and the headers.
 func (f *Filter) setRouteFields(ex *pipeline.Exchange) {
-	ex.PoolName = ex.Route.Pick(rand.Float64())
+	ex.PoolName = ex.Route.PickPool(rand.Float64())
 	ex.Pool = ex.Snapshot.Declarations.Pools[ex.PoolName]
 	ex.Stream = ex.Route.Kind == config.RouteStream
 	ex.Idempotent = ex.Route.IsIdempotent()
--- a/orders/reconciler.go
+++ b/orders/reconciler.go
@@ -124,7 +124,7 @@
 	kept := make(map[string]*targetState)
 	for _, name := range r.names {
 		declared, ok := r.snapshot.Declarations.Targets[name]
-		if !ok || !declared.Ordered() || declared.Leaving {
+		if !ok || !declared.HasOrders() || declared.Leaving {
 			continue
 		}
 		target := r.states[name]
--- a/store/client.go
+++ b/store/client.go
@@ -147,7 +147,7 @@
 	if err := CheckName("table", table); err != nil {
 		return nil, err
 	}
-	if err := CheckFrom("from", from); err != nil {
+	if err := CheckOptionalName("from", from); err != nil {
 		return nil, err
 	}
 	var rows []Row
--- a/store/forward/forward_test.go
+++ b/store/forward/forward_test.go
@@ -242,7 +242,7 @@
 func TestWriterSelectionIsStable(t *testing.T) {
 	all := nodeNames(340)
 	writers := pickWriters(all)
-	if len(writers) != 9 || pickWriters(nodeNames(LocalMembers)) != nil || len(pickWriters(nodeNames(LocalMembers+1))) != 1 {
+	if len(writers) != 9 || pickWriters(nodeNames(MaxMembersWithoutWriters)) != nil || len(pickWriters(nodeNames(MaxMembersWithoutWriters+1))) != 1 {
 		t.Fatalf("%d writers", len(writers))
 	}
 	removed := writers[3].node
--- a/store/forward/writers.go
+++ b/store/forward/writers.go
@@ -11,7 +11,7 @@
 const (
 	// MaxMembersWithoutWriters is the size of the largest fleet in which every
 	// router commits for itself: there, forwarding costs more than it saves.
-	LocalMembers = 12
+	MaxMembersWithoutWriters = 12
 	// MembersPerWriter is the number of live routers per writer in larger fleets.
 	MembersPerWriter = 40
 	// writerSelectionKey is the rendezvous key by which the writers are selected.
@@ -30,7 +30,7 @@
 // pickWriters returns the writers among the live routers, or none if every router
 // commits for itself.
 func pickWriters(alive []control.NodeID) []writer {
-	if len(alive) <= LocalMembers {
+	if len(alive) <= MaxMembersWithoutWriters {
 		return nil
 	}
 	candidates := make([]writer, 0, len(alive))
@@ -79,7 +79,7 @@
 // so that the two sides of a partition do not spend it twice.
 func (f Fleet) Share(isWriter bool) float64 {
 	fleetSize := float64(max(f.Listed, f.Alive, 1))
-	if f.Alive <= LocalMembers {
+	if f.Alive <= MaxMembersWithoutWriters {
 		return f.WritesPerSecond / fleetSize
 	}
 	share := localWriteFraction * f.WritesPerSecond / fleetSize
--- a/store/memory/memory.go
+++ b/store/memory/memory.go
@@ -193,5 +193,5 @@
 	if err := store.CheckName("table", table); err != nil {
 		return err
 	}
-	return store.CheckFrom("from", from)
+	return store.CheckOptionalName("from", from)
 }
--- a/store/wire.go
+++ b/store/wire.go
@@ -86,12 +86,12 @@
 	if name == "" {
 		return fmt.Errorf("%w: %s is empty", ErrInvalid, what)
 	}
-	return CheckFrom(what, name)
+	return CheckOptionalName(what, name)
 }
 
 // CheckOptionalName is CheckName for a name that may be empty, such as the start
 // key of a scan.
-func CheckFrom(what, name string) error {
+func CheckOptionalName(what, name string) error {
 	if len(name) > MaxNameBytes {
 		return fmt.Errorf("%w: %s is over %d bytes", ErrInvalid, what, MaxNameBytes)
 	}
