--- a/load/request.go
+++ b/load/request.go
@@ -1,7 +1,8 @@
-// Package load sends requests to routers as many callers would, and judges
-// every answer: it must be whole and belong to its own request. Each request
-// carries a mark from which the whole answer of the stand-in targets can be
-// worked out, so a crossed or truncated answer cannot pass.
+// Package load generates load: it sends requests to routers as many concurrent
+// callers would and verifies every answer, which must be complete and belong to
+// its own request. Each request carries a unique mark from which the complete
+// answer of the stand-in targets can be computed, so that an answer to another
+// request or a truncated one is detected.
 package load
 
 import (
@@ -21,11 +22,11 @@
 
 // The kinds of request.
 const (
-	// Stream is a chat call answered by server-sent events.
+	// Stream is a chat call that is answered with server-sent events.
 	Stream Kind = iota
-	// Whole is a chat call answered in one piece.
+	// NonStreaming is a chat call that is answered with a single JSON document.
 	Whole
-	// Service is a call to a plain service.
+	// Service is a call to a plain service, not to an engine.
 	Service
 )
 
@@ -34,25 +35,28 @@
 	return [...]string{"stream", "whole", "service"}[k]
 }
 
-// Request is one request of a caller.
+// Request describes one request of a caller.
 type Request struct {
 	Kind Kind
-	// Workspace names the caller's workspace, Key is its key.
+	// Workspace names the caller's workspace; Key is that workspace's API key.
 	Workspace string
 	Key       string
-	// Mark is unique among the requests of a run.
+	// Mark identifies the request; it is unique within a run.
 	Mark string
-	// Model and Path are what a chat or service call asks for.
+	// Model is the model that a chat call names, Path the path of a service call.
 	Model string
 	Path  string
-	// MaxTokens is the length of a chat answer, Millis that of a service call.
+	// MaxTokens is the length of a chat answer in tokens. Millis is the duration
+	// of a service call in milliseconds; zero means the service's default.
 	MaxTokens int
 	Millis    int
-	// Prefix begins the prompt; equal prefixes hit the engines' cache.
+	// Prefix is the beginning of the prompt. Requests with equal prefixes hit the
+	// engines' prefix cache.
 	Prefix string
-	// IdempotencyKey marks the request as non-idempotent.
+	// IdempotencyKey, if set, is sent as a header and marks the request as
+	// non-idempotent.
 	IdempotencyKey string
-	// CostHint and Deadline are sent as headers unless zero.
+	// CostHint and Deadline are sent as headers unless they are zero.
 	CostHint time.Duration
 	Deadline time.Duration
 }
@@ -61,27 +65,27 @@
 	return r.Prefix + " mark:" + r.Mark
 }
 
-// write fills an HTTP request for a router's address.
-func (r Request) write(out *fasthttp.Request, router string) {
-	out.Header.SetMethod(fasthttp.MethodPost)
-	out.Header.Set("Authorization", "Bearer "+r.Key)
-	out.Header.SetContentType("application/json")
+// fillHTTP fills in the HTTP request to send to a router's address.
+func (r Request) fillHTTP(httpRequest *fasthttp.Request, router string) {
+	httpRequest.Header.SetMethod(fasthttp.MethodPost)
+	httpRequest.Header.Set("Authorization", "Bearer "+r.Key)
+	httpRequest.Header.SetContentType("application/json")
 	if r.IdempotencyKey != "" {
-		out.Header.Set("Idempotency-Key", r.IdempotencyKey)
+		httpRequest.Header.Set("Idempotency-Key", r.IdempotencyKey)
 	}
 	if r.CostHint > 0 {
-		out.Header.Set("Walnut-Cost-Hint", r.CostHint.String())
+		httpRequest.Header.Set("Walnut-Cost-Hint", r.CostHint.String())
 	}
 	if r.Deadline > 0 {
-		out.Header.Set("Walnut-Deadline", r.Deadline.String())
+		httpRequest.Header.Set("Walnut-Deadline", r.Deadline.String())
 	}
 	if r.Kind == Service {
-		out.SetRequestURI("http://" + router + r.servicePath())
-		out.SetBodyString("mark:" + r.Mark)
+		httpRequest.SetRequestURI("http://" + router + r.servicePath())
+		httpRequest.SetBodyString("mark:" + r.Mark)
 		return
 	}
-	out.SetRequestURI("http://" + router + engine.PathChat)
-	out.SetBody(r.chatBody())
+	httpRequest.SetRequestURI("http://" + router + engine.PathChat)
+	httpRequest.SetBody(r.chatBody())
 }
 
 func (r Request) servicePath() string {
@@ -99,7 +103,7 @@
 		Messages:  []chatMessage{{Role: "user", Content: r.prompt()}},
 	})
 	if err != nil {
-		panic(err) // strings and numbers always encode
+		panic(err) // strings and numbers can always be encoded
 	}
 	return body
 }
@@ -116,14 +120,14 @@
 	Content string `json:"content"`
 }
 
-// check compares a whole answer with the only right one. An empty result means
-// that they are equal.
-func (r Request) check(body []byte) string {
+// checkBody compares the body of an answer with the only correct one. It
+// describes the difference; an empty result means that there is none.
+func (r Request) checkBody(body []byte) string {
 	switch r.Kind {
 	case Service:
 		return r.checkService(body)
 	case Whole:
-		return r.checkWhole(body)
+		return r.checkNonStreaming(body)
 	default:
 		return r.checkStream(body)
 	}
@@ -132,7 +136,7 @@
 func (r Request) checkService(body []byte) string {
 	var answer service.Answer
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return "the service's answer is not JSON"
+		return "the service's answer is not valid JSON"
 	}
 	if answer.Mark != r.Mark {
 		return fmt.Sprintf("the answer's mark is %q", answer.Mark)
@@ -147,38 +151,38 @@
 	} `json:"choices"`
 }
 
-func (r Request) checkWhole(body []byte) string {
+func (r Request) checkNonStreaming(body []byte) string {
 	var answer chatAnswer
 	if err := json.Unmarshal(body, &answer); err != nil || len(answer.Choices) != 1 {
-		return "the engine's answer is not a chat answer"
+		return "the engine's answer is not a chat completion with one choice"
 	}
 	return r.checkText(answer.Choices[0].Message.Content)
 }
 
 const (
-	eventPrefix = "data: "
-	lastEvent   = "[DONE]"
+	eventPrefix   = "data: "
+	lastEventData = "[DONE]"
 )
 
 func (r Request) checkStream(body []byte) string {
 	var text strings.Builder
-	ended := false
+	sawLastEvent := false
 	for _, line := range strings.Split(string(body), "\n") {
 		event, isData := strings.CutPrefix(line, eventPrefix)
 		switch {
 		case !isData:
 			continue
-		case event == lastEvent:
-			ended = true
+		case event == lastEventData:
+			sawLastEvent = true
 			continue
 		}
 		var answer chatAnswer
 		if err := json.Unmarshal([]byte(event), &answer); err != nil || len(answer.Choices) != 1 {
-			return "an event of the stream is not a chat answer"
+			return "an event of the stream is not a chat completion chunk with one choice"
 		}
 		text.WriteString(answer.Choices[0].Delta.Content)
 	}
-	if !ended {
+	if !sawLastEvent {
 		return "the stream ended cleanly without its last event"
 	}
 	return r.checkText(text.String())
@@ -189,5 +193,5 @@
 	if got == want {
 		return ""
 	}
-	return fmt.Sprintf("the text is %d bytes, want %d, or differs", len(got), len(want))
+	return fmt.Sprintf("the text has %d bytes, expected %d, or its content differs", len(got), len(want))
 }
--- a/load/run.go
+++ b/load/run.go
@@ -13,28 +13,32 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Run is a number of callers that each send one request after another.
+// Run configures a load run: a number of concurrent callers, each of which sends
+// one request after another.
 type Run struct {
-	// Routers are the addresses that callers pick from.
+	// Routers are the routers' addresses, from which callers pick one per request.
 	Routers []string
-	// Callers is how many requests are in flight at once.
+	// Callers is the number of callers, and so of requests in flight at once.
 	Callers int
-	// Requests bounds the requests sent; zero means until ctx ends.
+	// Requests is the total number of requests to send. Zero means that requests
+	// are sent until ctx ends.
 	Requests int
-	// Seed makes the choice of requests and routers repeatable.
+	// Seed seeds the random choice of requests and routers, so that a run can be
+	// repeated.
 	Seed uint64
-	// Next makes request n. random belongs to the caller that sends it.
+	// Next creates request n, counted from 1. random belongs to the caller that
+	// sends the request, so Next may use it without locking.
 	Next func(n int, random *rand.Rand) Request
-	// PickRouter chooses the router of a request. Default: at random.
+	// PickRouter chooses the router for a request. Default: a random one.
 	PickRouter func(r Request, random *rand.Rand) string
-	// OnResult, if set, sees every result. Calls may overlap.
+	// OnResult, if set, is called with every result, by several goroutines at once.
 	OnResult func(Result)
-	// Timeout is how long a caller waits for each part. Default 60 s.
+	// Timeout is how long a caller waits for each part of an answer. Default 60 s.
 	Timeout time.Duration
 }
 
-// Do runs the callers until Requests are sent or ctx ends, and waits for every
-// answer.
+// Do runs the callers until Requests are sent or ctx ends. It returns once every
+// request that was sent has its result.
 func (run Run) Do(ctx context.Context) *Summary {
 	if run.Timeout == 0 {
 		run.Timeout = time.Minute
@@ -53,55 +57,56 @@
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			run.call(ctx, client, uint64(caller), &sent, summary)
+			run.sendRequests(ctx, client, uint64(caller), &sent, summary)
 		}()
 	}
 	callers.Wait()
 	return summary
 }
 
-func (run Run) call(ctx context.Context, client *Client, caller uint64, sent *atomic.Int64, summary *Summary) {
+func (run Run) sendRequests(ctx context.Context, client *Client, caller uint64, sent *atomic.Int64, summary *Summary) {
 	random := rand.New(rand.NewPCG(run.Seed, caller))
 	for ctx.Err() == nil {
-		n := int(sent.Add(1))
-		if run.Requests > 0 && n > run.Requests {
+		number := int(sent.Add(1))
+		if run.Requests > 0 && number > run.Requests {
 			return
 		}
-		request := run.Next(n, random)
-		done := client.Send(run.PickRouter(request, random), request)
-		summary.Add(done)
+		request := run.Next(number, random)
+		result := client.Send(run.PickRouter(request, random), request)
+		summary.Add(result)
 		if run.OnResult != nil {
-			run.OnResult(done)
+			run.OnResult(result)
 		}
 	}
 }
 
 const (
-	// maxLatency bounds the histograms, in microseconds.
-	maxLatency = int64(10 * time.Minute / time.Microsecond)
-	// digits is their precision.
-	digits = 3
-	// keptFaults bounds the faults kept for the report.
-	keptFaults = 20
+	// maxLatencyMicros is the highest latency that the histograms can record.
+	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
+	// significantDigits is the precision of the histograms.
+	significantDigits = 3
+	// maxKeptFailures bounds the failed results kept for the report.
+	maxKeptFailures = 20
 )
 
-// Summary counts results. It is safe for concurrent use.
+// Summary counts results by verdict and result code, and records the latency of
+// those that were answered. It is safe for concurrent use.
 type Summary struct {
-	mu       sync.Mutex
-	verdicts map[Verdict]int
-	codes    map[int]int
-	first    *hdrhistogram.Histogram
-	whole    *hdrhistogram.Histogram
-	faults   []Result
+	mu           sync.Mutex
+	verdicts     map[Verdict]int
+	refusalCodes map[int]int
+	firstPart    *hdrhistogram.Histogram
+	total        *hdrhistogram.Histogram
+	failures     []Result
 }
 
 // NewSummary returns an empty summary.
 func NewSummary() *Summary {
 	return &Summary{
-		verdicts: make(map[Verdict]int),
-		codes:    make(map[int]int),
-		first:    hdrhistogram.New(1, maxLatency, digits),
-		whole:    hdrhistogram.New(1, maxLatency, digits),
+		verdicts:     make(map[Verdict]int),
+		refusalCodes: make(map[int]int),
+		firstPart:    hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+		total:        hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 	}
 }
 
@@ -112,46 +117,48 @@
 	s.verdicts[r.Verdict]++
 	switch r.Verdict {
 	case Answered:
-		_ = s.first.RecordValue(r.FirstPart.Sub(r.Start).Microseconds())
-		_ = s.whole.RecordValue(r.End.Sub(r.Start).Microseconds())
+		_ = s.firstPart.RecordValue(r.FirstPart.Sub(r.Start).Microseconds())
+		_ = s.total.RecordValue(r.End.Sub(r.Start).Microseconds())
 		return
 	case Refused:
-		s.codes[r.Code]++
+		s.refusalCodes[r.Code]++
 	}
-	if len(s.faults) < keptFaults {
-		s.faults = append(s.faults, r)
+	if len(s.failures) < maxKeptFailures {
+		s.failures = append(s.failures, r)
 	}
 }
 
-// Count returns how many results had a verdict.
+// Count returns the number of results with a verdict.
 func (s *Summary) Count(v Verdict) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.verdicts[v]
 }
 
-// Faults returns the first results that were not answers.
+// Failures returns the first results that were not answers; later ones are only
+// counted.
 func (s *Summary) Faults() []Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Result(nil), s.faults...)
+	return append([]Result(nil), s.failures...)
 }
 
-// FirstPart and Whole return a quantile (0 to 100) of the time to the first
-// part of the answer and to its end, over the answered requests.
-func (s *Summary) FirstPart(quantile float64) time.Duration {
-	return s.quantile(s.first, quantile)
+// FirstPartLatency returns a percentile (0 to 100) of the time to the first part
+// of the answer, over the answered requests.
+func (s *Summary) FirstPart(percentile float64) time.Duration {
+	return s.latencyAt(s.firstPart, percentile)
 }
 
-// Whole is described with FirstPart.
-func (s *Summary) Whole(quantile float64) time.Duration {
-	return s.quantile(s.whole, quantile)
+// TotalLatency returns a percentile (0 to 100) of the time to the end of the
+// answer, over the answered requests.
+func (s *Summary) Whole(percentile float64) time.Duration {
+	return s.latencyAt(s.total, percentile)
 }
 
-func (s *Summary) quantile(h *hdrhistogram.Histogram, quantile float64) time.Duration {
+func (s *Summary) latencyAt(h *hdrhistogram.Histogram, percentile float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Duration(h.ValueAtQuantile(quantile)) * time.Microsecond
+	return time.Duration(h.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
 // String returns the counts on one line.
@@ -163,7 +170,7 @@
 		parts = append(parts, fmt.Sprintf("%s %d", v, s.verdicts[v]))
 	}
 	var codes []string
-	for code, count := range s.codes {
+	for code, count := range s.refusalCodes {
 		codes = append(codes, fmt.Sprintf("code %d: %d", code, count))
 	}
 	sort.Strings(codes)
--- a/load/send.go
+++ b/load/send.go
@@ -11,18 +11,19 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Verdict judges what a caller got.
+// Verdict classifies the outcome of a request as its caller sees it.
 type Verdict int
 
 // The verdicts.
 const (
-	// Answered: the answer was whole and the request's own.
+	// Answered: the answer was complete and belongs to the request.
 	Answered Verdict = iota
-	// Refused: the router gave a numbered result instead of an answer.
+	// Refused: the router sent a result code instead of an answer.
 	Refused
-	// Broken: the connection broke, and the caller could see that it did.
+	// Broken: the connection failed in a way that the caller could detect.
 	Broken
-	// Wrong: the answer looked whole but was truncated or another's.
+	// Wrong: the answer looked complete, but was truncated or belongs to another
+	// request.
 	Wrong
 	// Unreachable: no connection to the router could be opened.
 	Unreachable
@@ -33,35 +34,38 @@
 	return [...]string{"answered", "refused", "broken", "wrong", "unreachable"}[v]
 }
 
-// Result is what became of one request.
+// Result is the outcome of one request.
 type Result struct {
 	Request Request
 	Router  string
 	Verdict Verdict
-	// RequestID is the router's id of the request; empty if no head came.
+	// RequestID is the id that the router gave the request; empty if no response
+	// header arrived.
 	RequestID string
-	// Code and Ran are the router's numbered result; zero and empty if answered.
+	// Code and Ran are the result code and whether the request ran, as the router
+	// reported them; zero and empty if it answered.
 	Code int
 	Ran  string
-	// RetryAfter is the router's advice; zero if it gave none.
+	// RetryAfter is the delay before a retry that the router asked for; zero if it
+	// asked for none.
 	RetryAfter time.Duration
-	// Detail says what was wrong.
+	// Detail describes what went wrong.
 	Detail string
-	// Start, FirstPart and End are when the request was sent, when the first
-	// part of the body came, and when the last did.
+	// Start, FirstPart and End are when the request was sent, when the first part
+	// of the body arrived, and when its last part did.
 	Start     time.Time
 	FirstPart time.Time
 	End       time.Time
 }
 
-// Client sends requests. It opens connections as needed, keeps them, and never
-// sends a request twice.
+// Client sends requests. It opens connections as needed, reuses them, and never
+// retries a request.
 type Client struct {
 	http fasthttp.Client
 }
 
-// NewClient returns a client that gives a router timeout to begin and to go on
-// answering.
+// NewClient returns a client with a timeout for the start of an answer and for
+// each further part of it.
 func NewClient(timeout time.Duration) *Client {
 	return &Client{http: fasthttp.Client{
 		ReadTimeout:                   timeout,
@@ -78,68 +82,70 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Send sends one request to a router and waits for the whole answer.
+// Send sends one request to a router and waits for the end of the answer.
 func (c *Client) Send(router string, r Request) Result {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
-	r.write(request, router)
-	done := Result{Request: r, Router: router, Start: time.Now()}
+	r.fillHTTP(request, router)
+	result := Result{Request: r, Router: router, Start: time.Now()}
 	err := c.http.Do(request, response)
-	done.RequestID = string(response.Header.Peek("Walnut-Request-Id"))
+	result.RequestID = string(response.Header.Peek("Walnut-Request-Id"))
 	if err != nil {
-		done.End = time.Now()
-		return failed(done, err)
+		result.End = time.Now()
+		return failedResult(result, err)
 	}
-	body, err := readBody(response, &done)
-	done.End = time.Now()
+	body, err := readBody(response, &result)
+	result.End = time.Now()
 	if err != nil {
-		return failed(done, err)
+		return failedResult(result, err)
 	}
-	return judge(done, response, body)
+	return classifyResponse(result, response, body)
 }
 
-// readBody reads the body and notes when its first part came.
-func readBody(response *fasthttp.Response, done *Result) ([]byte, error) {
+// readBody reads the body and sets result.FirstPart to when its first part arrived.
+func readBody(response *fasthttp.Response, result *Result) ([]byte, error) {
 	stream := response.BodyStream()
 	if stream == nil {
-		done.FirstPart = time.Now()
+		result.FirstPart = time.Now()
 		return response.Body(), nil
 	}
 	defer func() { _ = response.CloseBodyStream() }()
-	return io.ReadAll(&firstPartReader{Reader: stream, result: done})
+	return io.ReadAll(&firstPartTimer{Reader: stream, result: result})
 }
 
-type firstPartReader struct {
+// firstPartTimer sets the result's FirstPart at the first read that returns data.
+type firstPartTimer struct {
 	io.Reader
 	result *Result
 }
 
 // Read implements io.Reader.
-func (f *firstPartReader) Read(p []byte) (int, error) {
-	n, err := f.Reader.Read(p)
-	if n > 0 && f.result.FirstPart.IsZero() {
-		f.result.FirstPart = time.Now()
+func (timer *firstPartTimer) Read(p []byte) (int, error) {
+	n, err := timer.Reader.Read(p)
+	if n > 0 && timer.result.FirstPart.IsZero() {
+		timer.result.FirstPart = time.Now()
 	}
 	return n, err
 }
 
-func failed(done Result, err error) Result {
-	done.Verdict = Broken
-	done.Detail = err.Error()
-	var operation *net.OpError
-	if errors.As(err, &operation) && operation.Op == "dial" {
-		done.Verdict = Unreachable
+func failedResult(result Result, err error) Result {
+	result.Verdict = Broken
+	result.Detail = err.Error()
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
+		result.Verdict = Unreachable
 	}
 	if errors.Is(err, fasthttp.ErrDialTimeout) {
-		done.Verdict = Unreachable
+		result.Verdict = Unreachable
 	}
-	return done
+	return result
 }
 
-// refusal is the JSON document of a numbered result; see docs/CALLERS.md.
-type refusal struct {
+// errorDocument is the JSON document that carries a result code; see
+// docs/CALLERS.md.
+type errorDocument struct {
 	Error struct {
 		Code    int    `json:"code"`
 		Message string `json:"message"`
@@ -147,26 +153,26 @@
 	} `json:"error"`
 }
 
-func judge(done Result, response *fasthttp.Response, body []byte) Result {
+func classifyResponse(result Result, response *fasthttp.Response, body []byte) Result {
 	if response.StatusCode() == fasthttp.StatusOK {
-		done.Detail = done.Request.check(body)
-		if done.Detail != "" {
-			done.Verdict = Wrong
+		result.Detail = result.Request.checkBody(body)
+		if result.Detail != "" {
+			result.Verdict = Wrong
 		}
-		return done
+		return result
 	}
-	done.Verdict = Refused
-	var document refusal
-	if err := json.Unmarshal(body, &document); err != nil || document.Error.Code == 0 {
-		done.Detail = "status " + strconv.Itoa(response.StatusCode()) + " without a numbered result"
-		return done
+	result.Verdict = Refused
+	var decoded errorDocument
+	if err := json.Unmarshal(body, &decoded); err != nil || decoded.Error.Code == 0 {
+		result.Detail = "status " + strconv.Itoa(response.StatusCode()) + " without a result code"
+		return result
 	}
-	done.Code = document.Error.Code
-	done.Ran = document.Error.Ran
-	done.Detail = document.Error.Message
+	result.Code = decoded.Error.Code
+	result.Ran = decoded.Error.Ran
+	result.Detail = decoded.Error.Message
 	millis, err := strconv.Atoi(string(response.Header.Peek("Retry-After-Ms")))
 	if err == nil {
-		done.RetryAfter = time.Duration(millis) * time.Millisecond
+		result.RetryAfter = time.Duration(millis) * time.Millisecond
 	}
-	return done
+	return result
 }
