--- a/standin/countconn/countconn.go
+++ b/standin/countconn/countconn.go
@@ -1,5 +1,5 @@
-// Package countconn counts the bytes that pass a listener's connections, for
-// benchmarks of what a protocol costs on the network.
+// Package countconn counts the bytes read and written on a listener's
+// connections. Benchmarks use it to measure the network traffic of a protocol.
 package countconn
 
 import (
@@ -7,10 +7,11 @@
 	"sync/atomic"
 )
 
-// Listener counts the bytes of its connections, both ways.
+// Listener counts the bytes of the connections that it accepts, in both
+// directions.
 type Listener struct {
 	net.Listener
-	// Bytes is what is added to. Required.
+	// Bytes is the counter that the bytes are added to. Required.
 	Bytes *atomic.Int64
 }
 
--- a/standin/internal/host/broken.go
+++ b/standin/internal/host/broken.go
@@ -5,24 +5,24 @@
 	"io"
 )
 
-// ErrBroken breaks an answer off.
-var ErrBroken = errors.New("standin: answer broken by a fault")
+// ErrBroken is returned by the body reader of an answer that a fault cuts short.
+var ErrBroken = errors.New("standin: answer cut short by an injected fault")
 
-// BrokenBody returns a reader that gives the first n bytes of a body and then
-// fails, so that the connection is cut. It is to be sent in chunks, because
-// only these are flushed before the failure.
+// BrokenBody returns a reader that yields the first n bytes of a body and then
+// fails, so that the server closes the connection. The body must be sent with
+// chunked encoding, because only chunks are flushed before the failure.
 func BrokenBody(body []byte, n int) io.Reader {
-	return &brokenBody{left: body[:min(n, len(body))]}
+	return &brokenBody{remaining: body[:min(n, len(body))]}
 }
 
-type brokenBody struct{ left []byte }
+type brokenBody struct{ remaining []byte }
 
 // Read implements io.Reader.
 func (b *brokenBody) Read(p []byte) (int, error) {
-	if len(b.left) == 0 {
+	if len(b.remaining) == 0 {
 		return 0, ErrBroken
 	}
-	n := copy(p, b.left)
-	b.left = b.left[n:]
+	n := copy(p, b.remaining)
+	b.remaining = b.remaining[n:]
 	return n, nil
 }
--- a/standin/internal/host/host.go
+++ b/standin/internal/host/host.go
@@ -1,5 +1,5 @@
-// Package host is the part that every stand-in target shares: the HTTP server,
-// its crash and restart, the faults, the load report and the journal.
+// Package host is the part that all stand-in targets share: the HTTP server, its
+// simulated crash and restart, injected faults, the load report and the journal.
 package host
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// Paths that every stand-in serves beside its own.
+// Paths that every stand-in target serves in addition to its own.
 const (
 	PathLoad    = "/load"
 	PathFault   = "/_fault"
@@ -25,36 +25,37 @@
 )
 
 const (
-	// prefixesArg is the query argument that asks for the cached prefixes.
-	prefixesArg = "prefixes"
+	// prefixesParam is the query parameter that asks for the cached prefixes.
+	prefixesParam = "prefixes"
 	// maxBodyBytes bounds a request body.
 	maxBodyBytes = 64 << 20
-	// readBufferBytes bounds a request's head.
-	readBufferBytes = 32 << 10
-	// reopenPause is the pause between tries to listen again after a crash.
-	reopenPause = 10 * time.Millisecond
+	// maxHeaderBytes bounds a request's header.
+	maxHeaderBytes = 32 << 10
+	// listenRetryPause is the pause between attempts to listen again after a crash.
+	listenRetryPause = 10 * time.Millisecond
 )
 
-// Behaviour is what a particular stand-in adds to the host.
+// Target is what one kind of stand-in target implements; the host does the rest.
 type Behaviour interface {
-	// Serve answers a request that the host does not answer itself.
+	// Serve answers a request whose path the host does not serve itself.
 	Serve(ctx *fasthttp.RequestCtx)
 	// Load returns the true load.
 	Load() targets.Load
-	// Crash drops every run, as a crash of the process would.
+	// Crash drops every run and what is held in memory only, as a crash of the
+	// process would.
 	Crash()
 }
 
-// Host serves one stand-in.
+// Host is the HTTP server of one stand-in target.
 type Host struct {
-	// Journal records what happens.
+	// Journal records what happens to requests.
 	Journal *journal.Journal
 
-	behaviour Behaviour
-	faults    faultState
-	runs      atomic.Uint64
-	startID   atomic.Uint64
-	server    *fasthttp.Server
+	target  Behaviour
+	faults  faultState
+	lastRun atomic.Uint64
+	startID atomic.Uint64
+	server  *fasthttp.Server
 
 	mu       sync.Mutex
 	listener *trackingListener
@@ -65,33 +66,34 @@
 }
 
 // New returns a host that is not yet listening.
-func New(name string, behaviour Behaviour) *Host {
+func New(name string, target Behaviour) *Host {
 	h := &Host{
-		Journal:   journal.New(name),
-		behaviour: behaviour,
-		stop:      make(chan struct{}),
+		Journal: journal.New(name),
+		target:  target,
+		stop:    make(chan struct{}),
 	}
 	h.renewStartID()
 	h.server = &fasthttp.Server{
 		Handler:               h.handle,
 		Name:                  "standin",
 		MaxRequestBodySize:    maxBodyBytes,
-		ReadBufferSize:        readBufferBytes,
+		ReadBufferSize:        maxHeaderBytes,
 		NoDefaultContentType:  true,
 		CloseOnShutdown:       true,
-		Logger:                silentLogger{},
+		Logger:                discardLogger{},
 		NoDefaultServerHeader: true,
 	}
 	return h
 }
 
-// silentLogger drops fasthttp's lines: broken connections are on purpose here.
-type silentLogger struct{}
+// discardLogger drops fasthttp's log lines, because connections are broken on
+// purpose here.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silentLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Start listens on address ("ip:port", port 0 picks one) and returns the
+// Start listens on address ("ip:port"; port 0 picks a free one) and returns the
 // address that it listens on.
 func (h *Host) Start(address string) (string, error) {
 	ln, err := listen(address)
@@ -105,7 +107,7 @@
 	return h.address, nil
 }
 
-// serve accepts on ln. h.mu is held.
+// serve accepts connections on ln in a goroutine. The caller holds h.mu.
 func (h *Host) serve(ln *trackingListener) {
 	h.listener = ln
 	h.serving.Add(1)
@@ -122,7 +124,7 @@
 	return h.address
 }
 
-// Close cuts every connection and ends every run.
+// Close resets every connection and ends every run.
 func (h *Host) Close() {
 	h.mu.Lock()
 	if h.closed {
@@ -134,21 +136,21 @@
 	h.mu.Unlock()
 	close(h.stop)
 	if ln != nil {
-		h.drop(ln)
+		h.disconnectAll(ln)
 	}
 	h.serving.Wait()
 }
 
-// drop ends every run before the connections are reset, so that no run is
-// taken for one that its caller cancelled.
-func (h *Host) drop(ln *trackingListener) {
-	ln.refuse()
-	h.behaviour.Crash()
-	ln.cut()
+// disconnectAll ends every run before it resets the connections, so that no run is
+// recorded as cancelled by its caller.
+func (h *Host) disconnectAll(ln *trackingListener) {
+	ln.stopAccepting()
+	h.target.Crash()
+	ln.resetAll()
 }
 
-// Crash cuts every connection, drops every run and refuses connections for the
-// downtime, then listens on the same address again.
+// Crash drops every run, resets every connection and refuses connections for the
+// downtime; after that it listens on the same address again.
 func (h *Host) Crash(downtime time.Duration) {
 	h.mu.Lock()
 	ln := h.listener
@@ -159,19 +161,21 @@
 	h.listener = nil
 	h.serving.Add(1)
 	h.mu.Unlock()
-	h.drop(ln)
+	h.disconnectAll(ln)
 	h.renewStartID()
 	go func() {
 		defer h.serving.Done()
-		h.reopen(downtime)
+		h.listenAgain(downtime)
 	}()
 }
 
-// renewStartID begins a new start, as a restarted process would.
+// renewStartID sets a new start ID, as a restarted process would have. It is never
+// zero.
 func (h *Host) renewStartID() { h.startID.Store(rand.Uint64() | 1) }
 
-// reopen listens again after the downtime.
-func (h *Host) reopen(downtime time.Duration) {
+// listenAgain listens on the same address again after the downtime, and retries
+// until it succeeds or the host is closed.
+func (h *Host) listenAgain(downtime time.Duration) {
 	pause := downtime
 	for {
 		select {
@@ -181,18 +185,18 @@
 		}
 		ln, err := listen(h.Address())
 		if err == nil {
-			h.reopened(ln)
+			h.serveAgain(ln)
 			return
 		}
-		pause = reopenPause
+		pause = listenRetryPause
 	}
 }
 
-func (h *Host) reopened(ln *trackingListener) {
+func (h *Host) serveAgain(ln *trackingListener) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed {
-		ln.refuse()
+		ln.stopAccepting()
 		return
 	}
 	h.serve(ln)
@@ -204,34 +208,36 @@
 // Faults returns the faults in force.
 func (h *Host) Faults() Faults { return h.faults.get() }
 
-// TakeFaults returns the faults that befall one request.
+// TakeFaults returns the faults to inject into one request and counts them
+// against Faults.Times.
 func (h *Host) TakeFaults() Faults { return h.faults.take() }
 
-// Received journals a request and returns the entry to journal its course with.
+// RecordReceived adds a Received entry for a request to the journal. It returns the
+// entry, from which the request's further entries are made.
 func (h *Host) Received(ctx *fasthttp.RequestCtx) journal.Entry {
-	e := journal.Entry{
+	entry := journal.Entry{
 		Event:          journal.Received,
-		Run:            h.runs.Add(1),
+		Run:            h.lastRun.Add(1),
 		RequestID:      string(ctx.Request.Header.Peek(dialect.HeaderRequestID)),
 		IdempotencyKey: string(ctx.Request.Header.Peek(targets.HeaderIdempotencyKey)),
 		Path:           string(ctx.Path()),
 	}
-	h.Journal.Add(e)
-	return e
+	h.Journal.Add(entry)
+	return entry
 }
 
-// RefuseNotRun answers that the request did not run and journals it.
-func (h *Host) RefuseNotRun(ctx *fasthttp.RequestCtx, e journal.Entry) {
-	e.Event = journal.Ended
-	e.Outcome = journal.NotRun
-	h.Journal.Add(e)
+// RefuseNotRun answers that the request did not run and adds that to the journal.
+func (h *Host) RefuseNotRun(ctx *fasthttp.RequestCtx, entry journal.Entry) {
+	entry.Event = journal.Ended
+	entry.Outcome = journal.NotRun
+	h.Journal.Add(entry)
 	ctx.Response.Header.Set(dialect.HeaderNotRun, "true")
 	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, "1")
 	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	ctx.SetBodyString("refused before running\n")
 }
 
-// Abort closes the connection without an answer.
+// Abort resets the connection without an answer.
 func Abort(ctx *fasthttp.RequestCtx) {
 	if c, ok := ctx.Conn().(*trackedConn); ok {
 		c.reset()
@@ -251,25 +257,26 @@
 	case PathJournal:
 		h.serveJournal(ctx)
 	default:
-		h.behaviour.Serve(ctx)
+		h.target.Serve(ctx)
 	}
 }
 
 func (h *Host) serveLoad(ctx *fasthttp.RequestCtx) {
 	faults := h.Faults()
-	load := h.behaviour.Load()
+	load := h.target.Load()
 	if faults.LieLoad != nil {
 		load = *faults.LieLoad
 	}
 	load.Leaving = load.Leaving || faults.Leaving
 	load.StartID = h.startID.Load()
-	if !ctx.QueryArgs().GetBool(prefixesArg) {
+	if !ctx.QueryArgs().GetBool(prefixesParam) {
 		load.CachedPrefixes = nil
 	}
 	WriteJSON(ctx, load)
 }
 
-// serveFault replaces the faults (POST), clears them (DELETE) or shows them.
+// serveFault replaces the faults in force (POST), clears them (DELETE) or shows
+// them (GET).
 func (h *Host) serveFault(ctx *fasthttp.RequestCtx) {
 	switch {
 	case ctx.IsPost():
@@ -285,7 +292,8 @@
 	WriteJSON(ctx, h.Faults())
 }
 
-// serveJournal returns the entries after ?since=, or clears them (DELETE).
+// serveJournal returns the entries whose Seq is greater than ?since=, or clears the
+// journal (DELETE).
 func (h *Host) serveJournal(ctx *fasthttp.RequestCtx) {
 	if ctx.IsDelete() {
 		h.Journal.Clear()
--- a/standin/internal/host/listener.go
+++ b/standin/internal/host/listener.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// trackingListener remembers its open connections, so that a crash can cut
+// trackingListener keeps track of its open connections, so that a crash can reset
 // them all.
 type trackingListener struct {
 	*net.TCPListener
 
 	mu     sync.Mutex
-	open   map[*trackedConn]struct{}
+	conns  map[*trackedConn]struct{}
 	closed bool
 }
 
@@ -22,11 +22,11 @@
 	}
 	return &trackingListener{
 		TCPListener: ln.(*net.TCPListener),
-		open:        make(map[*trackedConn]struct{}),
+		conns:       make(map[*trackedConn]struct{}),
 	}, nil
 }
 
-// Accept waits for the next connection.
+// Accept implements net.Listener.
 func (l *trackingListener) Accept() (net.Conn, error) {
 	c, err := l.TCPListener.AcceptTCP()
 	if err != nil {
@@ -39,13 +39,13 @@
 		c.Close()
 		return nil, net.ErrClosed
 	}
-	l.open[tracked] = struct{}{}
+	l.conns[tracked] = struct{}{}
 	return tracked, nil
 }
 
-// refuse closes the listener. Open connections stay, but no request on them is
-// taken any more.
-func (l *trackingListener) refuse() {
+// stopAccepting closes the listener. Open connections stay open, but requests on
+// them are no longer served.
+func (l *trackingListener) stopAccepting() {
 	l.TCPListener.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,11 +58,11 @@
 	return l.closed
 }
 
-// cut resets every connection.
-func (l *trackingListener) cut() {
+// resetAll resets every open connection.
+func (l *trackingListener) resetAll() {
 	l.mu.Lock()
-	conns := make([]*trackedConn, 0, len(l.open))
-	for c := range l.open {
+	conns := make([]*trackedConn, 0, len(l.conns))
+	for c := range l.conns {
 		conns = append(conns, c)
 	}
 	l.mu.Unlock()
@@ -77,15 +77,15 @@
 	listener *trackingListener
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and removes it from its listener's open ones.
 func (c *trackedConn) Close() error {
 	c.listener.mu.Lock()
-	delete(c.listener.open, c)
+	delete(c.listener.conns, c)
 	c.listener.mu.Unlock()
 	return c.TCPConn.Close()
 }
 
-// reset closes the connection so that the far end sees a reset.
+// reset closes the connection with a TCP reset.
 func (c *trackedConn) reset() {
 	_ = c.TCPConn.SetLinger(0)
 	c.Close()
--- a/standin/internal/host/watch.go
+++ b/standin/internal/host/watch.go
@@ -8,10 +8,10 @@
 	"github.com/walnutcove/walnutcove/targets/connstate"
 )
 
-// Watch tells when a caller closes its connection while its request runs,
-// which fasthttp does not.
+// Watch detects that a caller closes its connection while its request runs, which
+// fasthttp does not detect.
 type Watch struct {
-	// Gone is closed when the caller's connection is closed or reset.
+	// Closed is closed when the caller has closed or reset its connection.
 	Gone chan struct{}
 
 	conn net.Conn
@@ -19,29 +19,32 @@
 	once sync.Once
 }
 
-// NewWatch starts to watch a connection. Stop must be called before anything
-// else reads from the connection.
+// NewWatch starts to watch a connection. Stop must be called before anything else
+// reads from the connection.
 func NewWatch(conn net.Conn) *Watch {
 	w := &Watch{Gone: make(chan struct{}), conn: conn, done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
+// run closes w.Closed unless the wait ended because data arrived or because Stop
+// set a read deadline.
 func (w *Watch) run() {
 	defer close(w.done)
 	err := connstate.Wait(w.conn)
-	if err == nil || err == connstate.ErrData || isDeadline(err) {
+	if err == nil || err == connstate.ErrData || isTimeout(err) {
 		return
 	}
 	close(w.Gone)
 }
 
-func isDeadline(err error) bool {
-	timeout, ok := err.(net.Error)
-	return ok && timeout.Timeout()
+func isTimeout(err error) bool {
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
 
-// Stop ends the watch. It may be called more than once.
+// Stop ends the watch, by a read deadline in the past that it then removes. It may
+// be called more than once.
 func (w *Watch) Stop() {
 	w.once.Do(func() {
 		_ = w.conn.SetReadDeadline(time.Unix(1, 0))
