--- a/standin/engine/answer.go
+++ b/standin/engine/answer.go
@@ -5,8 +5,9 @@
 const (
 	// doneEvent ends a stream of server-sent events.
 	doneEvent = "data: [DONE]\n\n"
-	// finishLength is the finish reason of every answer: it ran to max_tokens.
-	finishLength = "length"
+	// finishReasonLength is the finish reason of every answer, as each one is
+	// max_tokens long.
+	finishReasonLength = "length"
 )
 
 type delta struct {
@@ -36,8 +37,8 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// event renders the server-sent event of token i.
-func (c Call) event(requestID, mark string, i int) []byte {
+// eventBytes encodes the server-sent event of token i.
+func (c Call) eventBytes(requestID, mark string, i int) []byte {
 	text := token(mark, i)
 	a := answer{ID: answerID(requestID), Model: c.Model, Object: "text_completion"}
 	part := choice{Text: &text}
@@ -46,21 +47,21 @@
 		part = choice{Delta: &delta{Content: text}}
 	}
 	if i == c.MaxTokens-1 {
-		reason := finishLength
+		reason := finishReasonLength
 		part.FinishReason = &reason
 	}
 	a.Choices = []choice{part}
-	data := mustJSON(a)
+	data := mustEncode(a)
 	out := make([]byte, 0, len(data)+len("data: \n\n"))
 	out = append(out, "data: "...)
 	out = append(out, data...)
 	return append(out, "\n\n"...)
 }
 
-// whole renders the answer that is not streamed.
-func (c Call) whole(requestID string) []byte {
+// bodyJSON encodes the answer to a call that does not ask for a stream.
+func (c Call) bodyJSON(requestID string) []byte {
 	text := ExpectedText(c.Prompt, c.MaxTokens)
-	reason := finishLength
+	reason := finishReasonLength
 	a := answer{ID: answerID(requestID), Model: c.Model, Object: "text_completion"}
 	part := choice{Text: &text, FinishReason: &reason}
 	if c.Chat {
@@ -70,20 +71,20 @@
 	a.Choices = []choice{part}
 	prompt := promptTokens(c.Prompt)
 	a.Usage = &usage{PromptTokens: prompt, CompletionTokens: c.MaxTokens, TotalTokens: prompt + c.MaxTokens}
-	return mustJSON(a)
+	return mustEncode(a)
 }
 
 func answerID(requestID string) string { return "cmpl-" + requestID }
 
-// bytesPerToken is the rough length of a token of a prompt.
+// bytesPerToken is the assumed length of a prompt's tokens.
 const bytesPerToken = 4
 
 func promptTokens(prompt string) int {
 	return (len(prompt) + bytesPerToken - 1) / bytesPerToken
 }
 
-// mustJSON marshals a value that always can be.
-func mustJSON(v any) []byte {
+// mustEncode encodes a value that can always be encoded.
+func mustEncode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
--- a/standin/engine/call.go
+++ b/standin/engine/call.go
@@ -10,28 +10,31 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// Paths of the calls.
+// Paths of the completion calls.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
 )
 
-// defaultMaxTokens is the number of tokens if the request names none.
+// defaultMaxTokens is the length of an answer if the request does not set
+// max_tokens.
 const defaultMaxTokens = 16
 
-// Call is what the engine reads from a request.
+// Call is a parsed completion request.
 type Call struct {
-	// Chat tells a chat call from a plain completion.
+	// Chat is set for a chat completion; otherwise the call is a plain completion.
 	Chat bool
 	// Stream asks for server-sent events.
 	Stream bool
-	// Model is the model's name, echoed in the answer.
+	// Model is the model's name, which the answer repeats.
 	Model string
-	// Prompt is the prompt, or the contents of all messages, one a line.
+	// Prompt is the prompt, or the contents of all chat messages joined by line
+	// breaks.
 	Prompt string
-	// PrefixHash is the hash of the prompt's beginning; see targets.PrefixHash.
+	// PrefixHash is the hash of the beginning of the prompt; see
+	// targets.PrefixHash.
 	PrefixHash uint64
-	// MaxTokens is the number of tokens of the answer. Default 16.
+	// MaxTokens is the length of the answer in tokens. Default 16.
 	MaxTokens int
 }
 
@@ -69,14 +72,14 @@
 	return call, call.setPrompt(parsed)
 }
 
-// setPrompt reads the prompt, or the messages of a chat.
+// setPrompt sets Prompt and PrefixHash from the prompt or the chat messages.
 func (c *Call) setPrompt(parsed callBody) error {
 	if !c.Chat {
 		c.PrefixHash = targets.PrefixHash(parsed.Prompt)
-		return readPart(parsed.Prompt, &c.Prompt)
+		return unmarshalOptional(parsed.Prompt, &c.Prompt)
 	}
 	var messages []message
-	if err := readPart(parsed.Messages, &messages); err != nil {
+	if err := unmarshalOptional(parsed.Messages, &messages); err != nil {
 		return err
 	}
 	c.PrefixHash = targets.PrefixHash(parsed.Messages)
@@ -84,8 +87,9 @@
 	return nil
 }
 
-// readPart reads one member of the body; an absent one leaves into as it is.
-func readPart(part json.RawMessage, into any) error {
+// unmarshalOptional decodes one member of the body. If it is absent, into is left
+// unchanged.
+func unmarshalOptional(part json.RawMessage, into any) error {
 	if len(part) == 0 {
 		return nil
 	}
@@ -103,9 +107,9 @@
 	return strings.Join(contents, "\n")
 }
 
-// ExpectedText returns the text of the answer to a prompt. Every token names
-// the prompt's mark ("mark:XXXX"), or the prompt's hash if it has none, and
-// its own number.
+// ExpectedText returns the text of the answer to a prompt. Each token consists of
+// the prompt's mark ("mark:XXXX"), or of the prompt's hash if it has none, and of
+// the token's number.
 func ExpectedText(prompt string, maxTokens int) string {
 	var text strings.Builder
 	mark := host.Mark(prompt)
@@ -115,21 +119,22 @@
 	return text.String()
 }
 
-// token returns token i of an answer. It needs no escaping in JSON.
+// token returns token i of an answer. The token needs no escaping in JSON.
 func token(mark string, i int) string {
 	return fmt.Sprintf("%s.%d ", mark, i)
 }
 
-// ExpectedStream returns the whole body of the streamed answer to the call, for
-// checkers.
+// ExpectedStreamBody returns the complete body of the streamed answer to the call,
+// for tests to compare with.
 func (c Call) ExpectedStream(requestID string) []byte {
 	var body []byte
 	mark := host.Mark(c.Prompt)
 	for i := range c.MaxTokens {
-		body = append(body, c.event(requestID, mark, i)...)
+		body = append(body, c.eventBytes(requestID, mark, i)...)
 	}
 	return append(body, doneEvent...)
 }
 
-// ExpectedWhole returns the body of the answer that is not streamed, for checkers.
-func (c Call) ExpectedWhole(requestID string) []byte { return c.whole(requestID) }
+// ExpectedBody returns the complete body of the non-streamed answer to the call, for
+// tests to compare with.
+func (c Call) ExpectedWhole(requestID string) []byte { return c.bodyJSON(requestID) }
--- a/standin/engine/doc.go
+++ b/standin/engine/doc.go
@@ -1,8 +1,9 @@
-// Package engine is a stand-in for a model engine, to be embedded in tests,
-// benches and the developer's fleet. It speaks the OpenAI-style completions
-// calls, batches continuously over a fixed number of slots, caches prompt
-// prefixes, reports its load with a lag, takes orders, and fails on command.
+// Package engine is a stand-in for a model engine, for use in tests, benchmarks
+// and the developer fleet. It serves OpenAI-style completion calls with continuous
+// batching over a fixed number of slots, caches prompt prefixes, reports its load
+// with a delay, carries out orders, and injects faults on request.
 //
-// The text of an answer is a function of its request alone (ExpectedText), so
-// that a checker can tell a whole answer from a broken, crossed or mixed one.
+// The text of an answer depends on its request alone (see ExpectedText), so that a
+// test can tell a complete answer from one that is truncated, belongs to another
+// request, or mixes several.
 package engine
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -11,7 +11,7 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// Faults is the set of faults that can be put in force.
+// Faults is the set of faults that the engine can inject.
 type Faults = host.Faults
 
 // Engine is one stand-in model engine.
@@ -26,12 +26,12 @@
 	prefixes  *prefixCache
 	report    loadReport
 	random    *rand.Rand
-	orders    orderBook
+	orders    orderState
 
-	kick     chan struct{}
-	stop     chan struct{}
-	stopOnce sync.Once
-	loops    sync.WaitGroup
+	workAdded chan struct{}
+	stop      chan struct{}
+	stopOnce  sync.Once
+	loops     sync.WaitGroup
 }
 
 // New returns an engine that is not yet listening.
@@ -41,16 +41,16 @@
 		options:   options,
 		resumable: make(map[string]*run),
 		prefixes:  newPrefixCache(options.PrefixEntries),
-		orders:    orderBook{loading: make(map[string]*time.Timer)},
+		orders:    orderState{loading: make(map[string]*time.Timer)},
 		random:    rand.New(rand.NewPCG(options.Seed, 0)),
-		kick:      make(chan struct{}, 1),
+		workAdded: make(chan struct{}, 1),
 		stop:      make(chan struct{}),
 	}
 	e.host = host.New(options.Name, e)
 	return e
 }
 
-// Start listens on address ("ip:port", port 0 picks one) and returns the
+// Start listens on address ("ip:port"; port 0 picks a free one) and returns the
 // address that it listens on.
 func (e *Engine) Start(address string) (string, error) {
 	bound, err := e.host.Start(address)
@@ -66,15 +66,15 @@
 	return bound, nil
 }
 
-// Close cuts every connection and ends every run.
+// Close resets every connection and ends every run.
 func (e *Engine) Close() {
 	e.host.Close()
-	e.forgetOrders(journal.Cancelled)
+	e.resetOrders(journal.Cancelled)
 	e.stopOnce.Do(func() { close(e.stop) })
 	e.loops.Wait()
 }
 
-// Journal returns the record of what happened.
+// Journal returns the journal of the engine's requests and orders.
 func (e *Engine) Journal() *journal.Journal { return e.host.Journal }
 
 // SetFaults replaces the faults in force.
@@ -83,11 +83,11 @@
 // Address returns the address that the engine listens on.
 func (e *Engine) Address() string { return e.host.Address() }
 
-// CrashNow crashes the engine as a poisoned request would. It returns when
-// every connection is cut.
+// CrashNow crashes the engine as a request with Faults.Poison does. It returns
+// when every connection is reset.
 func (e *Engine) CrashNow() { e.host.Crash(e.host.Faults().Downtime()) }
 
-// enqueue adds a run unless the queue is full.
+// enqueue adds a run to the queue. It reports false if the queue is full.
 func (e *Engine) enqueue(r *run) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,63 +99,65 @@
 	if e.options.Resumes && r.entry.RequestID != "" {
 		e.resumable[r.entry.RequestID] = r
 	}
-	e.kickLoop()
+	e.wakeStepLoop()
 	return true
 }
 
-func (e *Engine) kickLoop() {
+func (e *Engine) wakeStepLoop() {
 	select {
-	case e.kick <- struct{}{}:
+	case e.workAdded <- struct{}{}:
 	default:
 	}
 }
 
-// leave ends the part of a reader in a run: its caller is gone or a fault broke
-// the stream. A reader that was superseded has no say.
-func (e *Engine) leave(r *run, notify chan struct{}, outcome journal.Outcome) {
+// detachReader ends a run whose reader is gone, because its caller closed the
+// connection or a fault cut the stream. If streams can be resumed, a run that has
+// started is kept for the resume window. The call has no effect if notify shows
+// that another reader has taken over the run.
+func (e *Engine) detachReader(r *run, notify chan struct{}, outcome journal.Outcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if r.notify != notify || r.ended() || r.phase == phaseParked {
+	if r.notify != notify || r.hasEnded() || r.phase == phaseDetached {
 		return
 	}
-	e.remove(r)
+	e.removeRun(r)
 	if !r.started {
 		outcome = journal.NotRun
 	}
-	e.journalEnd(r, outcome)
+	e.recordEnd(r, outcome)
 	r.phase = phaseDropped
 	if e.options.Resumes && r.started {
-		r.phase = phaseParked
-		r.since = time.Now()
+		r.phase = phaseDetached
+		r.resumableSince = time.Now()
 	}
 }
 
-// remove takes a run out of its slot or queue place.
-func (e *Engine) remove(r *run) {
+// removeRun removes a run from its slot or from the queue.
+func (e *Engine) removeRun(r *run) {
 	e.queue = slices.DeleteFunc(e.queue, func(other *run) bool { return other == r })
 	e.running = slices.DeleteFunc(e.running, func(other *run) bool { return other == r })
-	e.kickLoop()
+	e.wakeStepLoop()
 }
 
-func (e *Engine) journalEnd(r *run, outcome journal.Outcome) {
+func (e *Engine) recordEnd(r *run, outcome journal.Outcome) {
 	entry := r.entry
 	entry.Event = journal.Ended
 	entry.Outcome = outcome
-	entry.Tokens = r.produced
+	entry.Tokens = r.generated
 	e.host.Journal.Add(entry)
 }
 
-// Crash implements host.Behaviour: every run is dropped and the memory is
-// empty, that of orders and fencing numbers too.
+// Crash implements host.Target: it drops every run and clears everything that is
+// held in memory, including orders and fencing numbers.
 func (e *Engine) Crash() {
-	e.forgetOrders(journal.Crashed)
+	e.resetOrders(journal.Crashed)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range e.queue {
-		e.drop(r)
+		e.dropRun(r)
 	}
 	for _, r := range e.running {
-		e.drop(r)
+		e.dropRun(r)
 	}
 	e.queue = nil
 	e.running = nil
@@ -163,24 +165,24 @@
 	e.prefixes.clear()
 }
 
-func (e *Engine) drop(r *run) {
+func (e *Engine) dropRun(r *run) {
 	outcome := journal.Crashed
 	if !r.started {
 		outcome = journal.NotRun
 	}
-	e.journalEnd(r, outcome)
+	e.recordEnd(r, outcome)
 	r.phase = phaseDropped
-	r.wake()
+	r.wakeReader()
 }
 
-// Load implements host.Behaviour.
+// Load implements host.Target.
 func (e *Engine) Load() targets.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.LoadLag <= 0 {
-		e.renewReport()
+		e.refreshReport()
 	}
 	load := e.report.load
-	load.Age = time.Since(e.report.taken)
+	load.Age = time.Since(e.report.takenAt)
 	return load
 }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// streamText joins the contents of a stream's events.
+// streamText returns the joined contents of a stream's events and checks that its
+// last event is the final one.
 func streamText(t *testing.T, body string) string {
 	t.Helper()
 	var text strings.Builder
@@ -62,7 +63,7 @@
 	return text.String()
 }
 
-func TestStreamAndWholeAnswersCarryTheExpectedText(t *testing.T) {
+func TestStreamedAndNonStreamedAnswersHaveTheExpectedText(t *testing.T) {
 	_, address := startEngine(t, Options{})
 	client := newClient(t)
 	const prompt = "please mark:abc-1 now"
@@ -94,24 +95,25 @@
 	}
 }
 
-// running returns the most requests that ran at once, by the journal.
-func running(entries []journal.Entry) int {
-	now, most := 0, 0
+// maxRunning returns the highest number of requests that ran at once according to
+// the journal.
+func maxRunning(entries []journal.Entry) int {
+	running, highest := 0, 0
 	ran := make(map[uint64]bool)
 	for _, e := range entries {
 		switch {
 		case e.Event == journal.Started:
 			ran[e.Run] = true
-			now++
+			running++
 		case e.Event == journal.Ended && ran[e.Run]:
-			now--
+			running--
 		}
-		most = max(most, now)
+		highest = max(highest, running)
 	}
-	return most
+	return highest
 }
 
-func TestSlotsBoundWhatRunsAndTheRestWaits(t *testing.T) {
+func TestSlotsLimitRunningRequests(t *testing.T) {
 	e, address := startEngine(t, Options{Slots: 3})
 	e.SetFaults(Faults{SlowFactor: 2})
 	client := newClient(t)
@@ -128,8 +130,8 @@
 	}
 	group.Wait()
 	entries := e.Journal().Entries()
-	if most := running(entries); most != 3 {
-		t.Errorf("%d ran at once, want 3", most)
+	if highest := maxRunning(entries); highest != 3 {
+		t.Errorf("%d ran at once, want 3", highest)
 	}
 	for i, entry := range entries {
 		if entry.Seq != uint64(i+1) || (i > 0 && entry.Mono < entries[i-1].Mono) {
@@ -141,7 +143,7 @@
 	}
 }
 
-func TestFullQueueRefusesBeforeRunning(t *testing.T) {
+func TestFullQueueRefusesWithoutRunning(t *testing.T) {
 	e, address := startEngine(t, Options{Slots: 1, MaxQueued: 1})
 	e.SetFaults(Faults{Hang: true})
 	client := newClient(t)
@@ -165,7 +167,7 @@
 	group.Wait()
 }
 
-func TestCachedPrefixShortensPrefillUntilItIsPushedOut(t *testing.T) {
+func TestCachedPrefixShortensPrefillUntilEvicted(t *testing.T) {
 	e := New(Options{PrefixEntries: 2, PrefillTokensPerStep: 1})
 	prompt := func(first string) Call {
 		return Call{Prompt: strings.Repeat("x", 1600), PrefixHash: targets.PrefixHash([]byte(first))}
@@ -182,15 +184,15 @@
 	}
 	e.options.PrefixGap = 1
 	if got := e.Load().CachedPrefixes; len(got) != 0 {
-		t.Errorf("reported in spite of the gap: %v", got)
+		t.Errorf("prefixes reported although PrefixGap is 1: %v", got)
 	}
 	e.Crash()
 	if got := e.prefixes.hashes(); len(got) != 0 {
-		t.Errorf("prefixes outlived the crash: %v", got)
+		t.Errorf("prefixes left after the crash: %v", got)
 	}
 }
 
-func TestLoadReportLagsAndLies(t *testing.T) {
+func TestDelayedAndFalseLoadReports(t *testing.T) {
 	e, address := startEngine(t, Options{LoadLag: time.Hour})
 	client := newClient(t)
 	load := func() targets.Load {
@@ -201,7 +203,7 @@
 		}
 		return got
 	}
-	for load().Slots == 0 { // the first report is on its way
+	for load().Slots == 0 { // until the engine has made its first report
 		time.Sleep(time.Millisecond)
 	}
 	e.SetFaults(Faults{Hang: true})
@@ -216,13 +218,13 @@
 	}
 	e.SetFaults(Faults{LieLoad: &targets.Load{Running: 77}, Leaving: true})
 	if got := load(); got.Running != 77 || !got.Leaving {
-		t.Errorf("lying load is %+v", got)
+		t.Errorf("false load is %+v", got)
 	}
 }
 
-func TestOrdersAreFencedOnlyByEnginesThatCheck(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		e, address := startEngine(t, Options{ChecksFencing: checks})
+func TestOrdersAreFencedOnlyIfEngineChecks(t *testing.T) {
+	for _, checksFencing := range []bool{true, false} {
+		e, address := startEngine(t, Options{ChecksFencing: checksFencing})
 		client := newClient(t)
 		send := func(fence uint64, model string) int {
 			t.Helper()
@@ -238,17 +240,18 @@
 		}
 		statuses := []int{send(5, "new"), send(4, "old"), send(5, "again")}
 		want, models := []int{200, 409, 200}, []string{"new", "again"}
-		if !checks {
+		if !checksFencing {
 			want, models = []int{200, 200, 200}, []string{"new", "old", "again"}
 		}
 		state := e.Orders()
 		if !slices.Equal(statuses, want) || !slices.Equal(state.Models, models) || state.Role != "decode" || state.Fence != 5 {
-			t.Errorf("checks %v: statuses %v, state %+v", checks, statuses, state)
+			t.Errorf("checks %v: statuses %v, state %+v", checksFencing, statuses, state)
 		}
 	}
 }
 
-// TestResumeNeedsTheSameRun asks to resume what cannot be resumed.
+// TestResumeNeedsTheSameRun checks that a stream is resumed only with the request
+// id and the call that it began with, and that a crash leaves nothing to resume.
 func TestResumeNeedsTheSameRun(t *testing.T) {
 	e, address := startEngine(t, Options{Resumes: true})
 	client := newClient(t)
@@ -278,6 +281,6 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.resumable) != 0 {
-		t.Error("a crash left runs to resume")
+		t.Error("runs can be resumed after a crash")
 	}
 }
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -11,38 +11,41 @@
 	DefaultResumeWindow         = 5 * time.Second
 )
 
-// Options configure an Engine. Zero values take the stated defaults.
+// Options configure an Engine. Zero values stand for the stated defaults.
 type Options struct {
-	// Name is the target's name in the journal.
+	// Name is the engine's name in the journal.
 	Name string
-	// Slots is how many requests run at once. Default 8.
+	// Slots is the maximum number of requests that run at once. Default 8.
 	Slots int
-	// MaxQueued bounds the requests waiting for a slot; past it a request is
-	// refused before running. Zero means no bound.
+	// MaxQueued is the maximum number of requests that wait for a slot. Further
+	// requests are refused without running. Zero means no limit.
 	MaxQueued int
-	// Step is the time in which every running request gets one token. Default 2 ms.
+	// Step is the duration of one batch step, in which every running request gets
+	// one token. Default 2 ms.
 	Step time.Duration
-	// PrefillTokensPerStep is how much of a prompt one step reads, at four
-	// bytes a token. Default 512.
+	// PrefillTokensPerStep is how many tokens of a prompt, at four bytes each, one
+	// step processes. Default 512.
 	PrefillTokensPerStep int
-	// PrefixEntries bounds the cache of prompt prefixes. Default 64.
+	// PrefixEntries is the capacity of the cache of prompt prefixes. Default 64.
 	PrefixEntries int
-	// LoadLag is the period at which the load report is renewed. Zero means
-	// that every report is fresh.
+	// LoadLag is the interval at which the load report is refreshed. Zero means
+	// that every report shows the current load.
 	LoadLag time.Duration
-	// PrefixGap is the probability, from 0 to 1, that a load report leaves out
-	// a cached prefix.
+	// PrefixGap is the probability, from 0 to 1, that a load report omits a cached
+	// prefix.
 	PrefixGap float64
-	// Seed seeds the choice of the prefixes left out.
+	// Seed seeds the random choice of the omitted prefixes.
 	Seed uint64
-	// Resumes lets a broken stream be resumed by offset.
+	// Resumes allows a broken stream to be resumed at a byte offset.
 	Resumes bool
-	// ResumeWindow is how long a broken run can be resumed. Default 5 s.
+	// ResumeWindow is how long a run can be resumed after its stream broke or its
+	// last token was generated. Default 5 s.
 	ResumeWindow time.Duration
-	// ChecksFencing refuses orders whose fencing number is lower than the
-	// highest seen. Otherwise every order is taken.
+	// ChecksFencing refuses orders whose fencing number is lower than the highest
+	// one received. Without it every order is carried out.
 	ChecksFencing bool
-	// LoadTime is how long a model takes to load. Zero: it is there at once.
+	// LoadTime is how long a model takes to load. Zero means that it is loaded at
+	// once.
 	LoadTime time.Duration
 }
 
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -15,18 +15,19 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// PathOrder takes orders (POST) and shows what was ordered (GET).
+// PathOrder is the path to send an order to (POST) and to read the state that the
+// orders led to (GET).
 const PathOrder = targets.PathOrder
 
-// orderBook is the state behind the orders. The engine's lock guards it.
-type orderBook struct {
-	models  []string
-	role    string
-	fence   uint64
-	loading map[string]*time.Timer
+// orderState is the state that the orders led to. Engine.mu guards it.
+type orderState struct {
+	models       []string
+	role         string
+	highestFence uint64
+	loading      map[string]*time.Timer
 }
 
-// Orders returns what the orders taken so far add up to.
+// Orders returns the state that the orders carried out so far led to.
 func (e *Engine) Orders() targets.OrderState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -34,7 +35,7 @@
 		Models:  append([]string{}, e.orders.models...),
 		Loading: slices.Sorted(maps.Keys(e.orders.loading)),
 		Role:    e.orders.role,
-		Fence:   e.orders.fence,
+		Fence:   e.orders.highestFence,
 	}
 }
 
@@ -51,36 +52,38 @@
 	fence, _ := strconv.ParseUint(string(ctx.Request.Header.Peek(targets.HeaderFencingNumber)), 10, 64)
 	entry := journal.Entry{Event: journal.Order, Path: PathOrder, Fence: fence, Model: order.LoadModel, Role: order.Role}
 	entry.RequestID = string(ctx.Request.Header.Peek(dialect.HeaderRequestID))
-	if highest := e.take(order, entry); highest > 0 {
+	if highest := e.applyOrder(order, entry); highest > 0 {
 		ctx.Error("old fencing number", fasthttp.StatusConflict)
 		ctx.Response.Header.Set(targets.HeaderFencingNumber, strconv.FormatUint(highest, 10))
 	}
 }
 
-// take takes an order and journals it. If its fencing number is old and the
-// engine checks, it refuses the order and returns the highest number seen.
-func (e *Engine) take(order targets.Order, entry journal.Entry) (highest uint64) {
+// applyOrder carries out an order and adds it to the journal. If the engine checks
+// fencing numbers and that of the order is old, it refuses the order and returns
+// the highest number received; otherwise it returns zero.
+func (e *Engine) applyOrder(order targets.Order, entry journal.Entry) (highest uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	entry.Outcome = journal.Accepted
-	if e.options.ChecksFencing && entry.Fence < e.orders.fence {
+	if e.options.ChecksFencing && entry.Fence < e.orders.highestFence {
 		entry.Outcome = journal.Fenced
 		e.host.Journal.Add(entry)
-		return e.orders.fence
+		return e.orders.highestFence
 	}
 	e.host.Journal.Add(entry)
-	e.orders.fence = max(e.orders.fence, entry.Fence)
+	e.orders.highestFence = max(e.orders.highestFence, entry.Fence)
 	if len(order.KeepModels) > 0 {
 		e.unloadOthers(order.KeepModels)
 	}
-	e.load(order.LoadModel)
+	e.startLoading(order.LoadModel)
 	if order.Role != "" {
 		e.orders.role = order.Role
 	}
 	return 0
 }
 
-// unloadOthers unloads what is not to be kept. e.mu is held.
+// unloadOthers unloads all models except those in keep, and stops loading them. The
+// caller holds e.mu.
 func (e *Engine) unloadOthers(keep []string) {
 	e.orders.models = slices.DeleteFunc(e.orders.models, func(model string) bool {
 		return !slices.Contains(keep, model)
@@ -92,9 +95,9 @@
 	}
 }
 
-// load begins to load a model that is neither loaded nor being loaded. e.mu is
-// held.
-func (e *Engine) load(model string) {
+// startLoading begins to load a model unless it is loaded or being loaded. The
+// caller holds e.mu.
+func (e *Engine) startLoading(model string) {
 	if model == "" || e.orders.loading[model] != nil || slices.Contains(e.orders.models, model) {
 		return
 	}
@@ -114,7 +117,7 @@
 	e.orders.loading[model] = timer
 }
 
-// endLoading ends the loading of a model. e.mu is held.
+// endLoading ends the loading of a model with an outcome. The caller holds e.mu.
 func (e *Engine) endLoading(model string, outcome journal.Outcome) {
 	if timer := e.orders.loading[model]; timer != nil {
 		timer.Stop()
@@ -126,12 +129,13 @@
 	e.host.Journal.Add(journal.Entry{Event: journal.LoadEnded, Model: model, Outcome: outcome})
 }
 
-// forgetOrders empties the memory of orders and ends what is being loaded.
-func (e *Engine) forgetOrders(outcome journal.Outcome) {
+// resetOrders clears the state of the orders and ends the loading of models with
+// an outcome.
+func (e *Engine) resetOrders(outcome journal.Outcome) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for model := range e.orders.loading {
 		e.endLoading(model, outcome)
 	}
-	e.orders = orderBook{loading: e.orders.loading}
+	e.orders = orderState{loading: e.orders.loading}
 }
--- a/standin/engine/prefix.go
+++ b/standin/engine/prefix.go
@@ -5,40 +5,41 @@
 	"slices"
 )
 
-// prefixCache is a least-recently-used set of prompt prefixes.
+// prefixCache is an LRU cache of the hashes of prompt prefixes.
 type prefixCache struct {
-	capacity int
-	order    *list.List // of uint64, the most recent first
-	byHash   map[uint64]*list.Element
+	capacity  int
+	byRecency *list.List // of uint64, the most recent first
+	byHash    map[uint64]*list.Element
 }
 
 func newPrefixCache(capacity int) *prefixCache {
 	return &prefixCache{
-		capacity: capacity,
-		order:    list.New(),
-		byHash:   make(map[uint64]*list.Element),
+		capacity:  capacity,
+		byRecency: list.New(),
+		byHash:    make(map[uint64]*list.Element),
 	}
 }
 
-// use says whether the prefix was cached and makes it the most recent.
+// use reports whether the prefix is cached, and makes it the most recently used.
+// Hash zero stands for a prompt without a prefix and is never cached.
 func (c *prefixCache) use(hash uint64) bool {
 	if hash == 0 {
 		return false
 	}
 	if element, ok := c.byHash[hash]; ok {
-		c.order.MoveToFront(element)
+		c.byRecency.MoveToFront(element)
 		return true
 	}
-	c.byHash[hash] = c.order.PushFront(hash)
-	if c.order.Len() > c.capacity {
-		oldest := c.order.Back()
-		c.order.Remove(oldest)
+	c.byHash[hash] = c.byRecency.PushFront(hash)
+	if c.byRecency.Len() > c.capacity {
+		oldest := c.byRecency.Back()
+		c.byRecency.Remove(oldest)
 		delete(c.byHash, oldest.Value.(uint64))
 	}
 	return false
 }
 
-// hashes returns the cached prefixes in ascending order.
+// hashes returns the hashes of the cached prefixes in ascending order.
 func (c *prefixCache) hashes() []uint64 {
 	all := make([]uint64, 0, len(c.byHash))
 	for hash := range c.byHash {
@@ -49,6 +50,6 @@
 }
 
 func (c *prefixCache) clear() {
-	c.order.Init()
+	c.byRecency.Init()
 	clear(c.byHash)
 }
--- a/standin/engine/reader.go
+++ b/standin/engine/reader.go
@@ -8,22 +8,23 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// reader gives a run's tokens to its connection, one event a Read. Closing it
-// before the end cancels the run.
+// reader is the body of a streamed answer: it yields the events of a run's tokens
+// as they are generated. Closing it before the end cancels the run.
 type reader struct {
 	engine *Engine
 	run    *run
 	watch  *host.Watch
-	// notify is the run's channel when this reader took the run.
+	// notify is the run's channel at the time when this reader was created. If
+	// the run's channel differs, another reader has taken over the run.
 	notify chan struct{}
-	// faults are as they befell this reader's request.
+	// faults are the faults to inject into this reader's request.
 	faults host.Faults
-	// skip counts the body bytes that a resumed stream leaves out.
-	skip int64
-	// next is the number of the token to render next; MaxTokens stands for
-	// the event that ends the stream.
-	next int
-	// pending is what is rendered and not yet read.
+	// skipBytes is how many bytes of the body a resumed stream has yet to skip.
+	skipBytes int64
+	// nextToken is the number of the token whose event comes next; MaxTokens
+	// stands for the event that ends the stream.
+	nextToken int
+	// pending is what is encoded but not yet read.
 	pending []byte
 }
 
@@ -31,19 +32,19 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return &reader{
-		engine: e,
-		run:    r,
-		watch:  host.NewWatch(conn),
-		notify: r.notify,
-		faults: r.faults,
-		skip:   offset,
+		engine:    e,
+		run:       r,
+		watch:     host.NewWatch(conn),
+		notify:    r.notify,
+		faults:    r.faults,
+		skipBytes: offset,
 	}
 }
 
 // Read implements io.Reader. An error other than io.EOF breaks the stream.
 func (rd *reader) Read(p []byte) (int, error) {
 	for len(rd.pending) == 0 {
-		if rd.next > rd.run.call.MaxTokens {
+		if rd.nextToken > rd.run.call.MaxTokens {
 			rd.watch.Stop()
 			return 0, io.EOF
 		}
@@ -56,38 +57,38 @@
 	return n, nil
 }
 
-// render waits for the next token and renders its event.
+// render waits for the next token and encodes its event.
 func (rd *reader) render() error {
 	limit := rd.faults.BreakAfterTokens
-	if limit > 0 && rd.next >= limit {
-		rd.engine.leave(rd.run, rd.notify, journal.Broken)
+	if limit > 0 && rd.nextToken >= limit {
+		rd.engine.detachReader(rd.run, rd.notify, journal.Broken)
 		return host.ErrBroken
 	}
 	var event []byte
-	if rd.next == rd.run.call.MaxTokens {
+	if rd.nextToken == rd.run.call.MaxTokens {
 		event = []byte(doneEvent)
 	} else {
-		if err := rd.wait(rd.next + 1); err != nil {
+		if err := rd.wait(rd.nextToken + 1); err != nil {
 			return err
 		}
-		event = rd.run.call.event(rd.run.entry.RequestID, rd.run.mark, rd.next)
+		event = rd.run.call.eventBytes(rd.run.entry.RequestID, rd.run.mark, rd.nextToken)
 	}
-	rd.next++
-	skipped := min(rd.skip, int64(len(event)))
-	rd.skip -= skipped
+	rd.nextToken++
+	skipped := min(rd.skipBytes, int64(len(event)))
+	rd.skipBytes -= skipped
 	rd.pending = event[skipped:]
 	return nil
 }
 
-// waitWhole waits until every token is generated.
-func (rd *reader) waitWhole() error {
+// waitAll waits until every token is generated.
+func (rd *reader) waitAll() error {
 	return rd.wait(rd.run.call.MaxTokens)
 }
 
-// wait waits until so many tokens are generated.
+// wait waits until the given number of tokens is generated.
 func (rd *reader) wait(tokens int) error {
 	for {
-		ready, err := rd.progress(tokens)
+		ready, err := rd.hasTokens(tokens)
 		if ready || err != nil {
 			return err
 		}
@@ -99,14 +100,15 @@
 	}
 }
 
-// progress says whether so many tokens are generated, or why they never will be.
-func (rd *reader) progress(tokens int) (bool, error) {
+// hasTokens reports whether the given number of tokens is generated. It returns an
+// error if they never will be for this reader.
+func (rd *reader) hasTokens(tokens int) (bool, error) {
 	rd.engine.mu.Lock()
 	defer rd.engine.mu.Unlock()
 	switch {
 	case rd.run.notify != rd.notify:
 		return false, host.ErrBroken
-	case rd.run.produced >= tokens:
+	case rd.run.generated >= tokens:
 		return true, nil
 	case rd.run.phase == phaseDropped:
 		return false, host.ErrBroken
@@ -115,9 +117,9 @@
 	}
 }
 
-// Close implements io.Closer; fasthttp calls it when the answer was sent or broke.
+// Close implements io.Closer. fasthttp calls it when the answer was sent or failed.
 func (rd *reader) Close() error {
 	rd.watch.Stop()
-	rd.engine.leave(rd.run, rd.notify, journal.Cancelled)
+	rd.engine.detachReader(rd.run, rd.notify, journal.Cancelled)
 	return nil
 }
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -6,20 +6,20 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// loadReport is the load as it stood a while ago.
+// loadReport is the load at a past time, as the engine reports it.
 type loadReport struct {
-	load  targets.Load
-	taken time.Time
+	load    targets.Load
+	takenAt time.Time
 }
 
-// reportLoop renews the load report every LoadLag.
+// reportLoop refreshes the load report at once and then every LoadLag.
 func (e *Engine) reportLoop() {
 	defer e.loops.Done()
 	ticker := time.NewTicker(e.options.LoadLag)
 	defer ticker.Stop()
 	for {
 		e.mu.Lock()
-		e.renewReport()
+		e.refreshReport()
 		e.mu.Unlock()
 		select {
 		case <-e.stop:
@@ -29,8 +29,8 @@
 	}
 }
 
-// renewReport takes the load as it stands. e.mu is held.
-func (e *Engine) renewReport() {
+// refreshReport sets the load report to the current load. The caller holds e.mu.
+func (e *Engine) refreshReport() {
 	e.report = loadReport{
 		load: targets.Load{
 			Running:        len(e.running),
@@ -38,11 +38,12 @@
 			Slots:          e.options.Slots,
 			CachedPrefixes: e.reportedPrefixes(),
 		},
-		taken: time.Now(),
+		takenAt: time.Now(),
 	}
 }
 
-// reportedPrefixes returns the cached prefixes with gaps.
+// reportedPrefixes returns the cached prefixes, and omits each with the probability
+// PrefixGap.
 func (e *Engine) reportedPrefixes() []uint64 {
 	var reported []uint64
 	for _, hash := range e.prefixes.hashes() {
--- a/standin/engine/run.go
+++ b/standin/engine/run.go
@@ -7,21 +7,22 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// phase is where a run stands.
+// phase is the state of a run.
 type phase int
 
 const (
 	phaseQueued phase = iota
 	phaseRunning
-	// phaseParked: the caller is gone; the run may be resumed for a while.
-	phaseParked
-	// phaseWhole: every token was generated.
-	phaseWhole
+	// phaseDetached: the caller is gone, but the run can be resumed for
+	// Options.ResumeWindow.
+	phaseDetached
+	// phaseComplete: every token was generated.
+	phaseComplete
 	// phaseDropped: the run was cancelled or crashed.
 	phaseDropped
 )
 
-// run is one request in the engine. The engine's lock guards it.
+// run is one request in the engine. Engine.mu guards it.
 type run struct {
 	call   Call
 	mark   string
@@ -30,16 +31,16 @@
 	faults host.Faults
 
 	phase phase
-	// started says that the run once had a slot.
+	// started is set once the run has had a slot.
 	started bool
-	// prefill counts the steps left before the first token.
-	prefill int
-	// produced counts the tokens generated.
-	produced int
-	// since is when the run was parked or became whole.
-	since time.Time
-	// notify wakes the reader of the run. It is replaced, and the old one
-	// closed, when a resumed stream takes the run over.
+	// prefillStepsLeft is the number of steps before the first token.
+	prefillStepsLeft int
+	// generated is the number of tokens generated.
+	generated int
+	// resumableSince is when the run became detached or complete.
+	resumableSince time.Time
+	// notify wakes the reader of the run. When a resumed stream takes over the
+	// run, the channel is closed and replaced.
 	notify chan struct{}
 }
 
@@ -54,19 +55,19 @@
 	}
 }
 
-// wake tells the reader that something changed.
-func (r *run) wake() {
+// wakeReader wakes the reader after the run has changed.
+func (r *run) wakeReader() {
 	select {
 	case r.notify <- struct{}{}:
 	default:
 	}
 }
 
-// hangs says whether a fault keeps the run from its next token.
-func (r *run) hangs() bool {
+// isHanging reports whether a fault keeps the run from its next token.
+func (r *run) isHanging() bool {
 	limit := r.faults.HangAfterTokens
-	return r.faults.Hang || (limit > 0 && r.produced >= limit)
+	return r.faults.Hang || (limit > 0 && r.generated >= limit)
 }
 
-// ended says whether no further token will come.
-func (r *run) ended() bool { return r.phase == phaseWhole || r.phase == phaseDropped }
+// hasEnded reports whether the run will generate no further token.
+func (r *run) hasEnded() bool { return r.phase == phaseComplete || r.phase == phaseDropped }
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -9,7 +9,7 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// Serve implements host.Behaviour.
+// Serve implements host.Target.
 func (e *Engine) Serve(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case PathChat, PathCompletions:
@@ -45,7 +45,7 @@
 	e.respond(ctx, newReader(e, r, 0, ctx.Conn()))
 }
 
-// serveResume goes on with a broken stream from an offset.
+// serveResume continues a broken stream at a byte offset.
 func (e *Engine) serveResume(ctx *fasthttp.RequestCtx, call Call, raw string) {
 	offset, err := strconv.ParseInt(raw, 10, 64)
 	if err != nil || offset < 0 {
@@ -61,12 +61,13 @@
 	e.respond(ctx, newReader(e, r, offset, ctx.Conn()))
 }
 
-// takeOver finds the run of a broken stream, cuts its former reader off, and
-// queues it again unless it still runs or is whole.
-func (e *Engine) takeOver(requestID string, call Call, faults host.Faults, number uint64) *run {
+// takeOver finds the run of a broken stream and detaches its former reader. It
+// queues the run again unless it still runs or is complete. It returns nil if there
+// is no such run.
+func (e *Engine) takeOver(requestID string, call Call, faults host.Faults, runNumber uint64) *run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.expire()
+	e.expireResumable()
 	r := e.resumable[requestID]
 	if r == nil || r.call != call || !call.Stream || r.phase == phaseDropped {
 		return nil
@@ -75,16 +76,17 @@
 	r.notify = make(chan struct{}, 1)
 	r.notify <- struct{}{}
 	r.faults = faults
-	r.entry.Run = number
-	if r.phase == phaseParked {
+	r.entry.Run = runNumber
+	if r.phase == phaseDetached {
 		r.phase = phaseQueued
 		e.queue = append(e.queue, r)
-		e.kickLoop()
+		e.wakeStepLoop()
 	}
 	return r
 }
 
-// respond sends the answer of a run as it is generated, or whole.
+// respond sends the answer of a run: as a stream while it is generated, or as one
+// document when it is complete.
 func (e *Engine) respond(ctx *fasthttp.RequestCtx, reader *reader) {
 	if reader.run.call.Stream {
 		ctx.SetContentType("text/event-stream")
@@ -92,11 +94,11 @@
 		return
 	}
 	defer reader.Close()
-	if err := reader.waitWhole(); err != nil {
+	if err := reader.waitAll(); err != nil {
 		host.Abort(ctx)
 		return
 	}
-	body := reader.run.call.whole(reader.run.entry.RequestID)
+	body := reader.run.call.bodyJSON(reader.run.entry.RequestID)
 	ctx.SetContentType("application/json")
 	if limit := reader.faults.BreakAfterTokens; limit > 0 {
 		ctx.SetBodyStream(host.BrokenBody(body, len(body)/2), -1)
--- a/standin/engine/step.go
+++ b/standin/engine/step.go
@@ -9,12 +9,12 @@
 const (
 	// cachedPrefillDivisor shortens the prefill of a prompt whose beginning is cached.
 	cachedPrefillDivisor = 8
-	// maxLateSteps is how many missed steps the loop makes up for before it
-	// gives up on them.
-	maxLateSteps = 20
+	// maxCatchUpSteps is how many steps the loop may be late and still catch up;
+	// if it is later than that, it skips the missed steps.
+	maxCatchUpSteps = 20
 )
 
-// stepLoop runs one step after another while there is work.
+// stepLoop runs batch steps while there is work, until the engine is closed.
 func (e *Engine) stepLoop() {
 	defer e.loops.Done()
 	var next time.Time
@@ -27,33 +27,35 @@
 			continue
 		}
 		next = e.nextStep(next)
-		if !e.pause(time.Until(next)) {
+		if !e.sleep(time.Until(next)) {
 			return
 		}
 	}
 }
 
-// nextStep returns when the step after the one due at previous begins. Late
-// steps are made up for, so that the rate holds on a busy machine.
+// nextStep returns when the step after the one due at previous begins. Steps that
+// are late are caught up with, so that the token rate holds on a busy machine.
 func (e *Engine) nextStep(previous time.Time) time.Time {
 	now := time.Now()
 	step := e.host.Faults().Slow(e.options.Step)
-	if previous.IsZero() || now.Sub(previous) > maxLateSteps*step {
+	if previous.IsZero() || now.Sub(previous) > maxCatchUpSteps*step {
 		return now.Add(step)
 	}
 	return previous.Add(step)
 }
 
+// waitForWork waits until there is work. It reports false if the engine is closed.
 func (e *Engine) waitForWork() bool {
 	select {
 	case <-e.stop:
 		return false
-	case <-e.kick:
+	case <-e.workAdded:
 		return true
 	}
 }
 
-func (e *Engine) pause(d time.Duration) bool {
+// sleep waits for d and reports whether the engine is still open.
+func (e *Engine) sleep(d time.Duration) bool {
 	if d > 0 {
 		time.Sleep(d)
 	}
@@ -66,12 +68,12 @@
 }
 
 // step advances every running request by one token and fills free slots. It
-// says whether anything runs.
+// reports whether any request runs.
 func (e *Engine) step() bool {
 	e.mu.Lock()
-	e.advance()
-	poisoned := e.admit()
-	e.expire()
+	e.advanceAll()
+	poisoned := e.startQueued()
+	e.expireResumable()
 	busy := len(e.running) > 0
 	e.mu.Unlock()
 	if poisoned {
@@ -81,8 +83,9 @@
 	return busy
 }
 
-// advance gives every running request its next token.
-func (e *Engine) advance() {
+// advanceAll gives every running request its next token and frees the slots of
+// complete ones.
+func (e *Engine) advanceAll() {
 	kept := e.running[:0]
 	for _, r := range e.running {
 		e.advanceRun(r)
@@ -95,43 +98,43 @@
 }
 
 func (e *Engine) advanceRun(r *run) {
-	if r.prefill > 0 {
-		r.prefill--
+	if r.prefillStepsLeft > 0 {
+		r.prefillStepsLeft--
 		return
 	}
-	if r.hangs() {
+	if r.isHanging() {
 		return
 	}
-	r.produced++
-	if r.produced >= r.call.MaxTokens {
-		r.phase = phaseWhole
-		r.since = time.Now()
-		e.journalEnd(r, journal.Answered)
+	r.generated++
+	if r.generated >= r.call.MaxTokens {
+		r.phase = phaseComplete
+		r.resumableSince = time.Now()
+		e.recordEnd(r, journal.Answered)
 	}
-	r.wake()
+	r.wakeReader()
 }
 
-// admit starts queued requests while slots are free. It says whether one of
-// them crashes the engine.
-func (e *Engine) admit() bool {
+// startQueued starts queued requests while slots are free. It reports whether one
+// of them is to crash the engine.
+func (e *Engine) startQueued() bool {
 	poisoned := false
 	for len(e.queue) > 0 && len(e.running) < e.options.Slots {
 		r := e.queue[0]
 		e.queue = e.queue[1:]
-		e.start(r)
+		e.startRun(r)
 		poisoned = poisoned || e.host.Faults().Poisoned(r.body)
 	}
 	return poisoned
 }
 
-func (e *Engine) start(r *run) {
+func (e *Engine) startRun(r *run) {
 	entry := r.entry
 	entry.Event = journal.Started
-	entry.Tokens = r.produced
+	entry.Tokens = r.generated
 	if r.started {
 		entry.Event = journal.Resumed
 	} else {
-		r.prefill = e.prefillSteps(r.call)
+		r.prefillStepsLeft = e.prefillSteps(r.call)
 	}
 	r.started = true
 	r.phase = phaseRunning
@@ -139,7 +142,7 @@
 	e.host.Journal.Add(entry)
 }
 
-// prefillSteps returns how many steps the prompt takes before its first token.
+// prefillSteps returns how many steps the prompt takes before the first token.
 func (e *Engine) prefillSteps(call Call) int {
 	steps := promptTokens(call.Prompt) / e.options.PrefillTokensPerStep
 	if e.prefixes.use(call.PrefixHash) {
@@ -148,16 +151,16 @@
 	return steps
 }
 
-// expire forgets the runs that can no longer be resumed.
-func (e *Engine) expire() {
+// expireResumable removes the runs that can no longer be resumed.
+func (e *Engine) expireResumable() {
 	if len(e.resumable) == 0 {
 		return
 	}
-	limit := time.Now().Add(-e.options.ResumeWindow)
+	oldest := time.Now().Add(-e.options.ResumeWindow)
 	for id, r := range e.resumable {
-		gone := r.phase == phaseDropped
-		late := (r.phase == phaseParked || r.phase == phaseWhole) && r.since.Before(limit)
-		if gone || late {
+		dropped := r.phase == phaseDropped
+		tooOld := (r.phase == phaseDetached || r.phase == phaseComplete) && r.resumableSince.Before(oldest)
+		if dropped || tooOld {
 			delete(e.resumable, id)
 		}
 	}
