--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,7 +1,8 @@
 // Package service is a stand-in for a plain service (deploy, purge, dispatch,
-// claim), to be embedded in tests, benches and the developer's fleet. A call
-// takes a slot for a given time and answers with the mark of its body, its
-// Idempotency-Key and how often that key has run. It fails on command.
+// claim), for use in tests, benchmarks and the developer fleet. A call occupies a
+// slot for a given time; its answer contains the mark of its body, its
+// Idempotency-Key and how often a call with that key has started. The service
+// injects faults on request.
 package service
 
 import (
@@ -17,7 +18,8 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// PathCounts shows how often each Idempotency-Key has started.
+// PathCounts is the path that returns how often calls with each Idempotency-Key
+// have started.
 const PathCounts = "/_counts"
 
 // Defaults of Options.
@@ -26,23 +28,24 @@
 	DefaultDuration = 20 * time.Millisecond
 )
 
-// Faults is the set of faults that can be put in force.
+// Faults is the set of faults that the service can inject.
 type Faults = host.Faults
 
-// Options configure a Service. Zero values take the stated defaults.
+// Options configure a Service. Zero values stand for the stated defaults.
 type Options struct {
-	// Name is the target's name in the journal.
+	// Name is the service's name in the journal.
 	Name string
-	// Slots is how many calls run at once. Default 4.
+	// Slots is the maximum number of calls that run at once. Default 4.
 	Slots int
-	// MaxQueued bounds the calls waiting for a slot; past it a call is refused
-	// before running. Zero means no bound.
+	// MaxQueued is the maximum number of calls that wait for a slot. Further calls
+	// are refused without running. Zero means no limit.
 	MaxQueued int
-	// Duration is how long a call runs if its query has no "millis". Default 20 ms.
+	// Duration is how long a call runs if its query has no "millis" parameter.
+	// Default 20 ms.
 	Duration time.Duration
 }
 
-// Answer is the body of every answer.
+// Answer is the JSON body of every answer.
 type Answer struct {
 	// Mark is the mark of the request's body ("mark:XXXX"), or its hash.
 	Mark string `json:"mark"`
@@ -50,7 +53,7 @@
 	Path string `json:"path"`
 	// Key is the request's Idempotency-Key.
 	Key string `json:"key,omitempty"`
-	// Count is how often this target has started a call with the key.
+	// Count is how often this service has started a call with the key.
 	Count int `json:"count,omitempty"`
 }
 
@@ -59,22 +62,24 @@
 	options Options
 	host    *host.Host
 
-	mu      sync.Mutex
-	queue   []*call
-	running map[*call]struct{}
-	counts  map[string]int
+	mu          sync.Mutex
+	queue       []*call
+	running     map[*call]struct{}
+	startsByKey map[string]int
 }
 
-// call is one request in the service. The service's lock guards it.
+// call is one request in the service. Service.mu guards it.
 type call struct {
 	entry  journal.Entry
 	body   string
 	faults host.Faults
 	// started is closed when the call takes a slot.
 	started chan struct{}
-	// dropped is closed when the target crashes.
-	dropped chan struct{}
-	count   int
+	// crashed is closed when the service crashes.
+	crashed chan struct{}
+	// keyCount is how often calls with this call's key had started, this one
+	// included.
+	keyCount int
 }
 
 // New returns a service that is not yet listening.
@@ -86,22 +91,22 @@
 		options.Duration = DefaultDuration
 	}
 	s := &Service{
-		options: options,
-		running: make(map[*call]struct{}),
-		counts:  make(map[string]int),
+		options:     options,
+		running:     make(map[*call]struct{}),
+		startsByKey: make(map[string]int),
 	}
 	s.host = host.New(options.Name, s)
 	return s
 }
 
-// Start listens on address ("ip:port", port 0 picks one) and returns the
+// Start listens on address ("ip:port"; port 0 picks a free one) and returns the
 // address that it listens on.
 func (s *Service) Start(address string) (string, error) { return s.host.Start(address) }
 
-// Close cuts every connection and ends every call.
+// Close resets every connection and ends every call.
 func (s *Service) Close() { s.host.Close() }
 
-// Journal returns the record of what happened.
+// Journal returns the journal of the service's calls.
 func (s *Service) Journal() *journal.Journal { return s.host.Journal }
 
 // SetFaults replaces the faults in force.
@@ -110,45 +115,45 @@
 // Address returns the address that the service listens on.
 func (s *Service) Address() string { return s.host.Address() }
 
-// CrashNow crashes the service as a poisoned request would.
+// CrashNow crashes the service as a request with Faults.Poison does.
 func (s *Service) CrashNow() { s.host.Crash(s.host.Faults().Downtime()) }
 
-// Counts returns how often each Idempotency-Key has started here. It outlives
-// a crash, because what a call has done outlives it too.
+// Counts returns how often calls with each Idempotency-Key have started. A crash
+// does not reset the counts, because the effects of a call outlast a crash too.
 func (s *Service) Counts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts := make(map[string]int, len(s.counts))
-	for key, n := range s.counts {
+	counts := make(map[string]int, len(s.startsByKey))
+	for key, n := range s.startsByKey {
 		counts[key] = n
 	}
 	return counts
 }
 
-// Load implements host.Behaviour.
+// Load implements host.Target.
 func (s *Service) Load() targets.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return targets.Load{Running: len(s.running), Queued: len(s.queue), Slots: s.options.Slots}
 }
 
-// Crash implements host.Behaviour: every call is dropped.
+// Crash implements host.Target: it drops every call.
 func (s *Service) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.queue {
-		s.journalEnd(c, journal.NotRun)
-		close(c.dropped)
+		s.recordEnd(c, journal.NotRun)
+		close(c.crashed)
 	}
 	for c := range s.running {
-		s.journalEnd(c, journal.Crashed)
-		close(c.dropped)
+		s.recordEnd(c, journal.Crashed)
+		close(c.crashed)
 	}
 	s.queue = nil
 	clear(s.running)
 }
 
-// Serve implements host.Behaviour.
+// Serve implements host.Target.
 func (s *Service) Serve(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == PathCounts {
 		host.WriteJSON(ctx, s.Counts())
@@ -159,7 +164,7 @@
 		body:    string(ctx.PostBody()),
 		faults:  s.host.TakeFaults(),
 		started: make(chan struct{}),
-		dropped: make(chan struct{}),
+		crashed: make(chan struct{}),
 	}
 	if c.faults.Refuse || !s.enqueue(c) {
 		s.host.RefuseNotRun(ctx, c.entry)
@@ -167,46 +172,48 @@
 	}
 	watch := host.NewWatch(ctx.Conn())
 	defer watch.Stop()
-	if !s.run(ctx, c, watch.Gone) {
+	if !s.runCall(ctx, c, watch.Gone) {
 		host.Abort(ctx)
 		return
 	}
-	s.answer(ctx, c)
+	s.sendAnswer(ctx, c)
 }
 
-// run takes a slot for the call's time. It says whether the call came to its end.
-func (s *Service) run(ctx *fasthttp.RequestCtx, c *call, gone <-chan struct{}) bool {
+// runCall waits for a slot and occupies it for the call's duration. It reports
+// whether the call ran to its end.
+func (s *Service) runCall(ctx *fasthttp.RequestCtx, c *call, callerClosed <-chan struct{}) bool {
 	select {
 	case <-c.started:
-	case <-gone:
-		s.leave(c, journal.Cancelled)
+	case <-callerClosed:
+		s.release(c, journal.Cancelled)
 		return false
-	case <-c.dropped:
+	case <-c.crashed:
 		return false
 	}
 	if s.host.Faults().Poisoned(c.body) {
 		s.CrashNow()
 		return false
 	}
-	timer := time.NewTimer(s.duration(ctx))
+	timer := time.NewTimer(s.callDuration(ctx))
 	defer timer.Stop()
-	expired := timer.C
+	finished := timer.C
 	if c.faults.Hang {
-		expired = nil
+		finished = nil
 	}
 	select {
-	case <-expired:
-		return s.leave(c, journal.Answered)
-	case <-gone:
-		s.leave(c, journal.Cancelled)
+	case <-finished:
+		return s.release(c, journal.Answered)
+	case <-callerClosed:
+		s.release(c, journal.Cancelled)
 		return false
-	case <-c.dropped:
+	case <-c.crashed:
 		return false
 	}
 }
 
-// duration is the time that the call's query asks for.
-func (s *Service) duration(ctx *fasthttp.RequestCtx) time.Duration {
+// callDuration returns the duration that the call's query asks for, or the default
+// one, multiplied by Faults.SlowFactor.
+func (s *Service) callDuration(ctx *fasthttp.RequestCtx) time.Duration {
 	d := s.options.Duration
 	if millis, err := ctx.QueryArgs().GetUint("millis"); err == nil {
 		d = time.Duration(millis) * time.Millisecond
@@ -214,12 +221,12 @@
 	return s.host.Faults().Slow(d)
 }
 
-func (s *Service) answer(ctx *fasthttp.RequestCtx, c *call) {
+func (s *Service) sendAnswer(ctx *fasthttp.RequestCtx, c *call) {
 	body, err := json.Marshal(Answer{
 		Mark:  host.Mark(c.body),
 		Path:  c.entry.Path,
 		Key:   c.entry.IdempotencyKey,
-		Count: c.count,
+		Count: c.keyCount,
 	})
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
@@ -233,7 +240,8 @@
 	ctx.SetBody(body)
 }
 
-// enqueue adds a call unless the queue is full.
+// enqueue adds a call to the queue and starts it if a slot is free. It reports false
+// if the queue is full.
 func (s *Service) enqueue(c *call) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,24 +250,24 @@
 		return false
 	}
 	s.queue = append(s.queue, c)
-	s.admit()
+	s.startQueued()
 	return true
 }
 
-// admit starts waiting calls while slots are free. s.mu is held.
-func (s *Service) admit() {
+// startQueued starts waiting calls while slots are free. The caller holds s.mu.
+func (s *Service) startQueued() {
 	for len(s.queue) > 0 && len(s.running) < s.options.Slots {
 		c := s.queue[0]
 		s.queue = s.queue[1:]
-		s.start(c)
+		s.startCall(c)
 	}
 }
 
-func (s *Service) start(c *call) {
+func (s *Service) startCall(c *call) {
 	s.running[c] = struct{}{}
 	if key := c.entry.IdempotencyKey; key != "" {
-		s.counts[key]++
-		c.count = s.counts[key]
+		s.startsByKey[key]++
+		c.keyCount = s.startsByKey[key]
 	}
 	entry := c.entry
 	entry.Event = journal.Started
@@ -267,26 +275,26 @@
 	close(c.started)
 }
 
-// leave frees the call's slot or queue place. It says whether the call still
-// had one.
-func (s *Service) leave(c *call, outcome journal.Outcome) bool {
+// release removes the call from its slot, which may start a waiting call, or from
+// the queue. It reports whether the call was in either.
+func (s *Service) release(c *call, outcome journal.Outcome) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.running[c]; ok {
 		delete(s.running, c)
-		s.journalEnd(c, outcome)
-		s.admit()
+		s.recordEnd(c, outcome)
+		s.startQueued()
 		return true
 	}
-	if at := slices.Index(s.queue, c); at >= 0 {
-		s.queue = slices.Delete(s.queue, at, at+1)
-		s.journalEnd(c, journal.NotRun)
+	if position := slices.Index(s.queue, c); position >= 0 {
+		s.queue = slices.Delete(s.queue, position, position+1)
+		s.recordEnd(c, journal.NotRun)
 		return true
 	}
 	return false
 }
 
-func (s *Service) journalEnd(c *call, outcome journal.Outcome) {
+func (s *Service) recordEnd(c *call, outcome journal.Outcome) {
 	entry := c.entry
 	entry.Event = journal.Ended
 	entry.Outcome = outcome
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -12,7 +12,7 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-func TestAnswerCarriesMarkAndCount(t *testing.T) {
+func TestAnswerHasMarkAndCount(t *testing.T) {
 	s := New(Options{})
 	address, err := s.Start("127.0.0.1:0")
 	if err != nil {
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestCrashDropsTheCallsButNotTheCounts crashes on one call while others run
-// and wait.
-func TestCrashDropsTheCallsButNotTheCounts(t *testing.T) {
+// TestCrashDropsCallsButKeepsCounts crashes the service while calls run and one
+// waits.
+func TestCrashDropsCallsButKeepsCounts(t *testing.T) {
 	s := New(Options{Slots: 2})
 	address, err := s.Start("127.0.0.1:0")
 	if err != nil {
@@ -83,8 +83,8 @@
 	s.SetFaults(Faults{DowntimeMillis: 1})
 	s.CrashNow()
 	for range 3 {
-		var typed *result.Error
-		if err := <-errs; !errors.As(err, &typed) || typed.Ran != result.RanUnknown {
+		var resultErr *result.Error
+		if err := <-errs; !errors.As(err, &resultErr) || resultErr.Ran != result.RanUnknown {
 			t.Errorf("error is %v", err)
 		}
 	}
@@ -120,8 +120,8 @@
 		resp.Body.Close()
 	}
 	post("/_fault", `{"refuse":true,"times":1}`)
-	var typed *result.Error
-	if _, err := client.Do(context.Background(), deploy(address, "refused", "k", "b")); !errors.As(err, &typed) || typed.Ran != result.RanNo {
+	var resultErr *result.Error
+	if _, err := client.Do(context.Background(), deploy(address, "refused", "k", "b")); !errors.As(err, &resultErr) || resultErr.Ran != result.RanNo {
 		t.Errorf("error is %v", err)
 	}
 	if len(s.Journal().Find("refused", journal.Started)) != 0 || s.Counts()["k"] != 0 {
