--- a/standin/platform/calls.go
+++ b/standin/platform/calls.go
@@ -14,9 +14,9 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// write is what a write did: the tables that it touched and, if it was applied,
-// its revision.
-type write struct {
+// writeResult describes an applied write: the tables that it changed and, for a
+// commit or an object, its revision.
+type writeResult struct {
 	tables   []string
 	revision uint64
 }
@@ -38,18 +38,19 @@
 		replyError(ctx, fmt.Errorf("%w: limit: %w", store.ErrInvalid, err))
 		return
 	}
-	page := min(limit, store.MaxScanRows)
-	rows, err := s.store.Scan(context.Background(), string(args.Peek("table")), string(args.Peek("from")), page)
+	pageRows := min(limit, store.MaxScanRows)
+	rows, err := s.store.Scan(context.Background(), string(args.Peek("table")), string(args.Peek("from")), pageRows)
 	if err != nil {
 		replyError(ctx, err)
 		return
 	}
 	fit := rowsThatFit(rows)
-	cut := fit < len(rows) || (page < limit && len(rows) == page)
-	reply(ctx, store.ScanReply{Rows: rows[:fit], More: cut})
+	more := fit < len(rows) || (pageRows < limit && len(rows) == pageRows)
+	reply(ctx, store.ScanReply{Rows: rows[:fit], More: more})
 }
 
-// rowsThatFit counts the rows of one page; at least one if there is any.
+// rowsThatFit returns how many of the rows fit into one page: at least one, if
+// there is any.
 func rowsThatFit(rows []store.Row) int {
 	size := 0
 	for i, row := range rows {
@@ -80,15 +81,15 @@
 	replyVMs(ctx, store.VMsReply{VMs: vms})
 }
 
-// replyVMs answers with the list and its entity tag, or says that the caller
-// holds it already.
+// replyVMs answers with the list and its entity tag, or with 304 Not Modified if the
+// caller's If-None-Match header names that tag.
 func replyVMs(ctx *fasthttp.RequestCtx, list store.VMsReply) {
 	reply(ctx, list)
-	tag := fmt.Sprintf(`"%016x"`, xxhash.Sum64(ctx.Response.Body()))
-	if string(ctx.Request.Header.Peek(fasthttp.HeaderIfNoneMatch)) == tag {
+	entityTag := fmt.Sprintf(`"%016x"`, xxhash.Sum64(ctx.Response.Body()))
+	if string(ctx.Request.Header.Peek(fasthttp.HeaderIfNoneMatch)) == entityTag {
 		ctx.NotModified()
 	}
-	ctx.Response.Header.Set(fasthttp.HeaderETag, tag)
+	ctx.Response.Header.Set(fasthttp.HeaderETag, entityTag)
 }
 
 func (s *Server) weightsRate(ctx *fasthttp.RequestCtx) {
@@ -100,13 +101,13 @@
 	reply(ctx, rate)
 }
 
-func (s *Server) commit(ctx *fasthttp.RequestCtx, ops []store.Op) (write, error) {
+func (s *Server) commit(ctx *fasthttp.RequestCtx, ops []store.Op) (writeResult, error) {
 	revision, err := s.store.CommitRevision(context.Background(), ops)
 	if err != nil {
-		return write{}, err
+		return writeResult{}, err
 	}
 	reply(ctx, store.CommitReply{Revision: revision})
-	return write{tables: tablesOf(ops), revision: revision}, nil
+	return writeResult{tables: tablesOf(ops), revision: revision}, nil
 }
 
 func tablesOf(ops []store.Op) []string {
@@ -119,42 +120,42 @@
 	return tables
 }
 
-func (s *Server) putObject(ctx *fasthttp.RequestCtx) (write, error) {
+func (s *Server) putObject(ctx *fasthttp.RequestCtx) (writeResult, error) {
 	name := string(ctx.QueryArgs().Peek("name"))
 	revision, err := s.store.Objects().PutRevision(context.Background(), name, ctx.PostBody())
 	if err != nil {
-		return write{}, err
+		return writeResult{}, err
 	}
 	reply(ctx, store.CommitReply{Revision: revision})
-	return write{tables: []string{ObjectsTable}, revision: revision}, nil
+	return writeResult{tables: []string{ObjectsTable}, revision: revision}, nil
 }
 
-func (s *Server) requestFetch(ctx *fasthttp.RequestCtx) (write, error) {
+func (s *Server) requestFetch(ctx *fasthttp.RequestCtx) (writeResult, error) {
 	var fetch store.WeightFetch
 	if err := decode(ctx.PostBody(), &fetch); err != nil {
-		return write{}, err
+		return writeResult{}, err
 	}
 	permit, err := s.weights.RequestFetch(context.Background(), fetch)
 	if err != nil {
-		return write{}, err
+		return writeResult{}, err
 	}
 	reply(ctx, permit)
-	return write{tables: []string{WeightsTable}}, nil
+	return writeResult{tables: []string{WeightsTable}}, nil
 }
 
-func (s *Server) finishFetch(ctx *fasthttp.RequestCtx) (write, error) {
+func (s *Server) finishFetch(ctx *fasthttp.RequestCtx) (writeResult, error) {
 	var request store.FinishFetchRequest
 	if err := decode(ctx.PostBody(), &request); err != nil {
-		return write{}, err
+		return writeResult{}, err
 	}
 	if err := s.weights.FinishFetch(context.Background(), request.ID); err != nil {
-		return write{}, err
+		return writeResult{}, err
 	}
 	reply(ctx, struct{}{})
-	return write{tables: []string{WeightsTable}}, nil
+	return writeResult{tables: []string{WeightsTable}}, nil
 }
 
-// decodeCommit reads and checks the body of a commit.
+// decodeCommit decodes and validates the body of a commit.
 func decodeCommit(body []byte) ([]store.Op, error) {
 	var request store.CommitRequest
 	if err := decode(body, &request); err != nil {
@@ -163,11 +164,11 @@
 	return request.Ops, store.CheckOps(request.Ops)
 }
 
-// decode reads a body of one JSON value without unknown fields.
-func decode(body []byte, into any) error {
+// decode decodes a body that must be a single JSON value without unknown fields.
+func decode(body []byte, dst any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(dst); err != nil {
 		return fmt.Errorf("%w: %w", store.ErrInvalid, err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
--- a/standin/platform/control.go
+++ b/standin/platform/control.go
@@ -9,7 +9,7 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// The control endpoints. No fault touches them.
+// Paths of the control endpoints. Faults do not affect them.
 const (
 	pathFault   = "/_fault"
 	pathJournal = "/_journal"
@@ -17,11 +17,12 @@
 	pathMetrics = "/metrics"
 )
 
-// journalPageSize is the page size of /_journal where none is asked for.
+// journalPageSize is the page size of /_journal if the request sets no limit.
 const journalPageSize = 1000
 
-// control serves the control endpoints and says whether the path is one.
-func (s *Server) control(ctx *fasthttp.RequestCtx) bool {
+// serveControl serves the control endpoints. It reports false if the path is not
+// one of them.
+func (s *Server) serveControl(ctx *fasthttp.RequestCtx) bool {
 	switch string(ctx.Path()) {
 	case pathFault:
 		s.faultControl(ctx)
@@ -37,8 +38,8 @@
 	return true
 }
 
-// faultControl answers with the faults in force. POST changes those switches
-// that its body names; DELETE ends every fault.
+// faultControl answers with the faults in force. POST changes those faults that its
+// body names; DELETE ends every fault.
 func (s *Server) faultControl(ctx *fasthttp.RequestCtx) {
 	faults := s.Faults()
 	var err error
@@ -51,7 +52,7 @@
 			return nil
 		})
 	case !ctx.IsGet():
-		err = errMethod(ctx)
+		err = methodError(ctx)
 	}
 	if err != nil {
 		replyError(ctx, err)
@@ -75,8 +76,8 @@
 	reply(ctx, s.Journal(uint64(after), limit))
 }
 
-// vmsControl replaces the list of VMs with POST. GET answers with the list
-// that readers get.
+// vmsControl replaces the list of VMs (POST) or answers with the list that readers
+// get (GET).
 func (s *Server) vmsControl(ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPost() {
 		s.listVMs(ctx)
@@ -91,9 +92,9 @@
 	reply(ctx, request)
 }
 
-func optionalUint(args *fasthttp.Args, name string, otherwise int) (int, error) {
+func optionalUint(args *fasthttp.Args, name string, defaultValue int) (int, error) {
 	if !args.Has(name) {
-		return otherwise, nil
+		return defaultValue, nil
 	}
 	value, err := args.GetUint(name)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return value, nil
 }
 
-func errMethod(ctx *fasthttp.RequestCtx) error {
+func methodError(ctx *fasthttp.RequestCtx) error {
 	return fmt.Errorf("%w: the path does not take %s", store.ErrInvalid, ctx.Method())
 }
 
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -11,60 +11,61 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// Outage says what the stand-in does with every call while it is out.
+// Outage is what the stand-in does with every call during an outage.
 type Outage string
 
 // The kinds of outage.
 const (
-	// OutageNone: calls are served.
+	// OutageNone: there is no outage, and calls are served.
 	OutageNone Outage = ""
-	// OutageRefuse: calls are answered 503 before they are applied.
+	// OutageRefuse: calls are answered with 503 and not applied.
 	OutageRefuse Outage = "refuse"
-	// OutageDrop: connections are cut before the call is applied.
+	// OutageDrop: the connection is closed before the call is applied.
 	OutageDrop Outage = "drop"
-	// OutageHang: calls get no answer; they are dropped when the outage ends.
+	// OutageHang: calls get no answer. When the outage ends, their connections are
+	// closed and the calls are not applied.
 	OutageHang Outage = "hang"
-	// OutageFreeze: calls get no answer; they are applied, late, when the
-	// outage ends, whether or not their callers still wait.
+	// OutageFreeze: calls get no answer during the outage. When it ends they are
+	// applied, whether or not their callers still wait.
 	OutageFreeze Outage = "freeze"
 )
 
-// LoseAll is the value of Faults.LoseReplies that loses every reply.
+// LoseAllReplies is the value of Faults.LoseReplies that loses every reply.
 const LoseAll = -1
 
-// The table names that stand for the object store and the weight store in the
-// journal and in Faults.LoseTablePrefix.
+// Table names that denote the object store and the weight store in the journal and
+// in Faults.LoseTablePrefix.
 const (
 	ObjectsTable = "_objects"
 	WeightsTable = "_weights"
 )
 
-// Faults are the switches of the stand-in. The zero value has no fault.
+// Faults are the faults that the stand-in injects. The zero value injects none.
 type Faults struct {
 	Outage Outage `json:"outage"`
 	// DelayMillis delays each call before it is applied.
 	DelayMillis int `json:"delay_ms"`
-	// ReplyDelayMillis delays each reply after the call was applied.
+	// ReplyDelayMillis delays each reply after the call is applied.
 	ReplyDelayMillis int `json:"reply_delay_ms"`
-	// LoseReplies is how many of the next replies to writes that took effect
-	// are lost; LoseAll (-1) loses them all.
+	// LoseReplies is how many of the next replies to applied writes are lost.
+	// LoseAllReplies (-1) loses them all.
 	LoseReplies int `json:"lose_replies"`
-	// LoseTablePrefix narrows LoseReplies to writes of tables with this prefix.
+	// LoseTablePrefix limits LoseReplies to writes to tables with this prefix.
 	LoseTablePrefix string `json:"lose_table_prefix"`
-	// VMLagMillis is the age of the list of VMs that readers get.
+	// VMLagMillis is how old the list of VMs is that readers get.
 	VMLagMillis int `json:"vm_lag_ms"`
 	// ReadOnly refuses every write.
 	ReadOnly bool `json:"read_only"`
-	// WritesPerSecond, RowsPerSecond and ReadsPerSecond refuse what is over
-	// the limit: commits and object writes, rows written, and reads. Zero
-	// means no limit. Each allows a burst of one second.
+	// WritesPerSecond, RowsPerSecond and ReadsPerSecond limit the rate of write
+	// calls, rows written, and reads; calls over a limit are refused. Zero means no
+	// limit. Each limit allows a burst of one second.
 	WritesPerSecond float64 `json:"writes_per_second"`
 	RowsPerSecond   float64 `json:"rows_per_second"`
 	ReadsPerSecond  float64 `json:"reads_per_second"`
 }
 
-// check returns store.ErrInvalid if a switch has a value without meaning.
-func (f Faults) check() error {
+// validate returns store.ErrInvalid if a fault has an unknown or negative value.
+func (f Faults) validate() error {
 	switch f.Outage {
 	case OutageNone, OutageRefuse, OutageDrop, OutageHang, OutageFreeze:
 	default:
@@ -79,7 +80,8 @@
 	return nil
 }
 
-// faultState holds the faults in force and wakes the calls that wait for a change.
+// faultState holds the faults in force and wakes the calls that wait for a change
+// of them.
 type faultState struct {
 	mu      sync.Mutex
 	faults  Faults
@@ -99,15 +101,16 @@
 	return s.faults, s.changed
 }
 
-// update applies change to the faults in force and returns the new ones.
-func (s *faultState) update(change func(*Faults) error) (Faults, error) {
+// update applies edit to the faults in force and returns the new ones. If edit fails
+// or its outcome is invalid, the faults stay as they are.
+func (s *faultState) update(edit func(*Faults) error) (Faults, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	faults := s.faults
-	if err := change(&faults); err != nil {
+	if err := edit(&faults); err != nil {
 		return s.faults, err
 	}
-	if err := faults.check(); err != nil {
+	if err := faults.validate(); err != nil {
 		return s.faults, err
 	}
 	s.faults = faults
@@ -119,20 +122,22 @@
 	return faults, nil
 }
 
-// allowRead and allowWrite take from the limits in force.
+// allowRead reports whether the rate limits allow one more read.
 func (s *faultState) allowRead() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads.allow(1)
 }
 
+// allowWrite reports whether the rate limits allow one more write of so many rows.
 func (s *faultState) allowWrite(rows int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes.allow(1) && s.rows.allow(rows)
 }
 
-// loseReply says whether the reply to a write of these tables is to be lost.
+// loseReply reports whether the reply to a write to these tables is to be lost, and
+// counts LoseReplies down if so.
 func (s *faultState) loseReply(tables []string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +159,7 @@
 	return false
 }
 
-// limiter is a rate limit that can be off.
+// limiter is a rate limiter that is off while its rate is zero.
 type limiter struct {
 	perSecond float64
 	bucket    *rate.Limiter
@@ -172,7 +177,8 @@
 	return l.perSecond == 0 || l.bucket.AllowN(time.Now(), n)
 }
 
-// SetFaults replaces the faults in force. Invalid faults are refused.
+// SetFaults replaces the faults in force. It refuses invalid ones with
+// store.ErrInvalid.
 func (s *Server) SetFaults(faults Faults) error {
 	_, err := s.updateFaults(func(f *Faults) error {
 		*f = faults
@@ -181,14 +187,15 @@
 	return err
 }
 
-// Faults returns the faults in force; LoseReplies has counted down.
+// Faults returns the faults in force. LoseReplies is the number of replies that
+// remain to be lost.
 func (s *Server) Faults() Faults {
 	faults, _ := s.faults.get()
 	return faults
 }
 
-func (s *Server) updateFaults(change func(*Faults) error) (Faults, error) {
-	faults, err := s.faults.update(change)
+func (s *Server) updateFaults(edit func(*Faults) error) (Faults, error) {
+	faults, err := s.faults.update(edit)
 	if err == nil {
 		s.store.SetVMLag(time.Duration(faults.VMLagMillis) * time.Millisecond)
 	}
--- a/standin/platform/fuzz_test.go
+++ b/standin/platform/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// FuzzHandle sends any request to the stand-in. Each must get a success, or an
-// error of the protocol that left the rows as they were.
+// FuzzHandle sends arbitrary requests to the stand-in. Each must succeed, or get an
+// error code of the protocol and leave the rows unchanged.
 func FuzzHandle(f *testing.F) {
 	commit := `{"ops":[{"kind":"insert","table":"t","key":"k","value":"eA=="},{"kind":"check","table":"t","key":"j"}]}`
 	f.Add("POST", store.PathCommit, []byte(commit))
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		var ctx fasthttp.RequestCtx
-		ctx.Init(&fasthttp.Request{}, nil, quietLogger{})
+		ctx.Init(&fasthttp.Request{}, nil, discardLogger{})
 		ctx.Request.Header.SetMethod(method)
 		ctx.Request.SetRequestURI(uri)
 		ctx.Request.SetBody(body)
@@ -42,7 +42,8 @@
 	})
 }
 
-// checkAnswer checks the answer and that an error applied nothing.
+// checkAnswer checks that an answer other than 200 has an error code and that its
+// call wrote nothing.
 func checkAnswer(t *testing.T, server *Server, ctx *fasthttp.RequestCtx) {
 	t.Helper()
 	if ctx.Response.StatusCode() == fasthttp.StatusOK {
@@ -57,8 +58,8 @@
 	}
 }
 
-// FuzzDecodeCommit checks that a commit that decodes is within the limits and
-// means the same when encoded again.
+// FuzzDecodeCommit checks that the operations of every commit that decodes are the
+// same, and pass the same limits, after they are encoded and decoded again.
 func FuzzDecodeCommit(f *testing.F) {
 	f.Add([]byte(`{"ops":[{"kind":"insert","table":"t","key":"k","value":"eA=="}]}`))
 	f.Add([]byte(`{"ops":[{"kind":"delete","table":"t","key":"\ud800","revision":18446744073709551615}]}`))
--- a/standin/platform/handle.go
+++ b/standin/platform/handle.go
@@ -10,62 +10,63 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// handle serves one call: first the faults that come before it is applied, then
-// the call, then the faults that come after. closing ends every wait.
+// handle serves one call: it injects the faults that come before the call, applies
+// the call, and injects the faults that come after. closing ends every wait.
 func (s *Server) handle(ctx *fasthttp.RequestCtx, closing <-chan struct{}) {
-	if s.control(ctx) {
+	if s.serveControl(ctx) {
 		return
 	}
-	if !s.passOutage(ctx, closing) {
+	if !s.applyOutage(ctx, closing) {
 		return
 	}
 	faults, _ := s.faults.get()
-	if !pause(faults.DelayMillis, closing) {
-		drop(ctx)
+	if !sleep(faults.DelayMillis, closing) {
+		cutConnection(ctx)
 		return
 	}
-	if s.read(ctx) {
-		pause(faults.ReplyDelayMillis, closing)
+	if s.serveRead(ctx) {
+		sleep(faults.ReplyDelayMillis, closing)
 		return
 	}
-	s.write(ctx, closing)
+	s.serveWrite(ctx, closing)
 }
 
-// passOutage holds, refuses or drops the call while there is an outage, and
-// says whether the call goes on.
-func (s *Server) passOutage(ctx *fasthttp.RequestCtx, closing <-chan struct{}) bool {
+// applyOutage holds or refuses the call, or closes its connection, while there is an
+// outage. It reports whether the call is to be served.
+func (s *Server) applyOutage(ctx *fasthttp.RequestCtx, closing <-chan struct{}) bool {
 	held := OutageNone
 	for {
 		faults, changed := s.faults.get()
 		switch faults.Outage {
 		case OutageNone:
 			if held == OutageHang {
-				drop(ctx)
+				cutConnection(ctx)
 				return false
 			}
 			return true
 		case OutageRefuse:
-			s.count("outage")
+			s.countFault("outage")
 			replyCode(ctx, fasthttp.StatusServiceUnavailable, store.CodeUnavailable, "outage")
 			return false
 		case OutageDrop:
-			s.count("outage")
-			drop(ctx)
+			s.countFault("outage")
+			cutConnection(ctx)
 			return false
 		}
 		held = faults.Outage
-		if !s.hold(changed, closing) {
-			drop(ctx)
+		if !s.holdCall(changed, closing) {
+			cutConnection(ctx)
 			return false
 		}
 	}
 }
 
-// hold waits until the faults change and says whether the server still runs.
-func (s *Server) hold(changed, closing <-chan struct{}) bool {
-	s.count("outage")
-	s.held.Add(1)
-	defer s.held.Add(-1)
+// holdCall waits until the faults change. It reports false if the server closes
+// first.
+func (s *Server) holdCall(changed, closing <-chan struct{}) bool {
+	s.countFault("outage")
+	s.heldCalls.Add(1)
+	defer s.heldCalls.Add(-1)
 	select {
 	case <-changed:
 		return true
@@ -74,18 +75,18 @@
 	}
 }
 
-// Held counts the calls that an outage holds now.
-func (s *Server) Held() int { return int(s.held.Load()) }
+// HeldCalls returns the number of calls that an outage holds at present.
+func (s *Server) Held() int { return int(s.heldCalls.Load()) }
 
-// read serves a read and says whether the call was one.
-func (s *Server) read(ctx *fasthttp.RequestCtx) bool {
-	serve := s.reader(ctx)
+// serveRead serves a read. It reports false if the call is not a read.
+func (s *Server) serveRead(ctx *fasthttp.RequestCtx) bool {
+	serve := s.readHandler(ctx)
 	if serve == nil {
 		return false
 	}
 	s.countCall(ctx)
 	if !s.faults.allowRead() {
-		s.count("rate_limited")
+		s.countFault("rate_limited")
 		replyCode(ctx, fasthttp.StatusTooManyRequests, store.CodeRateLimited, "too many reads")
 		return true
 	}
@@ -93,7 +94,7 @@
 	return true
 }
 
-func (s *Server) reader(ctx *fasthttp.RequestCtx) func(*fasthttp.RequestCtx) {
+func (s *Server) readHandler(ctx *fasthttp.RequestCtx) func(*fasthttp.RequestCtx) {
 	if !ctx.IsGet() {
 		return nil
 	}
@@ -113,9 +114,9 @@
 	}
 }
 
-// write serves a write. If it took effect, its reply may be lost.
-func (s *Server) write(ctx *fasthttp.RequestCtx, closing <-chan struct{}) {
-	apply, rows, err := s.writer(ctx)
+// serveWrite serves a write. A fault may lose the reply after the write is applied.
+func (s *Server) serveWrite(ctx *fasthttp.RequestCtx, closing <-chan struct{}) {
+	apply, rows, err := s.writeHandler(ctx)
 	if err != nil {
 		replyError(ctx, err)
 		return
@@ -124,53 +125,56 @@
 	if s.refuseWrite(ctx, rows) {
 		return
 	}
-	done, err := apply()
+	written, err := apply()
 	if err != nil {
 		replyError(ctx, err)
-	} else if s.faults.loseReply(done.tables) {
-		s.count("reply_lost")
-		s.journal.markLost(done.revision)
-		drop(ctx)
+	} else if s.faults.loseReply(written.tables) {
+		s.countFault("reply_lost")
+		s.journal.markReplyLost(written.revision)
+		cutConnection(ctx)
 		return
 	}
 	faults, _ := s.faults.get()
-	pause(faults.ReplyDelayMillis, closing)
+	sleep(faults.ReplyDelayMillis, closing)
 }
 
-// writer returns what applies the write, and how many rows it writes.
-func (s *Server) writer(ctx *fasthttp.RequestCtx) (apply func() (write, error), rows int, err error) {
+// writeHandler returns the function that applies the write, and how many rows the
+// write has for the rate limit.
+func (s *Server) writeHandler(ctx *fasthttp.RequestCtx) (apply func() (writeResult, error), rows int, err error) {
 	switch method, path := string(ctx.Method()), string(ctx.Path()); {
 	case method == fasthttp.MethodPost && path == store.PathCommit:
 		ops, err := decodeCommit(ctx.PostBody())
-		return func() (write, error) { return s.commit(ctx, ops) }, len(ops), err
+		return func() (writeResult, error) { return s.commit(ctx, ops) }, len(ops), err
 	case method == fasthttp.MethodPut && path == store.PathObjects:
-		return func() (write, error) { return s.putObject(ctx) }, 1, nil
+		return func() (writeResult, error) { return s.putObject(ctx) }, 1, nil
 	case method == fasthttp.MethodPost && path == store.PathWeightsFetch:
-		return func() (write, error) { return s.requestFetch(ctx) }, 1, nil
+		return func() (writeResult, error) { return s.requestFetch(ctx) }, 1, nil
 	case method == fasthttp.MethodPost && path == store.PathWeightsFinish:
-		return func() (write, error) { return s.finishFetch(ctx) }, 1, nil
+		return func() (writeResult, error) { return s.finishFetch(ctx) }, 1, nil
 	default:
 		return nil, 0, fmt.Errorf("%w: no call %s %s", store.ErrInvalid, method, path)
 	}
 }
 
-// refuseWrite answers a write that the faults in force refuse.
+// refuseWrite refuses a write if the faults in force require it, and reports whether
+// it did.
 func (s *Server) refuseWrite(ctx *fasthttp.RequestCtx, rows int) bool {
 	if faults, _ := s.faults.get(); faults.ReadOnly {
-		s.count("read_only")
+		s.countFault("read_only")
 		replyCode(ctx, fasthttp.StatusServiceUnavailable, store.CodeReadOnly, "read only")
 		return true
 	}
 	if !s.faults.allowWrite(rows) {
-		s.count("rate_limited")
+		s.countFault("rate_limited")
 		replyCode(ctx, fasthttp.StatusTooManyRequests, store.CodeRateLimited, "too many writes")
 		return true
 	}
 	return false
 }
 
-// pause waits and says whether the server still runs at its end.
-func pause(millis int, closing <-chan struct{}) bool {
+// sleep waits for a number of milliseconds. It reports false if the server closes
+// first.
+func sleep(millis int, closing <-chan struct{}) bool {
 	if millis <= 0 {
 		return !isClosed(closing)
 	}
@@ -184,13 +188,14 @@
 	}
 }
 
-// drop cuts the connection without an answer.
-func drop(ctx *fasthttp.RequestCtx) {
+// cutConnection closes the connection without an answer.
+func cutConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {})
 }
 
-func (s *Server) count(fault string) {
+// countFault counts a call that a fault affected.
+func (s *Server) countFault(fault string) {
 	s.metrics.GetOrCreateCounter(fmt.Sprintf(`standin_platform_faults_total{fault=%q}`, fault)).Inc()
 }
 
--- a/standin/platform/journal.go
+++ b/standin/platform/journal.go
@@ -8,36 +8,37 @@
 	"github.com/walnutcove/walnutcove/store/memory"
 )
 
+// defaultMaxJournal is the default of Options.MaxJournal, in entries.
 const defaultMaxJournal = 1 << 20
 
-// Entry is one applied write of the journal.
+// Entry is the journal's record of one written row or object.
 type Entry struct {
-	// Seq numbers the entries from 1 in the order of their application.
+	// Seq numbers the entries from 1 in the order in which they were applied.
 	Seq uint64 `json:"seq"`
-	// AppliedAt is the wall clock; Elapsed is the monotonic time since the
-	// server was made, in nanoseconds.
+	// AppliedAt is the wall clock time of the write. Elapsed is the monotonic time
+	// since the server was created, in nanoseconds.
 	AppliedAt time.Time     `json:"applied_at"`
 	Elapsed   time.Duration `json:"elapsed_ns"`
-	// Kind, Table, Key and Bytes say what was written. Objects stand under
-	// ObjectsTable.
+	// Kind, Table, Key and Bytes describe what was written. Objects have
+	// ObjectsTable as their table.
 	Kind  store.OpKind `json:"kind"`
 	Table string       `json:"table"`
 	Key   string       `json:"key"`
 	Bytes int          `json:"bytes"`
-	// Revision is the same for all entries of one commit.
+	// Revision is the revision of the commit; all its entries have the same one.
 	Revision uint64 `json:"revision"`
-	// ReplyLost says that a fault lost the reply to this write.
+	// ReplyLost is set if a fault lost the reply to this write.
 	ReplyLost bool `json:"reply_lost,omitempty"`
 }
 
-// JournalPage is a part of the journal.
+// JournalPage is a range of the journal's entries.
 type JournalPage struct {
 	Entries []Entry `json:"entries"`
-	// Dropped counts the oldest entries that are no longer kept.
+	// Dropped is the number of oldest entries that are no longer kept.
 	Dropped uint64 `json:"dropped"`
 }
 
-// journal keeps the applied writes in order.
+// journal keeps the latest applied writes in the order of their application.
 type journal struct {
 	max     int
 	started time.Time
@@ -54,7 +55,8 @@
 	return &journal{max: maxEntries, started: time.Now()}
 }
 
-// add appends a change. The store calls it in the order of application.
+// add appends a change. The store calls it in the order in which it applies
+// changes.
 func (j *journal) add(change memory.Change) {
 	now := time.Now()
 	j.mu.Lock()
@@ -74,17 +76,17 @@
 		Revision:  change.Revision,
 	})
 	if len(j.entries) >= 2*j.max {
-		j.drop(len(j.entries) - j.max)
+		j.dropOldest(len(j.entries) - j.max)
 	}
 }
 
-func (j *journal) drop(n int) {
+func (j *journal) dropOldest(n int) {
 	j.entries = append([]Entry(nil), j.entries[n:]...)
 	j.dropped += uint64(n)
 }
 
-// markLost notes that the reply to a commit was lost.
-func (j *journal) markLost(revision uint64) {
+// markReplyLost sets ReplyLost on the entries of a commit.
+func (j *journal) markReplyLost(revision uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for i := len(j.entries) - 1; i >= 0 && j.entries[i].Revision >= revision; i-- {
--- a/standin/platform/main_test.go
+++ b/standin/platform/main_test.go
@@ -6,9 +6,9 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails if a goroutine outlives the tests, but for those of fasthttp
-// that sleep out a fixed time: its clock, and the cleaners of idle workers and
-// connections, which end by themselves.
+// TestMain fails if a goroutine outlives the tests, except for those of fasthttp
+// that sleep for a fixed time and then end by themselves: its clock, and the
+// cleaners of idle workers and connections.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -1,8 +1,8 @@
-// Package platform is a small HTTP stand-in for the platform: the table
-// service, the object store, the weight store and the list of VMs over package
-// platform/memory. Its control endpoints bring about faults; see
-// docs/PLATFORM.md. It is for tests and development only: it keeps nothing and
-// checks no caller.
+// Package platform is a small HTTP stand-in for the platform. It serves the table
+// service, the object store, the weight store and the list of VMs from package
+// store/memory. Its control endpoints inject faults; see docs/PLATFORM.md. It is for
+// tests and development only: it persists nothing and does not authenticate
+// callers.
 package platform
 
 import (
@@ -18,33 +18,34 @@
 	"github.com/walnutcove/walnutcove/store/memory"
 )
 
-// maxRequestBytes bounds a request: one object, or a commit as JSON.
+// maxRequestBytes bounds the body of a request: an object, or a commit as JSON.
 const maxRequestBytes = store.MaxObjectBytes + 1<<20
 
 // Options configure a Server. The zero value is usable.
 type Options struct {
-	// VMs is the first list of VMs.
+	// VMs is the initial list of VMs.
 	VMs []store.VM
 	// Weights configures the weight store.
 	Weights memory.WeightsOptions
-	// Faults are the first faults. Default: none.
+	// Faults are the initial faults. Default: none.
 	Faults Faults
-	// MaxJournal bounds the journal; older entries are dropped. Default 1<<20.
+	// MaxJournal is how many journal entries are kept at least; older ones are
+	// dropped. Default 1<<20.
 	MaxJournal int
 }
 
-// Server is the stand-in. Make it with New, then Start it.
+// Server is the stand-in. Create it with New, then call Start.
 type Server struct {
-	store   *memory.Store
-	weights *memory.Weights
-	faults  *faultState
-	journal *journal
-	metrics *metrics.Set
-	held    atomic.Int32
-	invalid error // what is wrong with the options
-
-	mu      sync.Mutex
-	running *listening // nil unless started
+	store      *memory.Store
+	weights    *memory.Weights
+	faults     *faultState
+	journal    *journal
+	metrics    *metrics.Set
+	heldCalls  atomic.Int32
+	optionsErr error // from New, returned by Start
+
+	mu     sync.Mutex
+	active *listeningServer // nil unless started
 }
 
 // New returns a server that is not yet listening.
@@ -58,81 +59,83 @@
 		metrics: metrics.NewSet(),
 	}
 	s.store.SetVMs(options.VMs)
-	s.invalid = s.SetFaults(options.Faults)
+	s.optionsErr = s.SetFaults(options.Faults)
 	return s
 }
 
-// Store returns the store behind the server, for checks in tests. Faults do
-// not touch its calls.
+// Store returns the store behind the server, for checks in tests. Faults do not
+// affect direct calls to it.
 func (s *Server) Store() *memory.Store { return s.store }
 
 // Start listens on addr ("ip:port"; port 0 picks a free one) and returns the
-// address that it listens on. A closed server may be started again: it has
-// kept its rows, as a restarted platform would.
+// address that it listens on. A closed server can be started again; it keeps its
+// rows, as a restarted platform would.
 func (s *Server) Start(addr string) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.invalid != nil {
-		return "", s.invalid
+	if s.optionsErr != nil {
+		return "", s.optionsErr
 	}
-	if s.running != nil {
+	if s.active != nil {
 		return "", fmt.Errorf("standin platform: already listening")
 	}
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", fmt.Errorf("standin platform: %w", err)
 	}
-	s.running = newListening(listener, s.handle)
+	s.active = newListeningServer(listener, s.handle)
 	return listener.Addr().String(), nil
 }
 
-// Close stops listening and cuts every connection: calls in flight lose their
-// replies, and held ones are dropped. New connections are refused.
+// Close stops listening and closes every connection: calls in flight lose their
+// replies, and held calls are not applied. New connections are refused.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.running == nil {
+	if s.active == nil {
 		return nil
 	}
-	err := s.running.close()
-	s.running = nil
+	err := s.active.close()
+	s.active = nil
 	return err
 }
 
-// listening is one run of the server between Start and Close.
-type listening struct {
-	http    *fasthttp.Server
-	socket  net.Listener
-	served  chan struct{} // closed when Serve has returned
-	closing chan struct{} // closed when Close begins
+// listeningServer is an HTTP server between its start and its close, with its open
+// connections.
+type listeningServer struct {
+	http      *fasthttp.Server
+	listener  net.Listener
+	serveDone chan struct{} // closed when Serve has returned
+	closing   chan struct{} // closed when Close begins
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-func newListening(listener net.Listener, handle func(*fasthttp.RequestCtx, <-chan struct{})) *listening {
-	l := &listening{
-		socket:  listener,
-		served:  make(chan struct{}),
-		closing: make(chan struct{}),
-		conns:   make(map[net.Conn]struct{}),
+func newListeningServer(listener net.Listener, handle func(*fasthttp.RequestCtx, <-chan struct{})) *listeningServer {
+	l := &listeningServer{
+		listener:  listener,
+		serveDone: make(chan struct{}),
+		closing:   make(chan struct{}),
+		conns:     make(map[net.Conn]struct{}),
 	}
 	l.http = &fasthttp.Server{
 		Handler:               func(ctx *fasthttp.RequestCtx) { handle(ctx, l.closing) },
 		MaxRequestBodySize:    maxRequestBytes,
 		NoDefaultServerHeader: true,
 		ConnState:             l.connState,
-		Logger:                quietLogger{},
+		Logger:                discardLogger{},
 	}
 	go func() {
-		defer close(l.served)
+		defer close(l.serveDone)
 		_ = l.http.Serve(listener)
 	}()
 	return l
 }
 
-// connState keeps track of the open connections.
-func (l *listening) connState(conn net.Conn, state fasthttp.ConnState) {
+// connState implements fasthttp.Server.ConnState: it tracks the open connections,
+// and closes those that are accepted after the close began.
+func (l *listeningServer) connState(conn net.Conn, state fasthttp.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch state {
@@ -146,16 +149,16 @@
 	}
 }
 
-func (l *listening) close() error {
+func (l *listeningServer) close() error {
 	l.mu.Lock()
 	close(l.closing)
 	for conn := range l.conns {
 		_ = conn.Close()
 	}
 	l.mu.Unlock()
-	err := l.socket.Close() // Shutdown does not close it before Serve has begun
+	err := l.listener.Close() // Shutdown does not close it before Serve has begun
 	_ = l.http.Shutdown()
-	<-l.served
+	<-l.serveDone
 	return err
 }
 
@@ -168,7 +171,8 @@
 	}
 }
 
-// quietLogger drops the messages that clients cause by closing connections.
-type quietLogger struct{}
+// discardLogger drops fasthttp's log messages, which clients cause by closing
+// connections.
+type discardLogger struct{}
 
-func (quietLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/standin/platform/server_test.go
+++ b/standin/platform/server_test.go
@@ -18,7 +18,7 @@
 	"github.com/walnutcove/walnutcove/store/memory"
 )
 
-// startServer runs a stand-in and a client for the length of the test.
+// startServer runs a stand-in and a client until the test ends.
 func startServer(t *testing.T, options Options) (*Server, *store.Client, string) {
 	t.Helper()
 	server := New(options)
@@ -36,8 +36,8 @@
 	return server, client, addr
 }
 
-// TestTable runs one script against the in-memory table and against the same
-// table over HTTP.
+// TestTable runs one script against the in-memory table, and against the table over
+// HTTP, to check that both behave alike.
 func TestTable(t *testing.T) {
 	t.Run("memory", func(t *testing.T) {
 		runTableScript(t, memory.New(memory.Options{}))
@@ -77,7 +77,7 @@
 	})
 }
 
-// parseOps reads one operation a line: kind table key revision value.
+// parseOps parses one operation per line: kind table key revision value.
 func parseOps(t *testing.T, input string) []store.Op {
 	t.Helper()
 	var ops []store.Op
@@ -109,8 +109,8 @@
 	return text
 }
 
-// TestHeldCalls checks what becomes of calls held by an outage: a hang never
-// applies them, a freeze applies them late.
+// TestHeldCalls checks what happens to calls that an outage holds: after a hang they
+// are never applied, after a freeze they are applied late.
 func TestHeldCalls(t *testing.T) {
 	for outage, want := range map[Outage]int{OutageHang: 0, OutageFreeze: 1} {
 		t.Run(string(outage), func(t *testing.T) {
@@ -136,16 +136,16 @@
 	}
 }
 
-func eventually(t *testing.T, holds func() bool) {
+func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("condition never held")
+			t.Fatal("the condition was not met in time")
 		}
 	}
 }
 
-// request makes a control call and decodes its answer.
+// request sends a control call, decodes its answer and returns the status.
 func request(t *testing.T, method, url, body string, answer any) int {
 	t.Helper()
 	request, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -202,7 +202,7 @@
 	}
 }
 
-func TestVMLag(t *testing.T) {
+func TestVMListLag(t *testing.T) {
 	_, client, addr := startServer(t, Options{VMs: []store.VM{{Name: "old"}}, Faults: Faults{VMLagMillis: 1}})
 	names := func() string {
 		vms, err := client.ListVMs(context.Background())
@@ -221,7 +221,7 @@
 	var reply store.VMsReply
 	request(t, "POST", "http://"+addr+pathVMs, `{"vms":[{"name":"new","state":"leaving"}]}`, &reply)
 	if got := names(); got != "" {
-		t.Fatalf("list of an hour ago is %q", got)
+		t.Fatalf("the list of an hour ago is %q, want none", got)
 	}
 	request(t, "POST", "http://"+addr+pathFault, `{"vm_lag_ms":0}`, &faults)
 	if got := names(); got != "new" {
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestJournalDrops(t *testing.T) {
+func TestJournalDropsOldestEntries(t *testing.T) {
 	server := New(Options{MaxJournal: 2})
 	for i := range 5 {
 		ops := []store.Op{{Kind: store.OpInsert, Table: "t", Key: fmt.Sprint(i)}}
--- a/standin/platform/views.go
+++ b/standin/platform/views.go
@@ -12,66 +12,66 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// pathView shows (GET) or replaces (POST) the peer addresses of a view.
+// pathView is the path to read (GET) or replace (POST) the peer addresses of a view.
 const pathView = "/_view"
 
-// View serves the same platform on an address of its own, with its own peer
-// addresses in the list of VMs. A test that gives each router a view can put a
-// proxy between every pair of routers and so cut one from another.
+// View serves the same platform at another address, with its own peer addresses in
+// the list of VMs. A test that gives each router a view can put a proxy between every
+// pair of routers, and so cut the connection between any two.
 type View struct {
-	server    *Server
-	listening *listening
-	address   string
+	platform *Server
+	server   *listeningServer
+	address  string
 
-	mu        sync.Mutex
-	addresses map[string]string
+	mu            sync.Mutex
+	peerAddresses map[string]string
 }
 
-// StartView listens on addr ("ip:port"; port 0 picks a free one).
+// StartView starts a view that listens on addr ("ip:port"; port 0 picks a free one).
 func (s *Server) StartView(addr string) (*View, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("standin platform: view: %w", err)
 	}
-	v := &View{server: s, address: listener.Addr().String()}
-	v.listening = newListening(listener, v.handle)
+	v := &View{platform: s, address: listener.Addr().String()}
+	v.server = newListeningServer(listener, v.handle)
 	return v, nil
 }
 
-// Address is where the view listens.
+// Address returns the address that the view listens on.
 func (v *View) Address() string { return v.address }
 
-// SetPeerAddresses replaces the peer addresses that readers of this view get,
-// by name of VM. Other VMs keep theirs.
+// SetPeerAddresses replaces the peer addresses that readers of this view get, keyed
+// by the VM's name. VMs without an entry keep their own address.
 func (v *View) SetPeerAddresses(addresses map[string]string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.addresses = maps.Clone(addresses)
+	v.peerAddresses = maps.Clone(addresses)
 }
 
 // Close stops the view.
-func (v *View) Close() error { return v.listening.close() }
+func (v *View) Close() error { return v.server.close() }
 
 func (v *View) handle(ctx *fasthttp.RequestCtx, closing <-chan struct{}) {
 	path := string(ctx.Path())
 	if path == pathView {
-		v.control(ctx)
+		v.serveControl(ctx)
 		return
 	}
 	if path != store.PathVMs || !ctx.IsGet() {
-		v.server.handle(ctx, closing)
+		v.platform.handle(ctx, closing)
 		return
 	}
-	known := string(ctx.Request.Header.Peek(fasthttp.HeaderIfNoneMatch))
-	ctx.Request.Header.Del(fasthttp.HeaderIfNoneMatch) // it is of the rewritten list
-	v.server.handle(ctx, closing)
+	callerTag := string(ctx.Request.Header.Peek(fasthttp.HeaderIfNoneMatch))
+	ctx.Request.Header.Del(fasthttp.HeaderIfNoneMatch) // it is the tag of a rewritten list
+	v.platform.handle(ctx, closing)
 	if ctx.Response.StatusCode() == fasthttp.StatusOK {
-		ctx.Request.Header.Set(fasthttp.HeaderIfNoneMatch, known)
-		v.rewrite(ctx)
+		ctx.Request.Header.Set(fasthttp.HeaderIfNoneMatch, callerTag)
+		v.rewriteVMs(ctx)
 	}
 }
 
-func (v *View) control(ctx *fasthttp.RequestCtx) {
+func (v *View) serveControl(ctx *fasthttp.RequestCtx) {
 	if ctx.IsPost() {
 		var addresses map[string]string
 		if err := decode(ctx.PostBody(), &addresses); err != nil {
@@ -82,12 +82,12 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	reply(ctx, v.addresses)
+	reply(ctx, v.peerAddresses)
 }
 
-// rewrite puts the view's peer addresses into an answered list of VMs. A call
-// whose connection a fault has cut has no list to rewrite.
-func (v *View) rewrite(ctx *fasthttp.RequestCtx) {
+// rewriteVMs puts the view's peer addresses into the answered list of VMs. There is
+// no list if a fault has closed the call's connection.
+func (v *View) rewriteVMs(ctx *fasthttp.RequestCtx) {
 	var list store.VMsReply
 	if err := json.Unmarshal(ctx.Response.Body(), &list); err != nil {
 		return
@@ -95,7 +95,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for i, vm := range list.VMs {
-		if address, ok := v.addresses[vm.Name]; ok {
+		if address, ok := v.peerAddresses[vm.Name]; ok {
 			list.VMs[i].PeerAddress = address
 		}
 	}
