--- a/standin/managed/caller.go
+++ b/standin/managed/caller.go
@@ -13,70 +13,73 @@
 	"github.com/walnutcove/walnutcove/platform/wire"
 )
 
-// idleConns is how many unused connections a caller keeps to each router.
-const idleConns = 64
+// maxIdleConnsPerRouter is how many idle connections a caller keeps to each router.
+const maxIdleConnsPerRouter = 64
 
-// Answer is what a caller got.
+// Answer is what a caller received in answer to a request.
 type Answer struct {
 	// ID is the request's id.
 	ID string
-	// Status is zero if no answer came.
+	// Status is the HTTP status; zero if no answer arrived.
 	Status int
 	Body   string
-	// Whole says that the answer ended as it was framed.
+	// Complete is set if the body was read to its end without an error.
 	Whole  bool
 	Header http.Header
 }
 
-// Caller sends requests to routers as the platform's callers do: each once, on
-// connections that it keeps. It is safe for concurrent use.
+// Caller sends requests to routers as the platform's callers do: it sends each
+// request once, on connections that it reuses. It is safe for concurrent use.
 type Caller struct {
-	// Deadline is what its requests tell of their deadline.
-	Deadline time.Duration
-	name     string
-	client   *http.Client
-	sent     atomic.Uint64
+	// Deadline is the time that requests allow for their answer, which they send as
+	// a header.
+	Deadline   time.Duration
+	name       string
+	client     *http.Client
+	lastNumber atomic.Uint64
 }
 
-// NewCaller returns a caller whose requests' ids begin with name.
+// NewCaller returns a caller whose request ids begin with name.
 func NewCaller(name string, deadline time.Duration) *Caller {
 	return &Caller{
 		Deadline: deadline,
 		name:     name,
-		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConns}},
+		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerRouter}},
 	}
 }
 
-// Close closes the unused connections.
+// Close closes the idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// Send sends a request to a router's "ip:port" and reads its answer until ctx ends.
-func (c *Caller) Send(ctx context.Context, router, path, key string) Answer {
-	number := c.sent.Add(1)
-	got := Answer{ID: fmt.Sprintf("%s-%d", c.name, number)}
+// Send sends a request to a router's "ip:port" and reads the answer until it ends or
+// ctx does.
+func (c *Caller) Send(ctx context.Context, router, path, apiKey string) Answer {
+	number := c.lastNumber.Add(1)
+	answer := Answer{ID: fmt.Sprintf("%s-%d", c.name, number)}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router+path, strings.NewReader("body"))
 	if err != nil {
-		panic(err) // the method is valid, and addresses and paths are made here
+		panic(err) // the method is valid, and tests pass valid addresses and paths
 	}
 	request.Host = DemoHost
-	request.Header.Set(wire.HeaderRequestID, got.ID)
-	request.Header.Set(wire.HeaderKey, key)
+	request.Header.Set(wire.HeaderRequestID, answer.ID)
+	request.Header.Set(wire.HeaderKey, apiKey)
 	request.Header.Set(wire.HeaderDeadline, strconv.FormatInt(c.Deadline.Milliseconds(), 10))
 	request.Header.Set(wire.HeaderTokens, "100,50")
-	// Some requests share their first part, and with it the replica that keeps it.
-	request.Header.Set(wire.HeaderParts, fmt.Sprintf("%x:80,%s:20", len(got.ID)*100+int(got.ID[len(got.ID)-1]), "ff"))
+	// Some requests have the same first part of their prompt, which makes routers
+	// prefer the replica that keeps it.
+	request.Header.Set(wire.HeaderParts, fmt.Sprintf("%x:80,%s:20", len(answer.ID)*100+int(answer.ID[len(answer.ID)-1]), "ff"))
 	response, err := c.client.Do(request)
 	if err != nil {
-		return got
+		return answer
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	got.Status, got.Body, got.Whole, got.Header = response.StatusCode, string(body), err == nil, response.Header
-	return got
+	answer.Status, answer.Body, answer.Whole, answer.Header = response.StatusCode, string(body), err == nil, response.Header
+	return answer
 }
 
-// WholeStream is the body of a stream of so many events that lacks nothing and has
-// nothing twice.
+// ExpectedStream returns the body of a complete stream: each of its events once, in
+// order.
 func WholeStream(id string, events int) string {
 	var b strings.Builder
 	for n := 1; n <= events; n++ {
@@ -85,5 +88,5 @@
 	return b.String()
 }
 
-// WholeAnswer is the body of an answer that is no stream.
+// ExpectedAnswer returns the body of a complete answer that is not a stream.
 func WholeAnswer(id string) string { return "done " + id }
--- a/standin/managed/demo.go
+++ b/standin/managed/demo.go
@@ -2,23 +2,24 @@
 
 import "github.com/walnutcove/walnutcove/platform/wire"
 
-// What Demo configures.
+// Names and values in the configuration that DemoConfig returns.
 const (
 	DemoHost      = "hooks.example"
 	DemoKey       = "key-of-bakery"
 	DemoWorkspace = "bakery"
-	// DemoService and DemoEngine are the services' names.
+	// DemoService and DemoEngine are the names of the plain service and the engine.
 	DemoService = "ops"
 	DemoEngine  = "gen"
-	// The prefixes of routes that are non-idempotent, idempotent and streams.
+	// Path prefixes of the routes: of a non-idempotent one, of an idempotent one
+	// and of one for streams.
 	DemoOncePrefix   = "/ops/"
 	DemoSafePrefix   = "/safe/"
 	DemoStreamPrefix = "/gen/"
 )
 
-// Demo is a small configuration: a plain service behind a route that may be
-// repeated and one that may not, and an engine behind a route of streams that go on
-// elsewhere.
+// DemoConfig returns a small configuration: a plain service behind an idempotent and
+// a non-idempotent route, and an engine behind a route for streams that can be
+// resumed on another replica.
 func Demo(version uint64) wire.Config {
 	route := func(name, prefix, kind, service string) wire.Route {
 		return wire.Route{
--- a/standin/managed/journal.go
+++ b/standin/managed/journal.go
@@ -9,44 +9,48 @@
 	"github.com/walnutcove/walnutcove/targets/connstate"
 )
 
-// Run is one request that a replica began to work on.
+// Run is one request that a replica ran.
 type Run struct {
-	// ID is the request's id, and Replica the incarnation that ran it.
+	// ID is the request's id, Replica the id of the replica that ran it.
 	ID, Replica string
-	// Workspace and AfterEvent are what the replica was told.
+	// Workspace and AfterEvent are the values of the request's headers.
 	Workspace, AfterEvent string
-	// Leaving says that the replica had told that it leaves, Left ago.
+	// LeavingFor is how long before the run the replica announced that it is
+	// leaving; zero if it did not.
 	Left time.Duration
 	// StartedAt is when the replica began the run.
 	StartedAt time.Time
-	// Cancelled is set if the connection closed before the answer was whole.
+	// Cancelled is set if the connection closed before the answer was complete.
 	Cancelled bool
 }
 
-// Arrival is one request that reached the replica that it named, whether it ran or not.
+// Arrival is one request that reached the replica that it was addressed to, whether
+// it ran or not.
 type Arrival struct {
-	// ID is the request's id, and Replica the incarnation that it reached.
+	// ID is the request's id, Replica the id of the replica that it reached.
 	ID, Replica string
 	At          time.Time
-	// Refused says that the replica did not run it, and RetryAfter what it asked for then.
+	// Refused is set if the replica did not run the request. RetryAfter is the delay
+	// that the refusal asked for.
 	Refused    bool
 	RetryAfter time.Duration
 }
 
-// Journal notes the arrivals and runs of all replicas. It is safe for concurrent use.
+// Journal records the arrivals and runs at all replicas. It is safe for concurrent
+// use.
 type Journal struct {
 	mu       sync.Mutex
 	runs     []*Run
 	arrivals []Arrival
 }
 
-func (j *Journal) arrived(arrival Arrival) {
+func (j *Journal) addArrival(arrival Arrival) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.arrivals = append(j.arrivals, arrival)
 }
 
-// Arrivals returns what reached a replica, in order.
+// Arrivals returns the requests that reached a replica, in order.
 func (j *Journal) Arrivals(replica string) []Arrival {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -59,21 +63,22 @@
 	return found
 }
 
-func (j *Journal) add(run *Run) {
+func (j *Journal) addRun(run *Run) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.runs = append(j.runs, run)
 }
 
-// noteEnd notes whether the connection of a run that ends was closed meanwhile.
-func (j *Journal) noteEnd(run *Run, conn net.Conn) {
-	closed := errors.Is(connstate.NewChecker(conn).Check(), connstate.ErrClosed)
+// recordEnd records, at the end of a run, whether the caller has closed the
+// connection.
+func (j *Journal) recordEnd(run *Run, conn net.Conn) {
+	cancelled := errors.Is(connstate.NewChecker(conn).Check(), connstate.ErrClosed)
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	run.Cancelled = closed
+	run.Cancelled = cancelled
 }
 
-// Runs returns the runs of a request; of all, if id is empty.
+// Runs returns the runs of a request, or of all requests if id is empty.
 func (j *Journal) Runs(id string) []Run {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/standin/managed/replica.go
+++ b/standin/managed/replica.go
@@ -20,72 +20,79 @@
 
 // ReplicaOptions configure a replica.
 type ReplicaOptions struct {
-	// ID and Service name it.
+	// ID is the replica's id, Service the name of the service that it belongs to.
 	ID, Service string
-	// Zone is the zone that it registers; empty: DefaultZone.
+	// Zone is the zone that the replica registers. Default: DefaultZone.
 	Zone string
 	// ColdTime is how long after its start the replica reports itself as cold.
 	ColdTime time.Duration
-	// Slots is how many requests run at once; more are refused.
+	// Slots is how many requests run at once; further ones are refused.
 	Slots int
-	// Events is how many events a stream has, and Pause the time between two. Zero
-	// events: answers are whole, after Pause.
+	// Events is the number of events of a stream, and Pause the time before each.
+	// If Events is zero, answers are not streams but sent at once, after Pause.
 	Events int
 	Pause  time.Duration
-	// Advertise returns the address to register, given the one that the replica
-	// listens on; nil: that one.
+	// Advertise, if set, returns the address to register, given the one that the
+	// replica listens on. Default: the replica registers the latter.
 	Advertise func(listens string) (string, error)
 	ReplicaFaults
 }
 
-// ReplicaFaults are what a replica does wrong.
+// ReplicaFaults are the faults that a replica injects. The zero value injects none.
 type ReplicaFaults struct {
-	// LoseAnswers closes the connection in place of each whole answer, after the run.
+	// LoseAnswers runs requests but closes the connection instead of sending the
+	// answer. Streams are not affected.
 	LoseAnswers bool
-	// Unsealed sends answers without a seal.
+	// Unsealed omits the header wire.HeaderSeal from answers.
 	Unsealed bool
-	// BreakAfter breaks each connection off after so many events of a stream that
-	// begins at its first event, in the middle of the next one; zero: never.
+	// BreakAfterEvents closes the connection of a stream after this many events, in
+	// the middle of the next one. It affects streams from their first event on, not
+	// resumed ones. Zero means never.
 	BreakAfter int
-	// Refuse refuses every request as not run, and RefuseEvery one in so many; zero: none.
+	// Refuse refuses every request without running it. RefuseEvery refuses one in
+	// this many requests; zero means none.
 	Refuse      bool
 	RefuseEvery int
-	// RetryAfter is what refusals ask for; zero: nothing.
+	// RetryAfter is the delay that refusals ask for. Zero means that they ask for
+	// none.
 	RetryAfter time.Duration
-	// Slower is added to each pause.
+	// ExtraPause is added to each ReplicaOptions.Pause.
 	Slower time.Duration
-	// HangsMidway is how long a whole answer stops after its head and half of its body.
+	// MidAnswerPause is how long an answer that is not a stream pauses after its
+	// header and half of its body.
 	HangsMidway time.Duration
 }
 
-// DefaultZone is the zone of replicas whose options name none.
+// DefaultZone is the zone of replicas whose options do not set one.
 const DefaultZone = "dc"
 
-// Replica answers requests. Create it with StartReplica.
+// Replica is a stand-in for a replica of a service. Create it with StartReplica.
 type Replica struct {
 	options  ReplicaOptions
 	journal  *Journal
 	store    *Store
 	listener net.Listener
-	// address is what it registers.
+	// address is the address that it registers.
 	address string
-	// startedAt is told as what tells this start from others under the same id.
+	// startedAt is registered too, to distinguish this start from others under the
+	// same id.
 	startedAt time.Time
 	http      *fasthttp.Server
 
-	mu      sync.Mutex
-	faults  ReplicaFaults
-	running int
-	leftAt  time.Time
-	// saysLeaving has its answers say that it leaves.
-	saysLeaving bool
-	// asked counts the requests, for RefuseEvery.
-	asked int
-	// kept are the parts that it ran, as callers name them.
-	kept []string
+	mu           sync.Mutex
+	faults       ReplicaFaults
+	running      int
+	leavingSince time.Time
+	// announcesLeaving adds the header wire.HeaderLeaving to its answers.
+	announcesLeaving bool
+	// requests counts the requests received, for RefuseEvery.
+	requests int
+	// keptParts are the prompt parts of the requests that it ran, in the form
+	// "id:tokens" that callers send.
+	keptParts []string
 }
 
-// StartReplica starts a replica on loopback and registers it in the store.
+// StartReplica starts a replica on loopback and registers it in the store as ready.
 func StartReplica(store *Store, journal *Journal, options ReplicaOptions) (*Replica, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -106,17 +113,18 @@
 			return nil, err
 		}
 	}
-	r.http = &fasthttp.Server{Handler: r.serve, NoDefaultServerHeader: true, Logger: silent{}}
+	r.http = &fasthttp.Server{Handler: r.serve, NoDefaultServerHeader: true, Logger: discardLogger{}}
 	go func() { _ = r.http.Serve(listener) }() // ends with Close
 	r.register(wire.StateReady)
 	return r, nil
 }
 
-// silent drops what the server says of broken connections: tests break them.
-type silent struct{}
+// discardLogger drops fasthttp's log messages about broken connections, because
+// tests break connections on purpose.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 func (r *Replica) register(state string) {
 	r.store.Put(wire.TableReplicas, r.options.ID, wire.Replica{
@@ -131,49 +139,50 @@
 	})
 }
 
-// SetFaults replaces what the replica does wrong.
+// SetFaults replaces the faults that the replica injects.
 func (r *Replica) SetFaults(faults ReplicaFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = faults
 }
 
-// doesWrong returns what the replica does wrong now.
-func (r *Replica) doesWrong() ReplicaFaults {
+// currentFaults returns the faults that the replica injects at present.
+func (r *Replica) currentFaults() ReplicaFaults {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.faults
 }
 
-// Leave tells that the replica leaves, in its entry and in its answers. It goes on serving.
+// StartLeaving announces, in the replica's entry and in its answers, that the replica
+// is leaving. It continues to serve requests.
 func (r *Replica) Leave() {
 	r.mu.Lock()
-	r.leftAt = time.Now()
-	r.saysLeaving = true
+	r.leavingSince = time.Now()
+	r.announcesLeaving = true
 	r.mu.Unlock()
 	r.register(wire.StateDraining)
 }
 
-// SayLeaving has the replica's answers say that it leaves. Its entry stays as it is, as while
-// the store takes no writes.
+// AnnounceLeaving announces only in answers that the replica is leaving. Its entry
+// stays unchanged, as happens while the store accepts no writes.
 func (r *Replica) SayLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.saysLeaving = true
+	r.announcesLeaving = true
 }
 
-// isLeaving says whether its answers say that it leaves.
+// isLeaving reports whether answers announce that the replica is leaving.
 func (r *Replica) isLeaving() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.saysLeaving
+	return r.announcesLeaving
 }
 
-// Renew writes the replica's entry again, as replicas do all the time.
+// Renew writes the replica's entry again, as replicas do periodically.
 func (r *Replica) Renew() {
 	r.mu.Lock()
 	state := wire.StateReady
-	if !r.leftAt.IsZero() {
+	if !r.leavingSince.IsZero() {
 		state = wire.StateDraining
 	}
 	r.mu.Unlock()
@@ -183,43 +192,43 @@
 // ID returns the id that the replica registers under.
 func (r *Replica) ID() string { return r.options.ID }
 
-// Close ends the replica and takes it off the list.
+// Close stops the replica and removes its entry from the store.
 func (r *Replica) Close() {
 	r.store.Drop(wire.TableReplicas, r.options.ID)
 	_ = r.listener.Close()
 }
 
-// serveKept answers the calls that tell what the replica keeps: the parts of the
-// prompts that it ran, in the order in which they came.
-func (r *Replica) serveKept(ctx *fasthttp.RequestCtx) {
-	list := string(ctx.Path()) == wire.PathKeptList
+// serveKeptParts answers the calls that list what the replica keeps in its cache:
+// the prompt parts that it ran, in the order in which they arrived.
+func (r *Replica) serveKeptParts(ctx *fasthttp.RequestCtx) {
+	isList := string(ctx.Path()) == wire.PathKeptList
 	after := ctx.QueryArgs().GetUintOrZero(wire.ParamKeptAfter)
-	if !list {
-		wait, _ := strconv.Atoi(string(ctx.Request.Header.Peek(wire.HeaderWait))) // none: no wait
+	if !isList {
+		wait, _ := strconv.Atoi(string(ctx.Request.Header.Peek(wire.HeaderWait))) // zero if the header is absent
 		time.Sleep(time.Duration(wait) * time.Millisecond)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	answer := wire.Kept{Epoch: json.RawMessage("1"), Next: uint64(len(r.kept))}
-	for n, part := range r.kept {
+	answer := wire.Kept{Epoch: json.RawMessage("1"), Next: uint64(len(r.keptParts))}
+	for number, part := range r.keptParts {
 		id, tokens, _ := strings.Cut(part, ":")
 		entry := []string{"\"\"", strconv.Quote(id), tokens, "\"m\""}
 		switch {
-		case list:
-			answer.Held = append(answer.Held, rawEntry(entry))
-		case n >= after:
-			answer.Changes = append(answer.Changes, rawEntry(append([]string{strconv.Itoa(n), "\"+\""}, entry...)))
+		case isList:
+			answer.Held = append(answer.Held, jsonEntry(entry))
+		case number >= after:
+			answer.Changes = append(answer.Changes, jsonEntry(append([]string{strconv.Itoa(number), "\"+\""}, entry...)))
 		}
 	}
 	encoded, err := json.Marshal(answer)
 	if err != nil {
-		panic(err) // the entries are made here
+		panic(err) // the entries are valid JSON, as they are made above
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBody(encoded)
 }
 
-func rawEntry(values []string) []json.RawMessage {
+func jsonEntry(values []string) []json.RawMessage {
 	entry := make([]json.RawMessage, 0, len(values))
 	for _, value := range values {
 		entry = append(entry, json.RawMessage(value))
@@ -227,13 +236,13 @@
 	return entry
 }
 
-// keep notes the parts of a prompt.
-func (r *Replica) keep(parts string) {
+// keepParts adds the parts of a prompt to keptParts.
+func (r *Replica) keepParts(parts string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for part := range strings.SplitSeq(parts, ",") {
-		if strings.Contains(part, ":") && !slices.Contains(r.kept, part) {
-			r.kept = append(r.kept, part)
+		if strings.Contains(part, ":") && !slices.Contains(r.keptParts, part) {
+			r.keptParts = append(r.keptParts, part)
 		}
 	}
 }
@@ -243,7 +252,7 @@
 		ctx.Response.Header.Set(wire.HeaderLeaving, wire.LeavingValue)
 	}
 	if path := string(ctx.Path()); path == wire.PathKeptList || path == wire.PathKeptChanges {
-		r.serveKept(ctx)
+		r.serveKeptParts(ctx)
 		return
 	}
 	header := &ctx.Request.Header
@@ -254,99 +263,100 @@
 		return
 	}
 	arrival := Arrival{ID: id, Replica: r.options.ID, At: time.Now()}
-	if !r.begin() {
+	if !r.acquireSlot() {
 		arrival.Refused = true
 		arrival.RetryAfter = r.refuse(ctx)
-		r.journal.arrived(arrival)
+		r.journal.addArrival(arrival)
 		return
 	}
-	r.journal.arrived(arrival)
+	r.journal.addArrival(arrival)
 	run := &Run{
 		ID:         id,
 		Replica:    r.options.ID,
 		Workspace:  string(header.Peek(wire.HeaderWorkspace)),
 		AfterEvent: string(header.Peek(wire.HeaderAfterEvent)),
-		Left:       r.left(),
+		Left:       r.leavingFor(),
 		StartedAt:  time.Now(),
 	}
-	r.journal.add(run)
-	r.keep(string(header.Peek(wire.HeaderParts)))
-	if !r.doesWrong().Unsealed {
+	r.journal.addRun(run)
+	r.keepParts(string(header.Peek(wire.HeaderParts)))
+	if !r.currentFaults().Unsealed {
 		ctx.Response.Header.Set(wire.HeaderSeal, "seal-"+r.options.ID)
 	}
 	if r.options.Events == 0 {
-		time.Sleep(r.options.Pause + r.doesWrong().Slower)
-		r.journal.noteEnd(run, ctx.Conn())
-		r.end()
-		if r.doesWrong().LoseAnswers {
+		time.Sleep(r.options.Pause + r.currentFaults().Slower)
+		r.journal.recordEnd(run, ctx.Conn())
+		r.releaseSlot()
+		if r.currentFaults().LoseAnswers {
 			_ = ctx.Conn().Close()
 			return
 		}
-		r.answerWhole(ctx, WholeAnswer(id))
+		r.sendAnswer(ctx, WholeAnswer(id))
 		return
 	}
 	ctx.SetContentType("text/event-stream")
-	first, _ := strconv.Atoi(run.AfterEvent) // none: from the beginning
+	afterEvent, _ := strconv.Atoi(run.AfterEvent) // zero if the header is absent: from the first event
 	ctx.Response.ImmediateHeaderFlush = true
 	conn := ctx.Conn()
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		defer r.end()
-		r.stream(w, conn, run, first)
+		defer r.releaseSlot()
+		r.writeEvents(w, conn, run, afterEvent)
 	})
 }
 
-// answerWhole sends a body of known length, with the pause that the replica's faults ask for.
-func (r *Replica) answerWhole(ctx *fasthttp.RequestCtx, body string) {
-	hangs := r.doesWrong().HangsMidway
-	if hangs == 0 {
+// sendAnswer sends a body of known length, with MidAnswerPause if that fault is set.
+func (r *Replica) sendAnswer(ctx *fasthttp.RequestCtx, body string) {
+	pause := r.currentFaults().HangsMidway
+	if pause == 0 {
 		ctx.SetBodyString(body)
 		return
 	}
 	half := len(body) / 2
 	ctx.Response.ImmediateHeaderFlush = true
-	ctx.SetBodyStream(io.MultiReader(strings.NewReader(body[:half]), &lateReader{wait: hangs, Reader: strings.NewReader(body[half:])}), len(body))
+	ctx.SetBodyStream(io.MultiReader(strings.NewReader(body[:half]), &delayedReader{delay: pause, Reader: strings.NewReader(body[half:])}), len(body))
 }
 
-// lateReader waits before its first read.
-type lateReader struct {
-	wait time.Duration
+// delayedReader delays its first read.
+type delayedReader struct {
+	delay time.Duration
 	io.Reader
 }
 
 // Read implements io.Reader.
-func (l *lateReader) Read(p []byte) (int, error) {
-	time.Sleep(l.wait)
-	l.wait = 0
+func (l *delayedReader) Read(p []byte) (int, error) {
+	time.Sleep(l.delay)
+	l.delay = 0
 	return l.Reader.Read(p)
 }
 
-// refuse answers that a request did not run, and returns what it asks for.
+// refuse answers that a request did not run, and returns the delay that the answer
+// asks for.
 func (r *Replica) refuse(ctx *fasthttp.RequestCtx) time.Duration {
 	ctx.Response.Header.Set(wire.HeaderNotRun, "1")
 	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
-	after := r.doesWrong().RetryAfter
+	after := r.currentFaults().RetryAfter
 	if after > 0 {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
 	}
 	return after
 }
 
-// breakPause lets what was written go out before the connection is closed.
-const breakPause = 20 * time.Millisecond
+// flushPause is the time for written data to be sent before the connection is closed.
+const flushPause = 20 * time.Millisecond
 
-// stream writes the events behind the given one.
-func (r *Replica) stream(w *bufio.Writer, conn net.Conn, run *Run, after int) {
-	for n := after + 1; n <= r.options.Events; n++ {
-		faults := r.doesWrong()
+// writeEvents writes the events after the given one, each after a pause.
+func (r *Replica) writeEvents(w *bufio.Writer, conn net.Conn, run *Run, afterEvent int) {
+	for event := afterEvent + 1; event <= r.options.Events; event++ {
+		faults := r.currentFaults()
 		time.Sleep(r.options.Pause + faults.Slower)
-		if faults.BreakAfter > 0 && after == 0 && n > faults.BreakAfter {
-			fmt.Fprintf(w, "id: %d\nda", n)
+		if faults.BreakAfter > 0 && afterEvent == 0 && event > faults.BreakAfter {
+			fmt.Fprintf(w, "id: %d\nda", event)
 			_ = w.Flush()
-			time.Sleep(breakPause)
+			time.Sleep(flushPause)
 			_ = conn.Close()
 			return
 		}
-		fmt.Fprintf(w, "id: %d\ndata: %s-%d\n\n", n, run.ID, n)
+		fmt.Fprintf(w, "id: %d\ndata: %s-%d\n\n", event, run.ID, event)
 		if err := w.Flush(); err != nil {
 			r.journal.mu.Lock()
 			run.Cancelled = true
@@ -356,29 +366,32 @@
 	}
 }
 
-func (r *Replica) begin() bool {
+// acquireSlot takes a slot for a request. It reports false if the request is to be
+// refused, by a fault or because all slots are in use.
+func (r *Replica) acquireSlot() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asked++
-	if r.faults.Refuse || r.faults.RefuseEvery > 0 && r.asked%r.faults.RefuseEvery == 0 || r.running >= r.options.Slots {
+	r.requests++
+	if r.faults.Refuse || r.faults.RefuseEvery > 0 && r.requests%r.faults.RefuseEvery == 0 || r.running >= r.options.Slots {
 		return false
 	}
 	r.running++
 	return true
 }
 
-func (r *Replica) end() {
+func (r *Replica) releaseSlot() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.running--
 }
 
-// left is how long ago the replica told that it leaves; zero if it did not.
-func (r *Replica) left() time.Duration {
+// leavingFor returns how long ago the replica announced in its entry that it is
+// leaving; zero if it did not.
+func (r *Replica) leavingFor() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.leftAt.IsZero() {
+	if r.leavingSince.IsZero() {
 		return 0
 	}
-	return time.Since(r.leftAt)
+	return time.Since(r.leavingSince)
 }
--- a/standin/managed/restore.go
+++ b/standin/managed/restore.go
@@ -7,20 +7,20 @@
 	"github.com/walnutcove/walnutcove/platform/wire"
 )
 
-// Copy is the content of a store at some moment.
+// Backup is a copy of the content of a store at some moment.
 type Copy struct {
 	rows     map[rowKey]wire.Row
 	revision uint64
 }
 
-// Copy returns the present content, to restore it later.
+// Backup returns a copy of the present content, to restore later.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Copy{rows: maps.Clone(s.rows), revision: s.revision}
 }
 
-// Keys returns the keys of a table's rows, in order.
+// Keys returns the sorted keys of a table's rows.
 func (c Copy) Keys(table string) []string {
 	var keys []string
 	for key, row := range c.rows {
@@ -32,18 +32,18 @@
 	return keys
 }
 
-// Restore makes the store come back from a copy, as after a disaster: what was written since
-// is gone, its revisions are given out again, and the era rises by one.
+// Restore replaces the content of the store by that of a backup, as after a disaster:
+// later writes are lost, their revisions are assigned again, and the era rises by one.
 func (s *Store) Restore(from Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rows = maps.Clone(from.rows)
 	s.revision = from.revision
 	s.era++
-	s.wake()
+	s.notifyChange()
 }
 
-// Era is how often the store came back from a copy, from 1.
+// Era returns the store's era: 1, plus one for each Restore.
 func (s *Store) Era() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/managed/store.go
+++ b/standin/managed/store.go
@@ -1,5 +1,6 @@
-// Package managed stands in for a managed platform: its row store, which operators
-// write to and replicas register in, and its replicas. Tests switch faults on.
+// Package managed is a stand-in for a managed platform: for its row store, which
+// operators write to and in which replicas register, and for its replicas. Tests can
+// inject faults into both.
 package managed
 
 import (
@@ -17,77 +18,79 @@
 	"github.com/walnutcove/walnutcove/platform/wire"
 )
 
-// Fault is how the store treats a caller.
+// Fault is the way in which the store treats calls.
 type Fault int
 
 // The faults.
 const (
-	// Healthy: calls are answered.
+	// Healthy: there is no fault, and calls are answered.
 	Healthy Fault = iota
-	// Refusing: calls get 503 and do nothing.
+	// Refusing: calls are answered with 503 and have no effect.
 	Refusing
-	// Silent: calls get no answer, also not after the silence. Feeds that wait since
-	// before it go on waiting, and answer once it is over.
+	// Unresponsive: calls get no answer, not even after the fault has ended. Feeds
+	// that were waiting when it began go on waiting, and are answered once it has
+	// ended.
 	Silent
-	// Forgetful: feeds get 410, as their history is gone.
+	// HistoryLost: feeds are answered with 410, because the history that they ask
+	// for is gone.
 	Forgetful
 )
 
-// Store is the row store. Create it with StartStore.
+// Store is a stand-in for the row store. Create it with StartStore.
 type Store struct {
 	listeners []net.Listener
 	http      *fasthttp.Server
-	ended     chan struct{}
+	closed    chan struct{}
 
 	mu       sync.Mutex
 	rows     map[rowKey]wire.Row
 	revision uint64
-	// era rises by one each time that the store comes back from a copy; see Restore.
+	// era rises by one with each Restore.
 	era     uint64
 	changed chan struct{}
-	// losses counts, by the address that callers call, how often their waiting feeds were
-	// lost.
-	losses map[string]int
-	// faults holds what happens to callers by the address that they call; fault is
-	// for all others.
+	// feedLosses counts, by the address that callers call, how often
+	// LoseWaitingFeeds was called.
+	feedLosses map[string]int
+	// faults holds faults by the address that callers call; fault is for callers of
+	// all other addresses.
 	fault  Fault
 	faults map[string]Fault
-	// refused is a table that nobody can read.
-	refused string
-	calls   map[string]int
-	// eraProbes counts reads limited to one row, which routers use to get the era.
+	// refusedTable is the table whose reads are refused; empty if there is none.
+	refusedTable string
+	calls        map[string]int // by path
+	// eraProbes counts reads limited to one row, which routers send to learn the era.
 	eraProbes int
-	// writes bounds the transactions of each part; see LimitWrites.
-	writes     map[string]*rate.Limiter
-	writeLimit int
-	// views change the rows for those who call an address.
+	// writeLimiters limit the transactions that write to each part; see LimitWrites.
+	writeLimiters   map[string]*rate.Limiter
+	writesPerSecond int
+	// views holds the views by the address that callers call; see SetView.
 	views map[string]View
 }
 
-// View returns a row as some callers see it.
+// View returns a row as the callers of an address are to see it.
 type View func(wire.Row) wire.Row
 
 type rowKey struct{ table, part, key string }
 
-// StartStore starts a store. It listens where Listen is called.
+// StartStore starts a store. It does not listen before Listen is called.
 func StartStore() *Store {
 	s := &Store{
-		ended:   make(chan struct{}),
-		rows:    make(map[rowKey]wire.Row),
-		era:     1,
-		changed: make(chan struct{}),
-		losses:  make(map[string]int),
-		faults:  make(map[string]Fault),
-		calls:   make(map[string]int),
-		writes:  make(map[string]*rate.Limiter),
-		views:   make(map[string]View),
+		closed:        make(chan struct{}),
+		rows:          make(map[rowKey]wire.Row),
+		era:           1,
+		changed:       make(chan struct{}),
+		feedLosses:    make(map[string]int),
+		faults:        make(map[string]Fault),
+		calls:         make(map[string]int),
+		writeLimiters: make(map[string]*rate.Limiter),
+		views:         make(map[string]View),
 	}
-	s.http = &fasthttp.Server{Handler: s.serve, CloseOnShutdown: true, Logger: silent{}}
+	s.http = &fasthttp.Server{Handler: s.serve, CloseOnShutdown: true, Logger: discardLogger{}}
 	return s
 }
 
-// Listen opens one more "ip:port" on loopback, so that callers may be given
-// addresses, and faults, of their own.
+// Listen opens one more "ip:port" on loopback. Callers that use an address of their
+// own can be given faults of their own.
 func (s *Store) Listen() (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -100,9 +103,9 @@
 	return listener.Addr().String(), nil
 }
 
-// Close ends the store.
+// Close stops the store.
 func (s *Store) Close() {
-	close(s.ended)
+	close(s.closed)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, listener := range s.listeners {
@@ -110,80 +113,83 @@
 	}
 }
 
-// SetFault sets what happens to all callers without a fault of their own.
+// SetFault sets the fault for the callers of all addresses without a fault of their
+// own.
 func (s *Store) SetFault(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = fault
-	s.wake()
+	s.notifyChange()
 }
 
-// SetFaultAt sets what happens to those who call an address.
+// SetFaultAt sets the fault for the callers of an address.
 func (s *Store) SetFaultAt(address string, fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults[address] = fault
-	s.wake()
+	s.notifyChange()
 }
 
-// LimitWrites bounds the transactions a second of each part. Those beyond wait for their
-// turn, and are refused once a second's worth of them is waiting; zero: there is no bound.
+// LimitWrites limits the transactions per second that write to each part. Transactions
+// over the limit wait, and are refused once a second's worth of them is waiting. Zero
+// means no limit.
 func (s *Store) LimitWrites(perSecond int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.writeLimit = perSecond
-	clear(s.writes)
+	s.writesPerSecond = perSecond
+	clear(s.writeLimiters)
 }
 
-// longestQueue is how long the transactions of a part may wait for their turn.
-const longestQueue = time.Second
+// maxWriteWait is how long a transaction may wait because of LimitWrites.
+const maxWriteWait = time.Second
 
-// turnOf says how long a transaction waits for the parts that it writes to; false if it is
-// refused.
-func (s *Store) turnOf(change wire.Transaction) (wait time.Duration, ok bool) {
+// reserveWrite returns how long a transaction must wait for the limits of all parts
+// that it writes to. ok is false if it is to be refused.
+func (s *Store) reserveWrite(transaction wire.Transaction) (wait time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.writeLimit == 0 {
+	if s.writesPerSecond == 0 {
 		return 0, true
 	}
-	for _, row := range slices.Concat(change.Writes, change.Removals) {
-		if s.writes[row.Part] == nil {
-			s.writes[row.Part] = rate.NewLimiter(rate.Limit(s.writeLimit), 1)
+	for _, row := range slices.Concat(transaction.Writes, transaction.Removals) {
+		if s.writeLimiters[row.Part] == nil {
+			s.writeLimiters[row.Part] = rate.NewLimiter(rate.Limit(s.writesPerSecond), 1)
 		}
-		turn := s.writes[row.Part].Reserve()
-		if turn.Delay() > longestQueue {
-			turn.Cancel()
+		reservation := s.writeLimiters[row.Part].Reserve()
+		if reservation.Delay() > maxWriteWait {
+			reservation.Cancel()
 			return 0, false
 		}
-		wait = max(wait, turn.Delay())
+		wait = max(wait, reservation.Delay())
 	}
 	return wait, true
 }
 
-// LoseWaiting never answers the feeds that wait now for those who call an address,
-// whatever changes, as a store that starts anew behind connections that live on.
+// LoseWaitingFeeds makes the store never answer the feeds that wait at an address at
+// present, whatever changes. This is what callers see of a store that restarts behind
+// a proxy that keeps their connections open.
 func (s *Store) LoseWaiting(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.losses[address]++
-	s.wake()
+	s.feedLosses[address]++
+	s.notifyChange()
 }
 
-func (s *Store) lossesOf(ctx *fasthttp.RequestCtx) int {
+func (s *Store) feedLossesAt(ctx *fasthttp.RequestCtx) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.losses[ctx.LocalAddr().String()]
+	return s.feedLosses[ctx.LocalAddr().String()]
 }
 
-// SetView sets how those who call an address see the rows.
+// SetView sets how the callers of an address see the rows.
 func (s *Store) SetView(address string, view View) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.views[address] = view
 }
 
-// seen returns the answer as the caller sees it.
-func (s *Store) seen(ctx *fasthttp.RequestCtx, answer wire.RowsAnswer) wire.RowsAnswer {
+// applyView returns the answer with its rows as the caller is to see them.
+func (s *Store) applyView(ctx *fasthttp.RequestCtx, answer wire.RowsAnswer) wire.RowsAnswer {
 	s.mu.Lock()
 	view := s.views[ctx.LocalAddr().String()]
 	s.mu.Unlock()
@@ -196,14 +202,15 @@
 	return answer
 }
 
-// RefuseReads refuses the reading of a table; "" ends that.
+// RefuseReads refuses reads of a table, for callers without a fault of their own. ""
+// ends that.
 func (s *Store) RefuseReads(table string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refused = table
+	s.refusedTable = table
 }
 
-// Calls returns how often a call was made.
+// Calls returns the number of calls to a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,7 +224,7 @@
 	return s.eraProbes
 }
 
-// CallsBesideProbes returns how many calls were made, other than era probes.
+// CallsExceptEraProbes returns the number of all calls other than era probes.
 func (s *Store) CallsBesideProbes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,27 +244,27 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.put(wire.Row{Table: table, Key: key, Data: data})
-	s.wake()
+	s.putRow(wire.Row{Table: table, Key: key, Data: data})
+	s.notifyChange()
 }
 
-// Drop removes a row.
+// Delete removes a row.
 func (s *Store) Drop(table, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.put(wire.Row{Table: table, Key: key, Removed: true})
-	s.wake()
+	s.putRow(wire.Row{Table: table, Key: key, Removed: true})
+	s.notifyChange()
 }
 
-// put needs s.mu.
-func (s *Store) put(row wire.Row) {
+// putRow stores a row with the current revision. The caller holds s.mu.
+func (s *Store) putRow(row wire.Row) {
 	row.Revision = s.revision
 	s.rows[rowKey{row.Table, row.Part, row.Key}] = row
 }
 
-// wake needs s.mu.
-func (s *Store) wake() {
+// notifyChange wakes the feeds that wait for a change. The caller holds s.mu.
+func (s *Store) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -270,7 +277,7 @@
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	case Silent:
-		<-s.ended
+		<-s.closed
 		return
 	case Forgetful:
 		if path == wire.PathChanges {
@@ -280,17 +287,17 @@
 	}
 	switch path {
 	case wire.PathRead:
-		s.answer(ctx, s.seen(ctx, s.page(ctx.QueryArgs())))
+		s.sendJSON(ctx, s.applyView(ctx, s.readPage(ctx.QueryArgs())))
 	case wire.PathChanges:
-		s.follow(ctx)
+		s.serveChanges(ctx)
 	case wire.PathTransact:
-		s.transact(ctx)
+		s.serveTransaction(ctx)
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-// faultFor counts a call and returns its caller's fault.
+// faultFor counts a call and returns the fault for it.
 func (s *Store) faultFor(ctx *fasthttp.RequestCtx, path string) Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -299,20 +306,21 @@
 		s.eraProbes++
 	}
 	_, own := s.faults[ctx.LocalAddr().String()]
-	if !own && path == wire.PathRead && s.refused != "" && string(ctx.QueryArgs().Peek(wire.ParamTable)) == s.refused {
+	if !own && path == wire.PathRead && s.refusedTable != "" && string(ctx.QueryArgs().Peek(wire.ParamTable)) == s.refusedTable {
 		return Refusing
 	}
 	return s.callerFault(ctx)
 }
 
-// faultNow returns the fault of a caller whose call waits.
-func (s *Store) faultNow(ctx *fasthttp.RequestCtx) Fault {
+// currentFault returns the present fault for the caller of a feed that waits.
+func (s *Store) currentFault(ctx *fasthttp.RequestCtx) Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.callerFault(ctx)
 }
 
-// callerFault needs s.mu.
+// callerFault returns the fault for the address that was called. The caller holds
+// s.mu.
 func (s *Store) callerFault(ctx *fasthttp.RequestCtx) Fault {
 	if fault, own := s.faults[ctx.LocalAddr().String()]; own {
 		return fault
@@ -320,7 +328,7 @@
 	return s.fault
 }
 
-func (s *Store) answer(ctx *fasthttp.RequestCtx, content any) {
+func (s *Store) sendJSON(ctx *fasthttp.RequestCtx, content any) {
 	encoded, err := json.Marshal(content)
 	if err != nil {
 		panic(err) // the stand-in's own types always encode
@@ -329,9 +337,9 @@
 	ctx.SetBody(encoded)
 }
 
-// read returns the rows of a table changed after a revision; with revision zero
-// those that exist.
-func (s *Store) read(table string, after uint64) wire.RowsAnswer {
+// changedRows returns the rows of a table that changed after a revision, including
+// removed ones. For revision zero it returns the rows that exist.
+func (s *Store) changedRows(table string, after uint64) wire.RowsAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	answer := wire.RowsAnswer{Revision: s.revision}
@@ -345,17 +353,18 @@
 	return answer
 }
 
-// standardPage is how many rows an answer has where the caller sets no limit.
-const standardPage = 50
+// defaultPageRows is the maximum number of rows in an answer if the caller sets no
+// limit.
+const defaultPageRows = 50
 
-// page returns the rows of one part of a table from a key on, in order of key.
-func (s *Store) page(query *fasthttp.Args) wire.RowsAnswer {
-	answer := s.read(string(query.Peek(wire.ParamTable)), 0)
+// readPage returns the rows of one part of a table from a key on, sorted by key.
+func (s *Store) readPage(query *fasthttp.Args) wire.RowsAnswer {
+	answer := s.changedRows(string(query.Peek(wire.ParamTable)), 0)
 	part, from := string(query.Peek(wire.ParamPart)), string(query.Peek(wire.ParamFrom))
 	answer.Rows = slices.DeleteFunc(answer.Rows, func(r wire.Row) bool { return r.Part != part || r.Key < from })
 	limit, err := query.GetUint(wire.ParamLimit)
 	if err != nil {
-		limit = standardPage
+		limit = defaultPageRows
 	}
 	if limit = min(limit, wire.MaxRows); len(answer.Rows) > limit {
 		answer.Rows, answer.More = answer.Rows[:limit], true
@@ -363,8 +372,8 @@
 	return answer
 }
 
-// follow answers as soon as there is a change, or when the wait is over.
-func (s *Store) follow(ctx *fasthttp.RequestCtx) {
+// serveChanges answers a feed as soon as there is a change, or when its wait is over.
+func (s *Store) serveChanges(ctx *fasthttp.RequestCtx) {
 	query := ctx.QueryArgs()
 	table := string(query.Peek(wire.ParamTable))
 	after, err := strconv.ParseUint(string(query.Peek(wire.ParamAfter)), 10, 64)
@@ -374,47 +383,48 @@
 	}
 	wait := time.NewTimer(time.Duration(query.GetUintOrZero(wire.ParamWait)) * time.Millisecond)
 	defer wait.Stop()
-	over := false
-	losses := s.lossesOf(ctx)
+	waitOver := false
+	lossesBefore := s.feedLossesAt(ctx)
 	for {
 		s.mu.Lock()
 		changed := s.changed
 		s.mu.Unlock()
-		if s.lossesOf(ctx) > losses {
-			<-s.ended
+		if s.feedLossesAt(ctx) > lossesBefore {
+			<-s.closed
 			return
 		}
-		// Revision zero would read what exists; nothing is older than revision 1.
-		answer := s.read(table, max(after, 1))
-		switch fault := s.faultNow(ctx); {
+		// For revision zero, changedRows would return the rows that exist and omit
+		// removed ones. No row is older than revision 1.
+		answer := s.changedRows(table, max(after, 1))
+		switch fault := s.currentFault(ctx); {
 		case fault == Silent:
 		case after > answer.Revision && fault == Healthy:
-			ctx.SetStatusCode(fasthttp.StatusGone) // a revision that this copy does not have
+			ctx.SetStatusCode(fasthttp.StatusGone) // the store was restored and does not have this revision yet
 			return
 		case fault != Healthy:
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 			return
-		case over || len(answer.Rows) > 0:
-			s.answer(ctx, s.seen(ctx, answer))
+		case waitOver || len(answer.Rows) > 0:
+			s.sendJSON(ctx, s.applyView(ctx, answer))
 			return
 		}
 		select {
 		case <-changed:
 		case <-wait.C:
-			over = true
-		case <-s.ended:
+			waitOver = true
+		case <-s.closed:
 			return
 		}
 	}
 }
 
-func (s *Store) transact(ctx *fasthttp.RequestCtx) {
-	var change wire.Transaction
-	if err := json.Unmarshal(ctx.PostBody(), &change); err != nil {
+func (s *Store) serveTransaction(ctx *fasthttp.RequestCtx) {
+	var transaction wire.Transaction
+	if err := json.Unmarshal(ctx.PostBody(), &transaction); err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
-	wait, ok := s.turnOf(change)
+	wait, ok := s.reserveWrite(transaction)
 	if !ok {
 		ctx.SetStatusCode(fasthttp.StatusTooManyRequests)
 		return
@@ -422,7 +432,7 @@
 	time.Sleep(wait)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, expected := range change.Conditions {
+	for _, expected := range transaction.Conditions {
 		row := s.rows[rowKey{expected.Table, expected.Part, expected.Key}]
 		if row.Removed {
 			row.Revision = 0
@@ -433,13 +443,13 @@
 		}
 	}
 	s.revision++
-	for _, row := range change.Writes {
-		s.put(row)
+	for _, row := range transaction.Writes {
+		s.putRow(row)
 	}
-	for _, row := range change.Removals {
+	for _, row := range transaction.Removals {
 		row.Removed = true
-		s.put(row)
+		s.putRow(row)
 	}
-	s.wake()
-	s.answer(ctx, wire.RowsAnswer{Revision: s.revision})
+	s.notifyChange()
+	s.sendJSON(ctx, wire.RowsAnswer{Revision: s.revision})
 }
