--- a/devfleet/cli/cli.go
+++ b/devfleet/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the walnutdev program: the small fleet in one process, and
-// each stand-in as a process of its own.
+// Package cli implements the walnutdev program, which runs a small fleet in one
+// process, or one stand-in as a process of its own.
 package cli
 
 import (
@@ -21,7 +21,8 @@
 	exitFailed = 1
 	exitUsage  = 2
 
-	// startTimeout bounds the start of the fleet, drainTimeout its end.
+	// startTimeout is the time limit for the start of a fleet, drainTimeout that for
+	// its drain at the end.
 	startTimeout = 20 * time.Second
 	drainTimeout = 30 * time.Second
 )
@@ -34,8 +35,9 @@
 	Service  serviceCommand  `cmd:"" help:"Run a stand-in plain service."`
 }
 
-// command is one subcommand. It returns when ctx ends.
+// command is one subcommand.
 type command interface {
+	// run runs the subcommand until ctx ends.
 	run(ctx context.Context, out io.Writer, log *slog.Logger) error
 }
 
@@ -47,7 +49,7 @@
 		kong.Description("A small walnutcove fleet on loopback, and its stand-ins."),
 		kong.Writers(out, errOut))
 	if err != nil {
-		panic(err) // a mistake in the struct tags above
+		panic(err) // the struct tags above are invalid
 	}
 	parsed, err := parser.Parse(args)
 	if err != nil {
--- a/devfleet/cli/standins.go
+++ b/devfleet/cli/standins.go
@@ -12,13 +12,12 @@
 	"github.com/walnutcove/walnutcove/standin/service"
 )
 
-// listening is the line printed once a stand-in accepts connections; process
-// tests wait for it.
-const listening = "listening on %s\n"
+// listeningLine is printed once a stand-in accepts connections. Tests that start the
+// program wait for it.
+const listeningLine = "listening on %s\n"
 
-// viewAt is the line printed for each view of the platform, before the
-// stand-in's own line.
-const viewAt = "view %d at %s\n"
+// viewLine is printed for each view of the platform, before listeningLine.
+const viewLine = "view %d at %s\n"
 
 type platformCommand struct {
 	Listen string `default:"127.0.0.1:9000" help:"Address to listen on (ip:port)."`
@@ -33,13 +32,13 @@
 			return err
 		}
 		defer view.Close()
-		fmt.Fprintf(out, viewAt, n+1, view.Address())
+		fmt.Fprintf(out, viewLine, n+1, view.Address())
 	}
 	address, err := server.Start(c.Listen)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, listening, address)
+	fmt.Fprintf(out, listeningLine, address)
 	<-ctx.Done()
 	return server.Close()
 }
@@ -75,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, listening, address)
+	fmt.Fprintf(out, listeningLine, address)
 	<-ctx.Done()
 	e.Close()
 	return nil
@@ -95,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, listening, address)
+	fmt.Fprintf(out, listeningLine, address)
 	<-ctx.Done()
 	s.Close()
 	return nil
--- a/devfleet/demo.go
+++ b/devfleet/demo.go
@@ -6,10 +6,10 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// DemoKey is the key of the workspace named name in Demo.
+// DemoKey returns the API key of a workspace that Workspace creates.
 func DemoKey(name string) string { return name + "-key" }
 
-// Demo returns two workspaces for trying things out: "bakery" with twice the
+// DemoWorkspaces returns two workspaces for demonstrations: "bakery" with twice the
 // share of "school".
 func Demo() map[string]config.Workspace {
 	return map[string]config.Workspace{
@@ -18,7 +18,8 @@
 	}
 }
 
-// Workspace returns a workspace with DemoKey(name) and both pools.
+// Workspace returns a workspace with a share, the key DemoKey(name) and access to
+// both pools.
 func Workspace(name string, share float64) config.Workspace {
 	hash := config.HashKey([]byte(DemoKey(name)))
 	return config.Workspace{
--- a/devfleet/fleet.go
+++ b/devfleet/fleet.go
@@ -1,6 +1,6 @@
-// Package devfleet runs a small fleet in one process: routers, the platform's
-// stand-in and stand-in targets, all on loopback. It is for developers and
-// tests; every part is the same code that runs as its own process elsewhere.
+// Package devfleet runs a small fleet in one process: routers, a stand-in for the
+// platform and stand-in targets, all on loopback. It is for developers and tests.
+// Every part is the same code that otherwise runs as a process of its own.
 package devfleet
 
 import (
@@ -22,32 +22,35 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// Options say what the fleet consists of. Zero values take the stated defaults.
+// Options configure a fleet. Zero values stand for the stated defaults.
 type Options struct {
-	// DataCentres the VMs and targets are spread over. Default "ikeja".
+	// DataCentres are assigned to the VMs and targets in rotation. Default "ikeja".
 	DataCentres []string
-	// Routers is how many routers run. Default 3.
+	// Routers is the number of routers. Default 3.
 	Routers int
-	// Engines and Services are how many stand-in targets run. Defaults 2 and 1.
+	// Engines and Services are the numbers of stand-in targets. Defaults 2 and 1.
 	Engines  int
 	Services int
-	// EngineSlots and ServiceSlots are each target's slots. Defaults 8 and 4.
+	// EngineSlots and ServiceSlots are the numbers of slots of each engine and each
+	// service. Defaults 8 and 4.
 	EngineSlots  int
 	ServiceSlots int
-	// Step is the engines' time for each token. Default 2 ms.
+	// Step is the time in which an engine generates a token. Default 2 ms.
 	Step time.Duration
-	// Workspaces are declared besides the pools and targets. Default: Demo().
+	// Workspaces are configured in addition to the pools and targets. Default:
+	// DemoWorkspaces().
 	Workspaces map[string]config.Workspace
-	// Edit, if set, changes the settings of router n (from 0) before it starts.
+	// EditSettings, if set, changes the settings of router n (from 0) before it
+	// starts.
 	Edit func(n int, s *settings.Settings)
-	// Log takes the routers' messages. Default slog.Default().
+	// Log receives the routers' log messages. Default slog.Default().
 	Log *slog.Logger
 }
 
-// drainTimeout bounds the drain of a router that an operator asked for.
+// drainTimeout is the time limit for a drain that an operator requested.
 const drainTimeout = 30 * time.Second
 
-// Names of the fleet's pools and of what callers ask for.
+// Names of the fleet's pools, and the model and path of their requests.
 const (
 	EnginePool  = "drafting"
 	ServicePool = "deploy"
@@ -62,9 +65,9 @@
 	Services []*service.Service
 	Routers  []*router.Router
 
-	// closed is closed by Close.
-	closed chan struct{}
-	once   sync.Once
+	// closed is closed by Close and ends the wait for drains.
+	closed    chan struct{}
+	closeOnce sync.Once
 
 	options         Options
 	targets         map[string]config.Target
@@ -72,14 +75,15 @@
 	vms             []store.VM
 }
 
-// Start starts a fleet and returns once every router takes requests.
+// Start starts a fleet and returns once every router serves requests. If it fails,
+// nothing is left running.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	f := &Fleet{
 		options: withDefaults(options),
 		closed:  make(chan struct{}),
 		targets: make(map[string]config.Target),
 	}
-	steps := []func(context.Context) error{f.startPlatform, f.startTargets, f.declare, f.startRouters, f.waitReady}
+	steps := []func(context.Context) error{f.startPlatform, f.startTargets, f.submitConfig, f.startRouters, f.waitReady}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			f.Close()
@@ -107,9 +111,9 @@
 	return o
 }
 
-func setDefault(value *int, standard int) {
+func setDefault(value *int, defaultValue int) {
 	if *value == 0 {
-		*value = standard
+		*value = defaultValue
 	}
 }
 
@@ -144,22 +148,22 @@
 	return nil
 }
 
-func (f *Fleet) addTarget(name, pool, address string, n, slots int, resumes bool) {
+func (f *Fleet) addTarget(name, pool, address string, number, slots int, resumes bool) {
 	f.targets[name] = config.Target{
 		Pool:       pool,
-		DataCentre: f.dataCentre(n),
+		DataCentre: f.dataCentre(number),
 		Address:    address,
 		Slots:      slots,
 		Resumes:    resumes,
 	}
 }
 
-func (f *Fleet) dataCentre(n int) string {
-	return f.options.DataCentres[n%len(f.options.DataCentres)]
+func (f *Fleet) dataCentre(number int) string {
+	return f.options.DataCentres[number%len(f.options.DataCentres)]
 }
 
-// declare submits version 1.
-func (f *Fleet) declare(ctx context.Context) error {
+// submitConfig submits the fleet's configuration, as version 1.
+func (f *Fleet) submitConfig(ctx context.Context) error {
 	declarations := config.Declarations{
 		Workspaces: f.options.Workspaces,
 		Pools: map[string]config.Pool{
@@ -189,15 +193,15 @@
 	return nil
 }
 
-func (f *Fleet) startRouter(n int) error {
+func (f *Fleet) startRouter(number int) error {
 	s := settings.Defaults()
-	s.Node.Name = fmt.Sprintf("vm-%d", n+1)
-	s.Node.DataCentre = f.dataCentre(n)
+	s.Node.Name = fmt.Sprintf("vm-%d", number+1)
+	s.Node.DataCentre = f.dataCentre(number)
 	s.Listen = settings.Listen{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Peers: "127.0.0.1:0"}
 	s.Platform.Address = f.platformAddress
 	s.Platform.VMListEvery = settings.Duration(200 * time.Millisecond)
 	if f.options.Edit != nil {
-		f.options.Edit(n, &s)
+		f.options.Edit(number, &s)
 	}
 	r, err := router.Start(s, f.options.Log)
 	if err != nil {
@@ -214,7 +218,7 @@
 	return nil
 }
 
-// drainWhenAsked shuts a router down when an operator drains it.
+// drainWhenAsked shuts a router down once an operator requests its drain.
 func (f *Fleet) drainWhenAsked(r *router.Router) {
 	select {
 	case <-r.DrainAsked():
@@ -251,9 +255,10 @@
 	return errors.Join(errs...)
 }
 
-// Close stops everything at once. It may be called again.
+// Close stops everything immediately, without a drain. It may be called more than
+// once.
 func (f *Fleet) Close() {
-	f.once.Do(f.close)
+	f.closeOnce.Do(f.close)
 }
 
 func (f *Fleet) close() {
--- a/devfleet/fleet_test.go
+++ b/devfleet/fleet_test.go
@@ -37,7 +37,8 @@
 	return addresses
 }
 
-// mixedRequest makes a third of each kind; service calls are non-idempotent.
+// mixedRequest creates requests of the three kinds in equal numbers. Service calls
+// are non-idempotent.
 func mixedRequest(n int, random *rand.Rand) load.Request {
 	workspace := []string{"bakery", "school"}[random.IntN(2)]
 	r := load.Request{
@@ -56,8 +57,8 @@
 	return r
 }
 
-// TestMixedRequests sends mixed requests from many callers through every
-// router: each gets its own whole answer, and each service call runs once.
+// TestMixedRequests sends mixed requests from many callers through every router and
+// checks that each gets its own complete answer and that each service call runs once.
 func TestMixedRequests(t *testing.T) {
 	const requests = 10000
 	fleet := startFleet(t, devfleet.Options{Engines: 4, EngineSlots: 64, Services: 2, ServiceSlots: 32})
@@ -87,59 +88,60 @@
 	}
 }
 
-// TestShutdownCutsNothing drains one router while callers use it. A request that was not
-// answered must have been refused as not run. Once a caller was told that the router
-// leaves, none goes back to it; till then each finds it there. Callers that come back
-// whatever they were told, to the moment at which the listener closes, can be reset by the
+// TestShutdownBreaksNoRequest drains one router while callers use it. A request that is
+// not answered must be refused as not run. After the first refusal, which announces that
+// the router is leaving, no caller sends to it any more; until then every caller must
+// reach it. Callers that went on sending until the listener closes could be reset by the
 // kernel on connections that no router ever accepted.
-func TestShutdownCutsNothing(t *testing.T) {
+func TestShutdownBreaksNoRequest(t *testing.T) {
 	fleet := startFleet(t, devfleet.Options{})
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	loadCtx, stopLoad := context.WithCancel(ctx)
-	answeredSome := make(chan struct{}, 1)
+	firstResult := make(chan struct{}, 1)
 	addresses := callerAddresses(fleet)
-	var leaves atomic.Bool
+	var toldToLeave atomic.Bool
 	run := load.Run{
 		Routers: addresses,
 		Callers: 20,
 		Seed:    2,
 		Next:    mixedRequest,
 		PickRouter: func(_ load.Request, random *rand.Rand) string {
-			if leaves.Load() {
+			if toldToLeave.Load() {
 				return addresses[1+random.IntN(len(addresses)-1)]
 			}
 			return addresses[random.IntN(len(addresses))]
 		},
 		OnResult: func(r load.Result) {
 			if r.Verdict == load.Refused && r.Router == addresses[0] {
-				leaves.Store(true)
+				toldToLeave.Store(true)
 			}
 			select {
-			case answeredSome <- struct{}{}:
+			case firstResult <- struct{}{}:
 			default:
 			}
 		},
 	}
 	summary := make(chan *load.Summary, 1)
 	go func() { summary <- run.Do(loadCtx) }()
-	<-answeredSome
+	<-firstResult
 	if err := fleet.Routers[0].Shutdown(ctx); err != nil {
 		t.Errorf("shut down: %v", err)
 	}
 	stopLoad()
 	got := <-summary
 	if got.Count(load.Broken)+got.Count(load.Wrong)+got.Count(load.Unreachable) > 0 {
-		t.Errorf("requests were cut, or met no router: %v", got)
+		t.Errorf("requests were broken or did not reach a router: %v", got)
 		for _, fault := range got.Faults() {
 			t.Logf("%s: %s %s", fault.Request.Mark, fault.Verdict, fault.Detail)
 		}
 	}
 }
 
-// TestDrainRetriesWhatItTook crashes the target of a request while its router
-// drains: the request was taken, so it is run again elsewhere and answered.
-func TestDrainRetriesWhatItTook(t *testing.T) {
+// TestDrainRetriesAcceptedRequest closes the engine that runs a request while the
+// request's router drains. The router has accepted the request, so it must retry it on
+// the other engine and answer it.
+func TestDrainRetriesAcceptedRequest(t *testing.T) {
 	fleet := startFleet(t, devfleet.Options{Routers: 2, Engines: 2, EngineSlots: 1, Step: 10 * time.Millisecond})
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -154,7 +156,7 @@
 	}
 	answered := make(chan load.Result, 1)
 	go func() { answered <- client.Send(fleet.Routers[0].CallersAddress(), request) }()
-	busy := waitBusy(t, fleet)
+	busy := waitEngineBusy(t, fleet)
 	drained := make(chan error, 1)
 	go func() { drained <- fleet.Routers[0].Shutdown(ctx) }()
 	for !fleet.Routers[0].Draining() {
@@ -169,8 +171,8 @@
 	}
 }
 
-// waitBusy waits until an engine runs something and returns its number.
-func waitBusy(t *testing.T, fleet *devfleet.Fleet) int {
+// waitEngineBusy waits until an engine runs a request and returns that engine's index.
+func waitEngineBusy(t *testing.T, fleet *devfleet.Fleet) int {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		for n, e := range fleet.Engines {
@@ -179,6 +181,6 @@
 			}
 		}
 	}
-	t.Fatal("no engine runs anything")
+	t.Fatal("no engine runs a request")
 	return 0
 }
--- a/devfleet/hangup_test.go
+++ b/devfleet/hangup_test.go
@@ -14,13 +14,13 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// call is one HTTP request of a caller that may hang up.
+// call is one HTTP request of a caller that may disconnect before the answer.
 type call struct {
 	path, key, body string
 	header          map[string]string
 }
 
-func (c call) head(router string) string {
+func (c call) requestHeader(router string) string {
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nAuthorization: Bearer %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n",
 		c.path, router, devfleet.DemoKey("school"), len(c.body))
 	for name, value := range c.headers() {
@@ -37,22 +37,24 @@
 	return all
 }
 
-// hangUp sends the call, waits until the run has begun and closes the connection.
-func (c call) hangUp(t *testing.T, router string, begun func(answer io.Reader)) {
+// sendAndDisconnect sends the call, waits until waitBegun finds that its run has begun,
+// and closes the connection.
+func (c call) sendAndDisconnect(t *testing.T, router string, waitBegun func(answer io.Reader)) {
 	t.Helper()
 	conn, err := net.Dial("tcp", router)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if _, err := io.WriteString(conn, c.head(router)+c.body); err != nil {
+	if _, err := io.WriteString(conn, c.requestHeader(router)+c.body); err != nil {
 		t.Fatal(err)
 	}
-	begun(conn)
+	waitBegun(conn)
 }
 
-// resend sends the call again until it is not told to be in progress.
-func (c call) resend(ctx context.Context, t *testing.T, router string) (*http.Response, string) {
+// resendUntilDone sends the call again until the answer no longer says that the call is
+// in progress.
+func (c call) resendUntilDone(ctx context.Context, t *testing.T, router string) (*http.Response, string) {
 	t.Helper()
 	for {
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router+c.path, strings.NewReader(c.body))
@@ -80,52 +82,56 @@
 	}
 }
 
-// A caller that hangs up during a non-idempotent run gets its answer by sending
-// again: the run is finished, and made once.
-func TestHangUpDuringANonIdempotentCall(t *testing.T) {
+// TestDisconnectDuringNonIdempotentCall checks that a caller that disconnects during a
+// non-idempotent run gets the answer when it sends the call again: the run is finished
+// and not repeated.
+func TestDisconnectDuringNonIdempotentCall(t *testing.T) {
 	fleet := startFleet(t, devfleet.Options{})
 	t.Cleanup(http.DefaultTransport.(*http.Transport).CloseIdleConnections)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	// Longer than a router takes to find out that the caller is gone.
+	// 1500 ms is longer than a router takes to detect that the caller disconnected.
 	c := call{path: devfleet.ServicePath + "/site?millis=1500", key: "hang-up", body: "mark:h1"}
-	c.hangUp(t, fleet.Routers[0].CallersAddress(), func(io.Reader) {
-		for ctx.Err() == nil && starts(fleet, c.key) == 0 {
+	c.sendAndDisconnect(t, fleet.Routers[0].CallersAddress(), func(io.Reader) {
+		for ctx.Err() == nil && startCount(fleet, c.key) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	})
-	answer, body := c.resend(ctx, t, fleet.Routers[1].CallersAddress())
+	answer, body := c.resendUntilDone(ctx, t, fleet.Routers[1].CallersAddress())
 	if answer.StatusCode != http.StatusOK || answer.Header.Get("Walnut-Replayed") != "true" || !strings.Contains(body, "h1") {
 		t.Errorf("the resend got %s, %v: %s", answer.Status, answer.Header, body)
 	}
-	if n := starts(fleet, c.key); n != 1 {
+	if n := startCount(fleet, c.key); n != 1 {
 		t.Errorf("the call ran %d times", n)
 	}
 }
 
-// A graceful shutdown waits for a run whose caller is gone, and for its record.
-func TestShutdownFinishesARunWithoutCaller(t *testing.T) {
+// TestShutdownFinishesRunWithoutCaller checks that a graceful shutdown waits for a run
+// whose caller has disconnected, and for the run's record.
+func TestShutdownFinishesRunWithoutCaller(t *testing.T) {
 	fleet := startFleet(t, devfleet.Options{})
 	t.Cleanup(http.DefaultTransport.(*http.Transport).CloseIdleConnections)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c := call{path: devfleet.ServicePath + "/site?millis=1500", key: "hang-up", body: "mark:h3"}
-	c.hangUp(t, fleet.Routers[0].CallersAddress(), func(io.Reader) {
-		for ctx.Err() == nil && starts(fleet, c.key) == 0 {
+	c.sendAndDisconnect(t, fleet.Routers[0].CallersAddress(), func(io.Reader) {
+		for ctx.Err() == nil && startCount(fleet, c.key) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	})
 	if err := fleet.Routers[0].Shutdown(ctx); err != nil {
 		t.Fatal(err)
 	}
-	answer, body := c.resend(ctx, t, fleet.Routers[1].CallersAddress())
+	answer, body := c.resendUntilDone(ctx, t, fleet.Routers[1].CallersAddress())
 	if answer.Header.Get("Walnut-Replayed") != "true" || !strings.Contains(body, "h3") {
 		t.Errorf("the resend got %s, %v: %s", answer.Status, answer.Header, body)
 	}
 }
 
-// The same as in the first test for a stream whose caller hangs up in the middle.
-func TestHangUpDuringANonIdempotentStream(t *testing.T) {
+// TestDisconnectDuringNonIdempotentStream checks the same as
+// TestDisconnectDuringNonIdempotentCall for a stream whose caller disconnects in the
+// middle of it.
+func TestDisconnectDuringNonIdempotentStream(t *testing.T) {
 	fleet := startFleet(t, devfleet.Options{})
 	t.Cleanup(http.DefaultTransport.(*http.Transport).CloseIdleConnections)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -135,19 +141,19 @@
 		body:   `{"model":"` + devfleet.Model + `","stream":true,"max_tokens":40,"messages":[{"role":"user","content":"mark:h2"}]}`,
 		header: map[string]string{"Walnut-Idempotent": "false"},
 	}
-	c.hangUp(t, fleet.Routers[0].CallersAddress(), func(answer io.Reader) {
+	c.sendAndDisconnect(t, fleet.Routers[0].CallersAddress(), func(answer io.Reader) {
 		if _, err := io.ReadAtLeast(answer, make([]byte, 4096), 300); err != nil {
 			t.Error(err)
 		}
 	})
-	answer, body := c.resend(ctx, t, fleet.Routers[1].CallersAddress())
+	answer, body := c.resendUntilDone(ctx, t, fleet.Routers[1].CallersAddress())
 	if answer.Header.Get("Walnut-Replayed") != "true" || !strings.HasSuffix(strings.TrimSpace(body), "data: [DONE]") {
 		t.Errorf("the resend got %s, %v: %s", answer.Status, answer.Header, body)
 	}
 }
 
-// starts counts the runs of a service call.
-func starts(fleet *devfleet.Fleet, key string) int {
+// startCount returns how often service calls with the key have started.
+func startCount(fleet *devfleet.Fleet, key string) int {
 	n := 0
 	for _, s := range fleet.Services {
 		n += s.Counts()[key]
--- a/devfleet/log_test.go
+++ b/devfleet/log_test.go
@@ -29,8 +29,8 @@
 	return l.text.Write(p)
 }
 
-// of returns the lines of one request.
-func (l *logLines) of(t *testing.T, request string) []map[string]any {
+// ofRequest returns the log lines of one request.
+func (l *logLines) ofRequest(t *testing.T, requestID string) []map[string]any {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,7 +40,7 @@
 		if err := json.Unmarshal([]byte(text), &line); err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
-		if line["request"] == request {
+		if line["request"] == requestID {
 			found = append(found, line)
 		}
 	}
@@ -48,21 +48,22 @@
 }
 
 // waitFor waits until the request has a line with the message, and returns it.
-func (l *logLines) waitFor(t *testing.T, request, message string) map[string]any {
+func (l *logLines) waitFor(t *testing.T, requestID, message string) map[string]any {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		lines := l.of(t, request)
-		if at := slices.IndexFunc(lines, func(line map[string]any) bool { return line["msg"] == message }); at >= 0 {
-			return lines[at]
+		lines := l.ofRequest(t, requestID)
+		if index := slices.IndexFunc(lines, func(line map[string]any) bool { return line["msg"] == message }); index >= 0 {
+			return lines[index]
 		}
 	}
-	t.Fatalf("no line %q of request %s in %v", message, request, l.of(t, request))
+	t.Fatalf("no line %q of request %s in %v", message, requestID, l.ofRequest(t, requestID))
 	return nil
 }
 
-// TestLogTellsTheCourseOfARequest finds a request in the log by the id that
-// its caller was given: its course, and its failure with the target's name.
-func TestLogTellsTheCourseOfARequest(t *testing.T) {
+// TestLogShowsEveryStepOfARequest looks a request up in the log by the id that its
+// caller received, and checks its steps, and for a failed request the line that names
+// the target.
+func TestLogShowsEveryStepOfARequest(t *testing.T) {
 	var log logLines
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -83,13 +84,13 @@
 		t.Fatalf("got %+v", answered)
 	}
 	log.waitFor(t, answered.RequestID, "request: Answered.")
-	var course []any
-	for _, line := range log.of(t, answered.RequestID) {
-		course = append(course, line["msg"])
+	var messages []any
+	for _, line := range log.ofRequest(t, answered.RequestID) {
+		messages = append(messages, line["msg"])
 	}
 	want := []any{"request: Arrived.", "grant: Slot granted.", "dispatch: Answer began.", "request: Answered."}
-	if !slices.Equal(course, want) {
-		t.Errorf("the course is %q", course)
+	if !slices.Equal(messages, want) {
+		t.Errorf("the request's messages are %q", messages)
 	}
 
 	fleet.Engines[0].Close()
--- a/devfleet/main_test.go
+++ b/devfleet/main_test.go
@@ -7,7 +7,7 @@
 	"go.uber.org/goleak"
 )
 
-// tests runs the tests and then closes what they keep for reuse.
+// tests runs the tests and then closes the idle connections that they leave.
 type tests struct{ *testing.M }
 
 // Run implements goleak.TestingM.
@@ -16,7 +16,8 @@
 	return t.M.Run()
 }
 
-// TestMain fails if a fleet leaves a goroutine behind.
+// TestMain fails if a fleet leaves a goroutine running, except for fasthttp's that end
+// by themselves.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(tests{m},
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"),
--- a/devfleet/managed.go
+++ b/devfleet/managed.go
@@ -13,26 +13,26 @@
 	"github.com/walnutcove/walnutcove/standin/managed"
 )
 
-// What the demonstration's replicas do.
+// The demonstration's replicas and configuration.
 const (
-	demoReplicas = 2
-	demoSlots    = 8
-	demoEvents   = 10
-	demoPause    = 100 * time.Millisecond
-	demoWork     = 20 * time.Millisecond
-	demoVersion  = 4
+	demoReplicasPerService = 2
+	demoSlots              = 8
+	demoStreamEvents       = 10
+	demoEventPause         = 100 * time.Millisecond
+	demoServiceTime        = 20 * time.Millisecond
+	demoConfigVersion      = 4
 )
 
-// Managed is a small fleet on the stand-in of a managed platform, in one process.
+// ManagedFleet is a small fleet in one process, on a stand-in for a managed platform.
 type Managed struct {
 	Routers []*router.Router
 	store   *managed.Store
-	// replicas end with Shutdown.
+	// replicas are closed by Shutdown.
 	replicas []*managed.Replica
 }
 
-// StartManaged starts routers on the stand-in of a managed platform and returns once
-// they have their configuration. An error leaves nothing running.
+// StartManaged starts a stand-in for a managed platform with replicas, and routers that
+// use it. It returns once every router is ready. If it fails, nothing is left running.
 func StartManaged(ctx context.Context, routers int, log *slog.Logger) (*Managed, error) {
 	m := &Managed{store: managed.StartStore()}
 	if err := m.start(ctx, routers, log); err != nil {
@@ -43,7 +43,7 @@
 }
 
 func (m *Managed) start(ctx context.Context, routers int, log *slog.Logger) error {
-	m.store.Put(wire.TableOperator, wire.KeyConfig, managed.Demo(demoVersion))
+	m.store.Put(wire.TableOperator, wire.KeyConfig, managed.Demo(demoConfigVersion))
 	if err := m.startReplicas(); err != nil {
 		return err
 	}
@@ -68,10 +68,10 @@
 
 func (m *Managed) startReplicas() error {
 	journal := &managed.Journal{}
-	for n := range demoReplicas {
+	for n := range demoReplicasPerService {
 		for _, options := range []managed.ReplicaOptions{
-			{ID: fmt.Sprintf("ops-%d", n+1), Service: managed.DemoService, Slots: demoSlots, Pause: demoWork},
-			{ID: fmt.Sprintf("gen-%d", n+1), Service: managed.DemoEngine, Slots: demoSlots, Events: demoEvents, Pause: demoPause},
+			{ID: fmt.Sprintf("ops-%d", n+1), Service: managed.DemoService, Slots: demoSlots, Pause: demoServiceTime},
+			{ID: fmt.Sprintf("gen-%d", n+1), Service: managed.DemoEngine, Slots: demoSlots, Events: demoStreamEvents, Pause: demoEventPause},
 		} {
 			replica, err := managed.StartReplica(m.store, journal, options)
 			if err != nil {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// ManagedSettings are the settings of a router on loopback whose platform's store is
-// at an address.
+// ManagedSettings returns the settings of a router on loopback that uses the managed
+// platform's store at an address.
 func ManagedSettings(name, store string) settings.Settings {
 	s := settings.Defaults()
 	s.Node = settings.Node{Name: name, DataCentre: "dc"}
@@ -98,7 +98,7 @@
 	return s
 }
 
-// Welcome tells how to try the fleet: lines that work as they stand.
+// Welcome returns instructions for trying the fleet, with command lines ready to copy.
 func (m *Managed) Welcome() string {
 	address := m.Routers[0].CallersAddress()
 	line := func(path, id string) string {
@@ -111,7 +111,7 @@
 		fmt.Sprintf("  curl http://%s/metrics\nCtrl-C drains it.\n", m.Routers[0].OperatorsAddress())
 }
 
-// Shutdown drains the routers and ends the stand-ins.
+// Shutdown drains the routers one after another and then stops the stand-ins.
 func (m *Managed) Shutdown(ctx context.Context) error {
 	defer m.close()
 	var errs []error
--- a/devfleet/metrics_test.go
+++ b/devfleet/metrics_test.go
@@ -24,28 +24,28 @@
 
 const metricsPage = "../docs/METRICS.md"
 
-// readers are the folders whose code reads metrics and exports none.
-var readers = []string{"bench", "proctest", "load", "ctl"}
+// foldersWithoutMetrics are the folders whose code reads metrics but exports none.
+var foldersWithoutMetrics = []string{"bench", "proctest", "load", "ctl"}
 
-// afterEvent are the metrics that appear with an event that the test does not
-// bring about. All others must be exported.
-var afterEvent = []string{
+// notExportedHere are the metrics that are exported only after an event that the test
+// does not cause. All others must be exported.
+var notExportedHere = []string{
 	"walnut_batch_refusals_total",
 	"walnut_platform_errors_total",
 	"walnut_platform_retries_total",
 	// Calls to a managed platform, which this fleet does not run on.
 	"walnut_platform_store_calls_total",
-	// Of a managed platform's feeds; managedtest looks for them.
+	// For a managed platform's feeds; managedtest checks them.
 	"walnut_directory_answer_age_seconds",
 	"walnut_directory_call_age_seconds",
 	"walnut_directory_stale_seconds",
 	"walnut_directory_era",
-	// Measured on a managed platform only; an empty histogram is not exported.
+	// Measured on a managed platform only, and an empty histogram is not exported.
 	"walnut_router_lag_seconds",
 }
 
-// TestMetricsPage holds docs/METRICS.md to what a fleet exports and to what
-// stands in the source: names and labels, both ways.
+// TestMetricsPage checks that docs/METRICS.md lists exactly the metrics that a fleet
+// exports or that the source names, with the exported labels.
 func TestMetricsPage(t *testing.T) {
 	documented := documentedMetrics(t)
 	exported := exportedMetrics(t)
@@ -53,7 +53,7 @@
 	for name, labels := range exported {
 		want, ok := documented[name]
 		if !ok {
-			t.Errorf("%s %v is exported and has no row", name, labels)
+			t.Errorf("%s %v is exported but has no row", name, labels)
 			continue
 		}
 		if !slices.Equal(labels, want) {
@@ -62,21 +62,22 @@
 	}
 	for name := range source {
 		if _, ok := documented[name]; !ok {
-			t.Errorf("%s stands in the source and has no row", name)
+			t.Errorf("%s is named in the source but has no row", name)
 		}
 	}
 	for name := range documented {
 		_, found := exported[name]
 		switch {
 		case !found && !source[name]:
-			t.Errorf("%s has a row and does not exist", name)
-		case !found && !slices.Contains(afterEvent, name):
-			t.Errorf("%s stands in the source and is not exported", name)
+			t.Errorf("%s has a row but does not exist", name)
+		case !found && !slices.Contains(notExportedHere, name):
+			t.Errorf("%s is named in the source but is not exported", name)
 		}
 	}
 }
 
-// TestMetricNames holds every documented name to the page's own rules.
+// TestMetricNames checks every documented name against the naming rules of
+// docs/METRICS.md.
 func TestMetricNames(t *testing.T) {
 	shape := regexp.MustCompile(`^walnut_[a-z]+(_[a-z]+)+$`)
 	for name, labels := range documentedMetrics(t) {
@@ -85,7 +86,7 @@
 		}
 		for _, kind := range []string{"_refusals_total", "_retries_total"} {
 			if strings.HasSuffix(name, kind) && !slices.Contains(labels, "reason") {
-				t.Errorf("%s has no reason", name)
+				t.Errorf("%s has no label reason", name)
 			}
 		}
 	}
@@ -101,29 +102,29 @@
 	}
 	row := regexp.MustCompile("(?m)^\\| `(walnut_[a-z_]+)` \\| (counter|gauge|histogram) \\|([^|]*)\\| ([^|]+) \\| [^|]+ \\|$")
 	label := regexp.MustCompile("`([a-z_]+)`")
-	found := make(map[string][]string)
+	labelsByName := make(map[string][]string)
 	for _, match := range row.FindAllStringSubmatch(string(page), -1) {
 		name, kind := match[1], match[2]
-		if _, twice := found[name]; twice {
+		if _, twice := labelsByName[name]; twice {
 			t.Errorf("%s has two rows", name)
 		}
 		if total := strings.HasSuffix(name, "_total"); total != (kind == "counter") {
-			t.Errorf("%s is a %s", name, kind)
+			t.Errorf("%s is documented as a %s, but only counters end in _total", name, kind)
 		}
-		found[name] = []string{}
+		labelsByName[name] = []string{}
 		for _, l := range label.FindAllStringSubmatch(match[3], -1) {
-			found[name] = append(found[name], l[1])
+			labelsByName[name] = append(labelsByName[name], l[1])
 		}
-		slices.Sort(found[name])
+		slices.Sort(labelsByName[name])
 	}
-	if rows := strings.Count(string(page), "\n| `walnut_"); rows != len(found) {
-		t.Errorf("%d of %d rows can be read", len(found), rows)
+	if rows := strings.Count(string(page), "\n| `walnut_"); rows != len(labelsByName) {
+		t.Errorf("only %d of %d rows have the expected form", len(labelsByName), rows)
 	}
-	return found
+	return labelsByName
 }
 
-// exportedMetrics runs a fleet, sends it some requests of each kind and reads
-// /metrics. It returns the labels of each metric, without those of histograms.
+// exportedMetrics runs a fleet, sends it some requests of each kind and reads /metrics.
+// It returns the labels of each metric, without the ranges of histogram buckets.
 func exportedMetrics(t *testing.T) map[string][]string {
 	t.Helper()
 	fleet := startFleet(t, devfleet.Options{})
@@ -131,31 +132,31 @@
 	defer cancel()
 	run := load.Run{Routers: callerAddresses(fleet), Callers: 5, Requests: 60, Seed: 3, Next: mixedRequest}
 	if summary := run.Do(ctx); summary.Count(load.Answered) != run.Requests {
-		t.Fatalf("not all were answered: %v", summary)
+		t.Fatalf("not all requests were answered: %v", summary)
 	}
-	replayAndRefuse(t, fleet)
+	sendReplayAndMismatch(t, fleet)
 	response, err := http.Get("http://" + fleet.Routers[0].OperatorsAddress() + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	found := make(map[string][]string)
+	labelsByName := make(map[string][]string)
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "walnut_") {
 			name, labels := parseSample(t, lines.Text())
-			found[name] = labels
+			labelsByName[name] = labels
 		}
 	}
 	if err := lines.Err(); err != nil {
 		t.Fatal(err)
 	}
-	return found
+	return labelsByName
 }
 
-// replayAndRefuse sends a non-idempotent call twice, and one more with the
-// same key and other content.
-func replayAndRefuse(t *testing.T, fleet *devfleet.Fleet) {
+// sendReplayAndMismatch sends a non-idempotent call twice, which replays the answer, and
+// then one with the same key but another body, which is refused.
+func sendReplayAndMismatch(t *testing.T, fleet *devfleet.Fleet) {
 	t.Helper()
 	for _, body := range []string{"mark:one", "mark:one", "mark:other"} {
 		url := "http://" + fleet.Routers[0].CallersAddress() + devfleet.ServicePath + "/site"
@@ -173,30 +174,31 @@
 	}
 }
 
-// parseSample reads a line `name{label="value",...} number`.
+// parseSample parses a line `name{label="value",...} number` into the metric's name and
+// labels.
 func parseSample(t *testing.T, line string) (string, []string) {
 	t.Helper()
 	head, _, _ := strings.Cut(line, " ")
-	name, text, labelled := strings.Cut(head, "{")
+	name, labelText, labelled := strings.Cut(head, "{")
 	labels := []string{}
 	if labelled {
-		for _, match := range regexp.MustCompile(`([a-z_]+)="`).FindAllStringSubmatch(text, -1) {
+		for _, match := range regexp.MustCompile(`([a-z_]+)="`).FindAllStringSubmatch(labelText, -1) {
 			labels = append(labels, match[1])
 		}
 	}
 	slices.Sort(labels)
-	withoutRange := slices.DeleteFunc(labels, func(l string) bool { return l == "vmrange" })
+	withoutVMRange := slices.DeleteFunc(labels, func(l string) bool { return l == "vmrange" })
 	for _, suffix := range []string{"_bucket", "_sum", "_count"} {
 		if base, ok := strings.CutSuffix(name, suffix); ok {
-			return base, withoutRange
+			return base, withoutVMRange
 		}
 	}
-	return name, withoutRange
+	return name, withoutVMRange
 }
 
-// sourceMetrics returns the names that begin string literals of the source. A
-// literal that ends in "_" is the beginning of several names, which /metrics
-// must tell.
+// sourceMetrics returns the metric names at the beginning of string literals in the
+// source. A literal that ends in "_" is only the prefix of several names, which are
+// known from /metrics alone, so it is left out.
 func sourceMetrics(t *testing.T) map[string]bool {
 	t.Helper()
 	found := make(map[string]bool)
@@ -206,7 +208,7 @@
 		if err != nil {
 			return err
 		}
-		if entry.IsDir() && slices.Contains(readers, path) {
+		if entry.IsDir() && slices.Contains(foldersWithoutMetrics, path) {
 			return fs.SkipDir
 		}
 		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
--- a/devfleet/operator_test.go
+++ b/devfleet/operator_test.go
@@ -10,7 +10,8 @@
 	"github.com/walnutcove/walnutcove/devfleet"
 )
 
-// TestDrainThroughAnotherRouter drains vm-2 by an order given to vm-1.
+// TestDrainThroughAnotherRouter drains vm-2 by a request to vm-1's operator API and
+// checks that vm-1 does not drain.
 func TestDrainThroughAnotherRouter(t *testing.T) {
 	fleet := startFleet(t, devfleet.Options{Routers: 2, Engines: 1})
 	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -35,7 +36,7 @@
 	}
 }
 
-// orderDrain asks vm-1 to drain a router.
+// orderDrain requests the drain of a router through vm-1.
 func orderDrain(t *testing.T, fleet *devfleet.Fleet, node string) (status int, body string) {
 	t.Helper()
 	url := "http://" + fleet.Routers[0].OperatorsAddress() + "/operator/v1/drain"
--- a/devfleet/orders_test.go
+++ b/devfleet/orders_test.go
@@ -12,9 +12,10 @@
 	"github.com/walnutcove/walnutcove/devfleet"
 )
 
-// TestDeclaredStateIsOrdered declares models and a role in a fleet without any
-// traffic. The routers that schedule the engines order them.
-func TestDeclaredStateIsOrdered(t *testing.T) {
+// TestDeclaredModelsAndRolesAreOrdered declares models and roles for the engines of a
+// fleet without any traffic, and checks that the routers that schedule the engines send
+// the orders, fenced by the configuration version.
+func TestDeclaredModelsAndRolesAreOrdered(t *testing.T) {
 	fleet := startFleet(t, devfleet.Options{})
 	changes, err := json.Marshal(map[string]any{"targets": map[string]any{
 		"engine-1": map[string]any{"load_models": []string{devfleet.Model, "walnut-small@2/tone"}, "role": "prefill"},
--- a/devfleet/welcome.go
+++ b/devfleet/welcome.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Welcome returns what a developer needs to try a fleet: its addresses and
-// curl lines that work as they stand.
+// Welcome returns instructions for trying a fleet: its addresses, and command lines
+// ready to copy.
 func Welcome(f *Fleet) string {
 	var b strings.Builder
 	for n, r := range f.Routers {
--- a/devfleet/writers_test.go
+++ b/devfleet/writers_test.go
@@ -13,9 +13,9 @@
 	"github.com/walnutcove/walnutcove/store/forward"
 )
 
-// TestWritersCommitForOthers runs service calls through a fleet that is large
-// enough to have writers, until one has committed for another router. Each call
-// is answered and runs once.
+// TestWritersCommitForOthers sends service calls through a fleet that is large enough to
+// have writers, until a writer has committed for another router. Each call must be
+// answered and run once.
 func TestWritersCommitForOthers(t *testing.T) {
 	fleet := startFleet(t, devfleet.Options{Routers: forward.LocalMembers + 1, Services: 2, ServiceSlots: 32})
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -45,7 +45,8 @@
 	}
 }
 
-// serviceCall makes service calls whose keys are numbered from first.
+// serviceCall returns a function that creates service calls with keys numbered from
+// first+1.
 func serviceCall(first int) func(int, *rand.Rand) load.Request {
 	return func(n int, random *rand.Rand) load.Request {
 		r := mixedRequest(int(load.Service), random)
