--- a/deploy/template_test.go
+++ b/deploy/template_test.go
@@ -1,4 +1,4 @@
-// Package deploy tests the settings template of this folder.
+// Package deploy tests the settings template in this folder.
 package deploy
 
 import (
@@ -14,12 +14,12 @@
 	"github.com/walnutcove/walnutcove/settings"
 )
 
-// fields is what a platform fills in, by dotted name. Values stand as the platform
-// writes them.
+// fields holds the values that a platform fills in, keyed by dotted name. Values are in
+// the form in which the platform writes them.
 type fields map[string]string
 
-// complete holds every field that the template names.
-var complete = fields{
+// completeFields has a value for every field that the template names, except tables.
+var completeFields = fields{
 	"node_name":                 "edge-1",
 	"zone":                      "ikeja",
 	"region":                    "lagos",
@@ -43,10 +43,10 @@
 	"bounds.cold_slack":         "5",
 }
 
-// numbers are the fields that are numbers, with the keys that they set. All but the keys
-// in whole may have a fraction.
+// numberKeys maps the numeric fields to the settings keys that they set. All keys but
+// integerKey may have a fraction.
 var (
-	numbers = map[string]string{
+	numberKeys = map[string]string{
 		"limits.cpu_share":          "node.cores",
 		"limits.memory_mb":          "limits.memory_mib",
 		"limits.max_fds":            "limits.max_descriptors",
@@ -60,10 +60,10 @@
 		"bounds.cold_overshoot":     "scheduling.cold_factor",
 		"bounds.cold_slack":         "scheduling.cold_slack",
 	}
-	whole = "limits.max_descriptors"
+	integerKey = "limits.max_descriptors"
 )
 
-// tables holds the fields that are tables with string values.
+// tables holds the values of the fields that are tables of strings.
 var tables = map[string]map[string]string{"zones": {"ikeja": "lagos", "lekki": "lagos", "odd zone": "a \"region\""}}
 
 // renderEach renders a section once for each entry of a table.
@@ -80,14 +80,14 @@
 	return out.String()
 }
 
-// with returns the fields with some replaced.
+// with returns a copy of the fields with one value replaced.
 func (f fields) with(name, value string) fields {
 	changed := maps.Clone(f)
 	changed[name] = value
 	return changed
 }
 
-// without returns the fields without one.
+// without returns a copy of the fields with one removed.
 func (f fields) without(name string) fields {
 	changed := maps.Clone(f)
 	delete(changed, name)
@@ -95,22 +95,22 @@
 }
 
 var (
-	section     = regexp.MustCompile(`(?s)\{\{#([a-z_.0-9]+)\}\}\n?(.*?)\{\{/([a-z_.0-9]+)\}\}\n?`)
-	placeholder = regexp.MustCompile(`\{\{([a-z_.0-9]+)(\|json)?\}\}`)
+	sectionPattern     = regexp.MustCompile(`(?s)\{\{#([a-z_.0-9]+)\}\}\n?(.*?)\{\{/([a-z_.0-9]+)\}\}\n?`)
+	placeholderPattern = regexp.MustCompile(`\{\{([a-z_.0-9]+)(\|json)?\}\}`)
 )
 
-// render fills in the template as the platform does: a section stands if its field has
-// a value, and a field without a value leaves nothing.
+// render fills in the template as the platform does: a section is kept only if its field
+// has a value, and a field without a value is replaced by nothing.
 func render(t *testing.T, f fields) []byte {
 	t.Helper()
 	text, err := os.ReadFile("walnutd.toml.template")
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := section.ReplaceAllStringFunc(string(text), func(match string) string {
-		parts := section.FindStringSubmatch(match)
+	withoutSections := sectionPattern.ReplaceAllStringFunc(string(text), func(match string) string {
+		parts := sectionPattern.FindStringSubmatch(match)
 		if parts[1] != parts[3] {
-			t.Fatalf("section %s ends as %s", parts[1], parts[3])
+			t.Fatalf("section %s is closed as %s", parts[1], parts[3])
 		}
 		if table, isTable := tables[parts[1]]; isTable {
 			return renderEach(t, parts[2], table)
@@ -120,8 +120,8 @@
 		}
 		return parts[2]
 	})
-	return []byte(placeholder.ReplaceAllStringFunc(whole, func(match string) string {
-		parts := placeholder.FindStringSubmatch(match)
+	return []byte(placeholderPattern.ReplaceAllStringFunc(withoutSections, func(match string) string {
+		parts := placeholderPattern.FindStringSubmatch(match)
 		value := f[parts[1]]
 		if parts[2] == "" {
 			return value
@@ -134,24 +134,24 @@
 	}))
 }
 
-// TestTemplateLoads renders the template for platforms that write their numbers in many
-// ways, and loads the result.
+// TestTemplateLoads renders the template with numbers in the forms in which platforms
+// may write them, and without each of them, and checks that the result can be loaded.
 func TestTemplateLoads(t *testing.T) {
-	for field, key := range numbers {
+	for field, key := range numberKeys {
 		values := []string{"1", "1.0", "630.5", "86400", "86400.0"}
-		if key == whole {
+		if key == integerKey {
 			values = []string{"1", "4100.0", "1000000", "1000000.0"}
 		}
 		for _, value := range values {
-			if _, err := settings.Parse(render(t, complete.with(field, value))); err != nil {
+			if _, err := settings.Parse(render(t, completeFields.with(field, value))); err != nil {
 				t.Errorf("%s = %s: %v", field, value, err)
 			}
 		}
-		if _, err := settings.Parse(render(t, complete.without(field))); err != nil {
+		if _, err := settings.Parse(render(t, completeFields.without(field))); err != nil {
 			t.Errorf("without %s: %v", field, err)
 		}
 	}
-	loaded, err := settings.Parse(render(t, complete.with("a_new_field", "{}")))
+	loaded, err := settings.Parse(render(t, completeFields.with("a_new_field", "{}")))
 	if err != nil {
 		t.Fatalf("with a new field: %v", err)
 	}
@@ -160,12 +160,12 @@
 	}
 }
 
-// TestTemplateNamesWhatIsWrong: a value that cannot be used ends with one line that names
-// its key.
-func TestTemplateNamesWhatIsWrong(t *testing.T) {
-	for field, key := range numbers {
+// TestTemplateErrorsNameTheKey checks that loading a value that cannot be used fails
+// with an error of one line that names the value's key.
+func TestTemplateErrorsNameTheKey(t *testing.T) {
+	for field, key := range numberKeys {
 		for _, value := range []string{"", "none", "-1", "1.5.0", "{}"} {
-			_, err := settings.Parse(render(t, complete.with(field, value)))
+			_, err := settings.Parse(render(t, completeFields.with(field, value)))
 			if err == nil && value == "" && strings.HasPrefix(key, "limits.") {
 				continue
 			}
@@ -183,9 +183,9 @@
 		"internal_ports.0": "listen.peers",
 		"internal_ports.1": "listen.operators",
 	} {
-		_, err := settings.Parse(render(t, complete.with(field, "not so")))
+		_, err := settings.Parse(render(t, completeFields.with(field, "not so")))
 		if field == "node_name" || field == "zone" {
-			_, err = settings.Parse(render(t, complete.with(field, "")))
+			_, err = settings.Parse(render(t, completeFields.with(field, "")))
 		}
 		if err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: error %v does not name %s", field, err, key)
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestTemplateValues: what a platform says arrives at the settings.
-func TestTemplateValues(t *testing.T) {
-	s, err := settings.Parse(render(t, complete.with("bounds.retry_slack", "630.5").with("bounds.grace_s", "2")))
+// TestTemplateSetsValues checks that the platform's values arrive in the settings.
+func TestTemplateSetsValues(t *testing.T) {
+	s, err := settings.Parse(render(t, completeFields.with("bounds.retry_slack", "630.5").with("bounds.grace_s", "2")))
 	if err != nil {
 		t.Fatal(err)
 	}
