--- a/load/run.go
+++ b/load/run.go
@@ -64,6 +64,7 @@
 	return summary
 }
 
+// sendRequests is one caller: it sends requests until Requests are sent or ctx ends.
 func (run Run) sendRequests(ctx context.Context, client *Client, caller uint64, sent *atomic.Int64, summary *Summary) {
 	random := rand.New(rand.NewPCG(run.Seed, caller))
 	for ctx.Err() == nil {
--- a/load/send.go
+++ b/load/send.go
@@ -130,6 +130,8 @@
 	return n, err
 }
 
+// failedResult returns the result of a request that failed without a complete
+// response.
 func failedResult(result Result, err error) Result {
 	result.Verdict = Broken
 	result.Detail = err.Error()
@@ -153,6 +155,7 @@
 	} `json:"error"`
 }
 
+// classifyResponse returns the result of a request that got a complete response.
 func classifyResponse(result Result, response *fasthttp.Response, body []byte) Result {
 	if response.StatusCode() == fasthttp.StatusOK {
 		result.Detail = result.Request.checkBody(body)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -103,6 +103,7 @@
 	return true
 }
 
+// wakeStepLoop wakes the step loop if it waits for work.
 func (e *Engine) wakeStepLoop() {
 	select {
 	case e.workAdded <- struct{}{}:
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	if got := a.Choices[0].Message.Content; got != ExpectedText(prompt, 20) {
-		t.Fatalf("whole text is %q", got)
+		t.Fatalf("non-streamed text is %q", got)
 	}
 }
 
--- a/standin/engine/reader.go
+++ b/standin/engine/reader.go
@@ -9,7 +9,8 @@
 )
 
 // reader is the body of a streamed answer: it yields the events of a run's tokens
-// as they are generated. Closing it before the end cancels the run.
+// as they are generated. For an answer that is not streamed it only waits for the
+// tokens. Closing it before the end cancels the run.
 type reader struct {
 	engine *Engine
 	run    *run
--- a/standin/managed/replica.go
+++ b/standin/managed/replica.go
@@ -34,7 +34,7 @@
 	Pause  time.Duration
 	// Advertise, if set, returns the address to register, given the one that the
 	// replica listens on. Default: the replica registers the latter.
-	Advertise func(listens string) (string, error)
+	Advertise func(listenAddress string) (string, error)
 	ReplicaFaults
 }
 
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -129,7 +129,7 @@
 	return s.reads.allow(1)
 }
 
-// allowWrite reports whether the rate limits allow one more write of so many rows.
+// allowWrite reports whether the rate limits allow one more write of that many rows.
 func (s *faultState) allowWrite(rows int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/platform/journal.go
+++ b/standin/platform/journal.go
@@ -40,7 +40,7 @@
 
 // journal keeps the latest applied writes in the order of their application.
 type journal struct {
-	max     int
+	max     int // entries kept at least
 	started time.Time
 
 	mu      sync.Mutex
