--- a/bench/capacity/processes.go
+++ b/bench/capacity/processes.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if failed := len(summary.Faults()); failed > 0 {
+	if failed := len(summary.Failures()); failed > 0 {
 		return nil, fmt.Errorf("requests failed: %v", summary)
 	}
 	return after.since(before, o.Duration), nil
--- a/bench/entry/entry.go
+++ b/bench/entry/entry.go
@@ -60,8 +60,8 @@
 var loads = []load{
 	{name: "stream", path: managed.DemoStreamPrefix + "page", key: managed.DemoKey},
 	{name: "stream, new connection each", path: managed.DemoStreamPrefix + "page", key: managed.DemoKey, reconnects: true},
-	{name: "whole answer", path: managed.DemoOncePrefix + "deploy", key: managed.DemoKey},
-	{name: "refused", path: managed.DemoOncePrefix + "deploy", key: "no key", reconnects: true},
+	{name: "whole answer", path: managed.DemoNonIdempotentPrefix + "deploy", key: managed.DemoKey},
+	{name: "refused", path: managed.DemoNonIdempotentPrefix + "deploy", key: "no key", reconnects: true},
 }
 
 // Run makes the measurement and writes a table.
@@ -92,7 +92,7 @@
 }
 
 func startReplicas(store *managed.Store, o Options) error {
-	configured := managed.Demo(1)
+	configured := managed.DemoConfig(1)
 	for n := range configured.Services {
 		if engine := configured.Services[n].Engine; engine != nil {
 			engine.Slots = slots
@@ -206,7 +206,7 @@
 		}
 		switch {
 		case ctx.Err() != nil:
-		case answer.Whole && (answer.Status == 200) == served:
+		case answer.Complete && (answer.Status == 200) == served:
 			c.answered.Add(1)
 		default:
 			c.wrong.Add(1)
--- a/bench/fair/fair.go
+++ b/bench/fair/fair.go
@@ -147,8 +147,8 @@
 	row.Shape = s.Name
 	row.Routers = o.Routers
 	row.Control = after.Since(before, time.Since(start))
-	row.FirstP50 = summary.FirstPart(50)
-	row.FirstP99 = summary.FirstPart(99)
+	row.FirstP50 = summary.FirstPartLatency(50)
+	row.FirstP99 = summary.FirstPartLatency(99)
 	row.Answered = summary.Count(load.Answered)
 	row.Refused = summary.Count(load.Refused)
 	row.Failed = summary.Count(load.Broken) + summary.Count(load.Wrong) + summary.Count(load.Unreachable)
--- a/bench/faults/list.go
+++ b/bench/faults/list.go
@@ -105,11 +105,11 @@
 func slowed(s *scene) error { return s.setFault(engine.Faults{SlowFactor: slowFactor}) }
 
 func saysIdle(s *scene) error {
-	return s.setFault(engine.Faults{LieLoad: &targets.Load{Slots: s.deployment.Slots}})
+	return s.setFault(engine.Faults{FalseLoad: &targets.Load{Slots: s.deployment.Slots}})
 }
 
 func saysFull(s *scene) error {
-	return s.setFault(engine.Faults{LieLoad: &targets.Load{
+	return s.setFault(engine.Faults{FalseLoad: &targets.Load{
 		Running: s.deployment.Slots, Queued: lieQueued, Slots: s.deployment.Slots,
 	}})
 }
--- a/bench/latency/latency.go
+++ b/bench/latency/latency.go
@@ -61,8 +61,8 @@
 				return fmt.Errorf("%s: %v", way.name, summary)
 			}
 			fmt.Fprintf(out, "%d  %-8s  %v  %v  %v  %v  %v  %v\n", repeat+1, way.name,
-				summary.FirstPart(50), summary.FirstPart(95), summary.FirstPart(99),
-				summary.Whole(50), summary.Whole(95), summary.Whole(99))
+				summary.FirstPartLatency(50), summary.FirstPartLatency(95), summary.FirstPartLatency(99),
+				summary.TotalLatency(50), summary.TotalLatency(95), summary.TotalLatency(99))
 		}
 	}
 	return nil
--- a/bench/refusals/wave.go
+++ b/bench/refusals/wave.go
@@ -70,7 +70,7 @@
 
 func (o Options) request(mark string) load.Request {
 	return load.Request{
-		Kind: load.Whole, Workspace: workspace, Key: key, Mark: mark, Model: model, MaxTokens: o.Tokens,
+		Kind: load.NonStreaming, Workspace: workspace, Key: key, Mark: mark, Model: model, MaxTokens: o.Tokens,
 	}
 }
 
--- a/bench/throughput/throughput.go
+++ b/bench/throughput/throughput.go
@@ -85,8 +85,8 @@
 	cost := (after - before).Seconds() * 1e6 / float64(answered)
 	fmt.Fprintf(out, "%7d  %6d  %10.0f  %8.0f  %15.0f  %v  %v  %v  %v  %v\n",
 		callers, repeat, rate, rate*float64(o.Tokens), cost,
-		summary.FirstPart(50), summary.FirstPart(95), summary.FirstPart(99),
-		summary.Whole(50), summary.Whole(99))
+		summary.FirstPartLatency(50), summary.FirstPartLatency(95), summary.FirstPartLatency(99),
+		summary.TotalLatency(50), summary.TotalLatency(99))
 	return nil
 }
 
--- a/devfleet/demo.go
+++ b/devfleet/demo.go
@@ -11,7 +11,7 @@
 
 // DemoWorkspaces returns two workspaces for demonstrations: "bakery" with twice the
 // share of "school".
-func Demo() map[string]config.Workspace {
+func DemoWorkspaces() map[string]config.Workspace {
 	return map[string]config.Workspace{
 		"bakery": Workspace("bakery", 2),
 		"school": Workspace("school", 1),
--- a/devfleet/fleet.go
+++ b/devfleet/fleet.go
@@ -42,7 +42,7 @@
 	Workspaces map[string]config.Workspace
 	// EditSettings, if set, changes the settings of router n (from 0) before it
 	// starts.
-	Edit func(n int, s *settings.Settings)
+	EditSettings func(n int, s *settings.Settings)
 	// Log receives the routers' log messages. Default slog.Default().
 	Log *slog.Logger
 }
@@ -103,7 +103,7 @@
 	setDefault(&o.EngineSlots, 8)
 	setDefault(&o.ServiceSlots, 4)
 	if o.Workspaces == nil {
-		o.Workspaces = Demo()
+		o.Workspaces = DemoWorkspaces()
 	}
 	if o.Log == nil {
 		o.Log = slog.Default()
@@ -200,8 +200,8 @@
 	s.Listen = settings.Listen{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Peers: "127.0.0.1:0"}
 	s.Platform.Address = f.platformAddress
 	s.Platform.VMListEvery = settings.Duration(200 * time.Millisecond)
-	if f.options.Edit != nil {
-		f.options.Edit(number, &s)
+	if f.options.EditSettings != nil {
+		f.options.EditSettings(number, &s)
 	}
 	r, err := router.Start(s, f.options.Log)
 	if err != nil {
--- a/devfleet/fleet_test.go
+++ b/devfleet/fleet_test.go
@@ -75,7 +75,7 @@
 	t.Logf("%v", summary)
 	if answered := summary.Count(load.Answered); answered != requests {
 		t.Errorf("answered %d of %d: %v", answered, requests, summary)
-		for _, fault := range summary.Faults() {
+		for _, fault := range summary.Failures() {
 			t.Logf("%s at %s: %s code %d: %s", fault.Request.Mark, fault.Router, fault.Verdict, fault.Code, fault.Detail)
 		}
 	}
@@ -132,7 +132,7 @@
 	got := <-summary
 	if got.Count(load.Broken)+got.Count(load.Wrong)+got.Count(load.Unreachable) > 0 {
 		t.Errorf("requests were broken or did not reach a router: %v", got)
-		for _, fault := range got.Faults() {
+		for _, fault := range got.Failures() {
 			t.Logf("%s: %s %s", fault.Request.Mark, fault.Verdict, fault.Detail)
 		}
 	}
@@ -148,7 +148,7 @@
 	client := load.NewClient(testTimeout)
 	defer client.Close()
 	request := load.Request{
-		Kind:      load.Whole,
+		Kind:      load.NonStreaming,
 		Key:       devfleet.DemoKey("bakery"),
 		Mark:      "a",
 		Model:     devfleet.Model,
--- a/devfleet/log_test.go
+++ b/devfleet/log_test.go
@@ -78,7 +78,7 @@
 	t.Cleanup(fleet.Close)
 	client := load.NewClient(testTimeout)
 	defer client.Close()
-	request := load.Request{Kind: load.Whole, Key: devfleet.DemoKey("bakery"), Mark: "a", Model: devfleet.Model, MaxTokens: 3}
+	request := load.Request{Kind: load.NonStreaming, Key: devfleet.DemoKey("bakery"), Mark: "a", Model: devfleet.Model, MaxTokens: 3}
 	answered := client.Send(fleet.Routers[0].CallersAddress(), request)
 	if answered.Verdict != load.Answered {
 		t.Fatalf("got %+v", answered)
--- a/devfleet/managed.go
+++ b/devfleet/managed.go
@@ -24,7 +24,7 @@
 )
 
 // ManagedFleet is a small fleet in one process, on a stand-in for a managed platform.
-type Managed struct {
+type ManagedFleet struct {
 	Routers []*router.Router
 	store   *managed.Store
 	// replicas are closed by Shutdown.
@@ -33,8 +33,8 @@
 
 // StartManaged starts a stand-in for a managed platform with replicas, and routers that
 // use it. It returns once every router is ready. If it fails, nothing is left running.
-func StartManaged(ctx context.Context, routers int, log *slog.Logger) (*Managed, error) {
-	m := &Managed{store: managed.StartStore()}
+func StartManaged(ctx context.Context, routers int, log *slog.Logger) (*ManagedFleet, error) {
+	m := &ManagedFleet{store: managed.StartStore()}
 	if err := m.start(ctx, routers, log); err != nil {
 		m.close()
 		return nil, err
@@ -42,8 +42,8 @@
 	return m, nil
 }
 
-func (m *Managed) start(ctx context.Context, routers int, log *slog.Logger) error {
-	m.store.Put(wire.TableOperator, wire.KeyConfig, managed.Demo(demoConfigVersion))
+func (m *ManagedFleet) start(ctx context.Context, routers int, log *slog.Logger) error {
+	m.store.Put(wire.TableOperator, wire.KeyConfig, managed.DemoConfig(demoConfigVersion))
 	if err := m.startReplicas(); err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func (m *Managed) startReplicas() error {
+func (m *ManagedFleet) startReplicas() error {
 	journal := &managed.Journal{}
 	for n := range demoReplicasPerService {
 		for _, options := range []managed.ReplicaOptions{
@@ -99,20 +99,20 @@
 }
 
 // Welcome returns instructions for trying the fleet, with command lines ready to copy.
-func (m *Managed) Welcome() string {
+func (m *ManagedFleet) Welcome() string {
 	address := m.Routers[0].CallersAddress()
 	line := func(path, id string) string {
 		return fmt.Sprintf("  curl -N -X POST http://%s%s -H 'Host: %s' -H '%s: %s' -H '%s: %s' -d body\n",
 			address, path, managed.DemoHost, wire.HeaderKey, managed.DemoKey, wire.HeaderRequestID, id)
 	}
 	return fmt.Sprintf("%d routers on a managed platform's stand-in. Try:\n", len(m.Routers)) +
-		line(managed.DemoOncePrefix+"deploy", "first") +
+		line(managed.DemoNonIdempotentPrefix+"deploy", "first") +
 		line(managed.DemoStreamPrefix+"page", "second") +
 		fmt.Sprintf("  curl http://%s/metrics\nCtrl-C drains it.\n", m.Routers[0].OperatorsAddress())
 }
 
 // Shutdown drains the routers one after another and then stops the stand-ins.
-func (m *Managed) Shutdown(ctx context.Context) error {
+func (m *ManagedFleet) Shutdown(ctx context.Context) error {
 	defer m.close()
 	var errs []error
 	for _, r := range m.Routers {
@@ -121,7 +121,7 @@
 	return errors.Join(errs...)
 }
 
-func (m *Managed) close() {
+func (m *ManagedFleet) close() {
 	for _, r := range m.Routers {
 		r.Close()
 	}
--- a/load/request.go
+++ b/load/request.go
@@ -25,7 +25,7 @@
 	// Stream is a chat call that is answered with server-sent events.
 	Stream Kind = iota
 	// NonStreaming is a chat call that is answered with a single JSON document.
-	Whole
+	NonStreaming
 	// Service is a call to a plain service, not to an engine.
 	Service
 )
@@ -126,7 +126,7 @@
 	switch r.Kind {
 	case Service:
 		return r.checkService(body)
-	case Whole:
+	case NonStreaming:
 		return r.checkNonStreaming(body)
 	default:
 		return r.checkStream(body)
--- a/load/run.go
+++ b/load/run.go
@@ -138,7 +138,7 @@
 
 // Failures returns the first results that were not answers; later ones are only
 // counted.
-func (s *Summary) Faults() []Result {
+func (s *Summary) Failures() []Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Result(nil), s.failures...)
@@ -146,13 +146,13 @@
 
 // FirstPartLatency returns a percentile (0 to 100) of the time to the first part
 // of the answer, over the answered requests.
-func (s *Summary) FirstPart(percentile float64) time.Duration {
+func (s *Summary) FirstPartLatency(percentile float64) time.Duration {
 	return s.latencyAt(s.firstPart, percentile)
 }
 
 // TotalLatency returns a percentile (0 to 100) of the time to the end of the
 // answer, over the answered requests.
-func (s *Summary) Whole(percentile float64) time.Duration {
+func (s *Summary) TotalLatency(percentile float64) time.Duration {
 	return s.latencyAt(s.total, percentile)
 }
 
--- a/managedtest/answernotice_test.go
+++ b/managedtest/answernotice_test.go
@@ -43,7 +43,7 @@
 	defer l.mu.Unlock()
 	l.router[got.ID] = router
 	l.byStatus[got.Status]++
-	if !got.Whole {
+	if !got.Complete {
 		l.notWhole++
 	}
 	if got.Status != http.StatusOK {
@@ -125,7 +125,7 @@
 			f := startFleet(t, 3, wide("stays"), wide("leaves"))
 			log := f.load(func() {
 				f.store.SetFault(fault)
-				f.replicas[1].SayLeaving()
+				f.replicas[1].AnnounceLeaving()
 			})
 			if len(log.leaving) == 0 {
 				t.Fatal("no answer said that its target leaves")
--- a/managedtest/endintime_test.go
+++ b/managedtest/endintime_test.go
@@ -31,9 +31,9 @@
 }
 
 var hangs = []hang{
-	{name: "slow target", faults: managed.ReplicaFaults{Slower: hangTime}},
+	{name: "slow target", faults: managed.ReplicaFaults{ExtraPause: hangTime}},
 	{name: "silent way", silent: true},
-	{name: "half an answer", faults: managed.ReplicaFaults{HangsMidway: hangTime}},
+	{name: "half an answer", faults: managed.ReplicaFaults{MidAnswerPause: hangTime}},
 }
 
 // hangingFleet is two routers before targets that do not answer in time.
@@ -85,7 +85,7 @@
 				f.awaitVersion()
 				f.caller.Deadline = limit.deadline
 				for _, path := range []string{pathOps, pathSafe, pathGen} {
-					if path == pathGen && h.faults.HangsMidway > 0 {
+					if path == pathGen && h.faults.MidAnswerPause > 0 {
 						continue // streams have no half of a body
 					}
 					f.endsInTime(path)
@@ -130,7 +130,7 @@
 	f := startFleet(t, 1, slow)
 	f.caller.Deadline = shortLimit
 	for _, path := range []string{pathOps, pathSafe} {
-		if got := f.send(f.routers[0], path); got.Status != http.StatusOK || got.Body != managed.WholeAnswer(got.ID) {
+		if got := f.send(f.routers[0], path); got.Status != http.StatusOK || got.Body != managed.ExpectedAnswer(got.ID) {
 			t.Errorf("%s: status %d, %q", path, got.Status, got.Body)
 		}
 	}
@@ -142,7 +142,7 @@
 func TestRunGoesOnBehindItsCallersEnd(t *testing.T) {
 	slow := wide("o1")
 	slow.Slots = 1
-	slow.Slower = hangTime
+	slow.ExtraPause = hangTime
 	f := startFleet(t, 1, slow)
 	f.caller.Deadline = shortLimit
 	got := f.send(f.routers[0], pathOps)
@@ -168,7 +168,7 @@
 // cuts what may not be repeated.
 func TestShutdownWaitsForRunsBehindTheirCallersEnd(t *testing.T) {
 	slow := wide("o1")
-	slow.Slower = hangTime
+	slow.ExtraPause = hangTime
 	f := startFleet(t, 1, slow)
 	f.caller.Deadline = shortLimit
 	sent := time.Now()
--- a/managedtest/evacuation_test.go
+++ b/managedtest/evacuation_test.go
@@ -20,7 +20,7 @@
 	f.store.Put(wire.TableOperator, wire.PrefixEvacuation+zone, struct{}{})
 }
 func (f *fleet) endEvacuation(zone string) {
-	f.store.Drop(wire.TableOperator, wire.PrefixEvacuation+zone)
+	f.store.Delete(wire.TableOperator, wire.PrefixEvacuation+zone)
 }
 
 // sendTo sends a request to a router and returns the replica that ran it; empty if none did.
@@ -53,8 +53,8 @@
 			t.Fatalf("router %d: ran at %q, status %d", n%len(f.routers), replica, status)
 		}
 	}
-	if got := <-streamed; got.Status != http.StatusOK || !got.Whole || got.Body != wholeStream(got.ID) {
-		t.Errorf("stream in the evacuated zone: status %d, whole %v", got.Status, got.Whole)
+	if got := <-streamed; got.Status != http.StatusOK || !got.Complete || got.Body != wholeStream(got.ID) {
+		t.Errorf("stream in the evacuated zone: status %d, whole %v", got.Status, got.Complete)
 	}
 
 	f.evacuate("south")
--- a/managedtest/fleet_test.go
+++ b/managedtest/fleet_test.go
@@ -22,8 +22,8 @@
 // What the fleet serves.
 const (
 	key      = managed.DemoKey
-	pathOps  = managed.DemoOncePrefix + "deploy"
-	pathSafe = managed.DemoSafePrefix + "purge"
+	pathOps  = managed.DemoNonIdempotentPrefix + "deploy"
+	pathSafe = managed.DemoIdempotentPrefix + "purge"
 	pathGen  = managed.DemoStreamPrefix + "page"
 	events   = 8
 
@@ -152,7 +152,7 @@
 // configure publishes the next version, after edit has changed it.
 func (f *fleet) configure(edit func(*wire.Config)) {
 	f.version += 3 // versions rise in uneven steps
-	c := managed.Demo(f.version)
+	c := managed.DemoConfig(f.version)
 	if edit != nil {
 		edit(&c)
 	}
@@ -182,4 +182,4 @@
 }
 
 // wholeStream is the body of a stream that lacks nothing and has nothing twice.
-func wholeStream(id string) string { return managed.WholeStream(id, events) }
+func wholeStream(id string) string { return managed.ExpectedStream(id, events) }
--- a/managedtest/managed_test.go
+++ b/managedtest/managed_test.go
@@ -31,7 +31,7 @@
 		callers.Go(func() {
 			path := paths[n%len(paths)]
 			got := f.send(f.routers[n%len(f.routers)], path)
-			want := managed.WholeAnswer(got.ID)
+			want := managed.ExpectedAnswer(got.ID)
 			if path == pathGen {
 				want = wholeStream(got.ID)
 			}
@@ -41,8 +41,8 @@
 					t.Errorf("%s was told that it did not run, and ran at %s", got.ID, runs[0].Replica)
 				}
 				return
-			case got.Status != http.StatusOK || !got.Whole || got.Body != want:
-				t.Errorf("%s: status %d, whole %v, %q", path, got.Status, got.Whole, got.Body)
+			case got.Status != http.StatusOK || !got.Complete || got.Body != want:
+				t.Errorf("%s: status %d, whole %v, %q", path, got.Status, got.Complete, got.Body)
 			case got.Header.Get(wire.HeaderSeal) == "":
 				t.Errorf("%s has no seal", got.ID)
 			}
@@ -58,13 +58,13 @@
 // of an event goes on at another one, without a gap, a repetition or a torn event.
 func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
 	breaking := gen("breaks")
-	breaking.BreakAfter = 3
+	breaking.BreakAfterEvents = 3
 	f := startFleet(t, 2, breaking, gen("sound"))
 	resumed := 0
 	for range 20 {
 		got := f.send(f.routers[0], pathGen)
-		if got.Status != http.StatusOK || !got.Whole || got.Body != wholeStream(got.ID) {
-			t.Fatalf("status %d, whole %v:\n%s", got.Status, got.Whole, got.Body)
+		if got.Status != http.StatusOK || !got.Complete || got.Body != wholeStream(got.ID) {
+			t.Fatalf("status %d, whole %v:\n%s", got.Status, got.Complete, got.Body)
 		}
 		if runs := f.journal.Runs(got.ID); len(runs) == 2 && runs[1].AfterEvent == "3" {
 			resumed++
@@ -160,13 +160,13 @@
 		}
 		return false
 	})
-	leaving.Leave()
+	leaving.StartLeaving()
 	time.Sleep(1500 * time.Millisecond)
 	cancel()
 	callers.Wait()
 	for _, run := range f.journal.Runs("") {
-		if run.Left > time.Second {
-			t.Fatalf("%s reached the replica %s after it told that it leaves", run.ID, run.Left)
+		if run.LeavingFor > time.Second {
+			t.Fatalf("%s reached the replica %s after it told that it leaves", run.ID, run.LeavingFor)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 // that starts meanwhile has its configuration soon after the store's return.
 func TestOutageOfTheStore(t *testing.T) {
 	f := startFleet(t, 2, ops("o1"))
-	f.store.SetFault(managed.Silent)
+	f.store.SetFault(managed.Unresponsive)
 	for _, r := range f.routers {
 		if got := f.send(r, pathSafe); got.Status != http.StatusOK {
 			t.Errorf("status %d while the store is silent", got.Status)
@@ -192,7 +192,7 @@
 // TestForgottenHistory: a feed whose history is gone is loaded anew.
 func TestForgottenHistory(t *testing.T) {
 	f := startFleet(t, 2, ops("o1"))
-	f.store.SetFault(managed.Forgetful)
+	f.store.SetFault(managed.HistoryLost)
 	f.configure(func(c *wire.Config) { c.Tenants[0].Keys = []string{"another"} })
 	f.eventually(3*time.Second, "the version is in force", func() bool {
 		return f.send(f.routers[0], pathOps).Status == http.StatusUnauthorized
@@ -212,7 +212,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(250*time.Millisecond, cancel)
 		got := f.sendWith(ctx, f.routers[0], pathGen, key)
-		if got.Whole {
+		if got.Complete {
 			t.Fatal("the stream ended before its caller left")
 		}
 		f.eventually(500*time.Millisecond, "the run is cancelled", func() bool {
@@ -227,9 +227,9 @@
 func TestQuietRouterMakesFewCalls(t *testing.T) {
 	f := startFleet(t, 3, ops("o1"))
 	time.Sleep(2 * time.Second) // the routers find each other and begin to follow
-	before, probesBefore, start := f.store.CallsBesideProbes(), f.store.EraProbes(), time.Now()
+	before, probesBefore, start := f.store.CallsExceptEraProbes(), f.store.EraProbes(), time.Now()
 	time.Sleep(2 * time.Second)
-	if made := f.store.CallsBesideProbes() - before; made > 0 {
+	if made := f.store.CallsExceptEraProbes() - before; made > 0 {
 		t.Errorf("%d calls in 2 s of quiet", made)
 	}
 	f.checkEraProbes(f.store.EraProbes()-probesBefore, time.Since(start))
@@ -252,8 +252,8 @@
 	var callers sync.WaitGroup
 	for range 6 {
 		callers.Go(func() {
-			if got := f.send(f.routers[0], pathGen); got.Status != http.StatusOK || !got.Whole || got.Body != wholeStream(got.ID) {
-				t.Errorf("status %d, whole %v: %q", got.Status, got.Whole, got.Body)
+			if got := f.send(f.routers[0], pathGen); got.Status != http.StatusOK || !got.Complete || got.Body != wholeStream(got.ID) {
+				t.Errorf("status %d, whole %v: %q", got.Status, got.Complete, got.Body)
 			}
 		})
 	}
@@ -342,10 +342,10 @@
 			})
 		}
 	}
-	before, probesBefore, start := f.store.CallsBesideProbes(), f.store.EraProbes(), time.Now()
+	before, probesBefore, start := f.store.CallsExceptEraProbes(), f.store.EraProbes(), time.Now()
 	inForce("second")
 	time.Sleep(time.Second) // until the followers have asked again
-	if calls := f.store.CallsBesideProbes() - before; calls > followers {
+	if calls := f.store.CallsExceptEraProbes() - before; calls > followers {
 		t.Errorf("%d calls for a change", calls)
 	}
 	f.checkEraProbes(f.store.EraProbes()-probesBefore, time.Since(start))
--- a/managedtest/restore_test.go
+++ b/managedtest/restore_test.go
@@ -44,13 +44,13 @@
 func (f *fleet) drill(n int) {
 	leaving := f.lasting(fmt.Sprintf("leaves-%d", n))
 	f.awaitTarget(leaving.ID(), false)
-	from := f.store.Copy()
+	from := f.store.Backup()
 	f.configure(nil)
 	f.configure(nil)
 	written := time.Now()
 	lost := f.lasting(fmt.Sprintf("lost-%d", n))
 	f.awaitTarget(lost.ID(), false)
-	leaving.Leave()
+	leaving.StartLeaving()
 	f.awaitTarget(leaving.ID(), true)
 
 	// The newest version may have been written too shortly before to be in force.
@@ -58,7 +58,7 @@
 	for i, r := range f.routers {
 		highest[i] = r.InForce().Version
 	}
-	f.store.SetFault([]managed.Fault{managed.Refusing, managed.Silent}[n%2])
+	f.store.SetFault([]managed.Fault{managed.Refusing, managed.Unresponsive}[n%2])
 	for i, version := range highest {
 		if version < config.Version(f.version) {
 			f.t.Logf("router %d had version %d in force as the store went away, %s after %d was written", i, version, time.Since(written), f.version)
@@ -85,12 +85,12 @@
 			f.t.Errorf("router %d has the news %s after the store's return", i, took)
 		}
 		got := f.send(r, pathOps)
-		if runs := f.journal.Runs(got.ID); got.Status != http.StatusOK || len(runs) != 1 || runs[0].Left > 0 {
+		if runs := f.journal.Runs(got.ID); got.Status != http.StatusOK || len(runs) != 1 || runs[0].LeavingFor > 0 {
 			f.t.Errorf("router %d: status %d, %s, runs %+v", i, got.Status, got.Body, runs)
 		}
 	}
 	for _, r := range []*managed.Replica{leaving, lost, started} {
-		r.Leave()
+		r.StartLeaving()
 		f.awaitTarget(r.ID(), true)
 		r.Close()
 	}
@@ -186,7 +186,7 @@
 	removed := f.lasting("removed")
 	f.awaitTarget("removed", false)
 	time.Sleep(2 * time.Second)
-	from := f.store.Copy()
+	from := f.store.Backup()
 	removed.Close()
 	for n, r := range f.routers {
 		f.eventually(2*soon, fmt.Sprintf("router %d knows the removal", n), func() bool {
@@ -203,7 +203,7 @@
 			}
 		}
 	}
-	f.store.Drop(wire.TableReplicas, "removed") // it lapses, as nobody renews it
+	f.store.Delete(wire.TableReplicas, "removed") // it lapses, as nobody renews it
 }
 
 // TestStoreCallsAfterRestore guards against all routers of a fleet loading from the store when
@@ -218,7 +218,7 @@
 	f := startFleet(t, routers, ops("o1"), gen("g1"))
 	f.waitJoined()
 	time.Sleep(2 * time.Second) // until the routers follow the store
-	from := f.store.Copy()
+	from := f.store.Backup()
 	f.configure(nil)
 	time.Sleep(time.Second)
 	before := f.storeCalls()
--- a/managedtest/silence_test.go
+++ b/managedtest/silence_test.go
@@ -37,11 +37,11 @@
 		time.Sleep(80 * time.Millisecond)
 	}
 	f.configure(nil)
-	leaving.Leave()
+	leaving.StartLeaving()
 	// The routers have both changes, and gather more for 10 ms a router before they ask
 	// again.
 	time.Sleep(10 * time.Millisecond)
-	f.store.SetFault(managed.Silent)
+	f.store.SetFault(managed.Unresponsive)
 	time.Sleep(silenceLength / 2)
 	f.configure(nil)
 	time.Sleep(silenceLength / 2)
@@ -49,7 +49,7 @@
 	returned := time.Now()
 	f.configure(nil)
 	alsoLeaving := f.replica(ops("o4"))
-	alsoLeaving.Leave()
+	alsoLeaving.StartLeaving()
 	for n, r := range f.routers {
 		for !knowsNews(r, f.version, "o4") && time.Since(returned) < testTimeout {
 			time.Sleep(5 * time.Millisecond)
@@ -71,7 +71,7 @@
 			f.waitJoined()
 			time.Sleep(2 * time.Second) // until the routers follow the store, and wait for long
 			other := f.routers[1-finder]
-			f.store.LoseWaiting(f.settings[1-finder].Platform.Address)
+			f.store.LoseWaitingFeeds(f.settings[1-finder].Platform.Address)
 			f.store.SetFaultAt(f.settings[finder].Platform.Address, managed.Refusing)
 			f.configure(nil)
 			f.eventually(soon, "the other router has the version", func() bool {
@@ -126,7 +126,7 @@
 	}
 	f.configure(nil)
 	time.Sleep(5 * time.Millisecond)
-	f.store.SetFault(managed.Silent)
+	f.store.SetFault(managed.Unresponsive)
 	time.Sleep(2 * time.Second)
 	for _, feed := range feeds {
 		if got := stale(feed); got < 1.5 {
--- a/proctest/chaos_test.go
+++ b/proctest/chaos_test.go
@@ -195,7 +195,7 @@
 func (c *chaos) crash(target string) {
 	c.crashes++
 	mark := fmt.Sprintf("crash-%d", c.crashes)
-	kind := load.Whole
+	kind := load.NonStreaming
 	if c.declared[target].Pool == servicePool {
 		kind = load.Service
 	}
--- a/proctest/notrun_test.go
+++ b/proctest/notrun_test.go
@@ -88,7 +88,7 @@
 	f := startFleet(t, options{})
 	tr := f.startTraffic(30, mixed("crash"))
 	tr.more(f, 50)
-	for n, kind := range []load.Kind{load.Whole, load.Service, load.Stream} {
+	for n, kind := range []load.Kind{load.NonStreaming, load.Service, load.Stream} {
 		mark := "boom" + string(rune('a'+n))
 		f.everyTarget(func(name string) { f.targetFaults(name, engine.Faults{Poison: mark, DowntimeMillis: 300}) })
 		client := load.NewClient(testTimeout)
@@ -116,13 +116,13 @@
 func TestNotRunOfARetriedRequest(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{step: 20 * time.Millisecond})
-	for _, kind := range []load.Kind{load.Whole, load.Stream} {
+	for _, kind := range []load.Kind{load.NonStreaming, load.Stream} {
 		t.Run(kind.String(), func(t *testing.T) {
 			tries := 0
 			f.eventually("the engines serve", func() bool {
 				tries++
 				mark := fmt.Sprintf("before-%s-%d", kind, tries)
-				return (<-f.send(0, request(load.Whole, "bakery", mark, 1))).Verdict == load.Answered
+				return (<-f.send(0, request(load.NonStreaming, "bakery", mark, 1))).Verdict == load.Answered
 			})
 			// The engines give no token, so that nothing of the answer is shown.
 			f.everyEngine(func(name string) { f.targetFaults(name, engine.Faults{Hang: true, Times: 1}) })
--- a/proctest/quarantine_test.go
+++ b/proctest/quarantine_test.go
@@ -19,7 +19,7 @@
 	t.Parallel()
 	f := startFleet(t, options{step: 10 * time.Millisecond})
 	tr := f.startTraffic(12, func(n int, _ *rand.Rand) load.Request {
-		return request(load.Whole, "bakery", fmt.Sprintf("innocent-%d", n), 25)
+		return request(load.NonStreaming, "bakery", fmt.Sprintf("innocent-%d", n), 25)
 	})
 	tr.more(f, 12)
 	for n := range 12 {
@@ -48,7 +48,7 @@
 	f := startFleet(t, options{engines: 3, step: 10 * time.Millisecond})
 	f.everyEngine(func(name string) { f.targetFaults(name, engine.Faults{Poison: mark, DowntimeMillis: 300}) })
 	tr := f.startTraffic(12, func(n int, _ *rand.Rand) load.Request {
-		return request(load.Whole, "bakery", fmt.Sprintf("beside-%d", n), 25)
+		return request(load.NonStreaming, "bakery", fmt.Sprintf("beside-%d", n), 25)
 	})
 	tr.more(f, 12)
 	client := load.NewClient(testTimeout)
@@ -58,7 +58,7 @@
 	sendings := 0
 	for len(refusedAt) < routerCount && sendings < mostSendings {
 		router := sendings % routerCount
-		outcome := client.Send(f.callers()[router], request(load.Whole, "school", mark, 5))
+		outcome := client.Send(f.callers()[router], request(load.NonStreaming, "school", mark, 5))
 		f.note("sending %d at router %d: %s, code %d", sendings, router, outcome.Verdict, outcome.Code)
 		refusedAt[router] = quarantined(outcome)
 		if !refusedAt[router] {
--- a/proctest/version_test.go
+++ b/proctest/version_test.go
@@ -95,7 +95,7 @@
 	w.judgeLog(1)
 	f.restart(1)
 	f.inForce(0, 1, 2)
-	got := <-f.send(1, request(load.Whole, "bakery", "after-restart", 3))
+	got := <-f.send(1, request(load.NonStreaming, "bakery", "after-restart", 3))
 	if got.Verdict != load.Answered {
 		t.Errorf("the restarted router answered: %s, code %d %s", got.Verdict, got.Code, got.Detail)
 	}
@@ -120,7 +120,7 @@
 	if got, ready := f.versionAt(2); got != before || !ready {
 		t.Errorf("the router that is cut off is on version %d, ready %v", got, ready)
 	}
-	got := <-f.send(2, request(load.Whole, "bakery", "cut-off", 3))
+	got := <-f.send(2, request(load.NonStreaming, "bakery", "cut-off", 3))
 	if got.Verdict != load.Answered {
 		t.Errorf("the router that is cut off answered: %s, code %d %s", got.Verdict, got.Code, got.Detail)
 	}
@@ -133,7 +133,7 @@
 	f.routers[2].Kill()
 	w.judgeLog(2)
 	f.restart(2)
-	got = <-f.send(2, request(load.Whole, "bakery", "empty", 3))
+	got = <-f.send(2, request(load.NonStreaming, "bakery", "empty", 3))
 	if !hasCode(result.NotReady)(got) || got.Ran != ranNo {
 		t.Errorf("a router without a version answered: %s, code %d %s", got.Verdict, got.Code, got.Detail)
 	}
--- a/soak/evacuate_test.go
+++ b/soak/evacuate_test.go
@@ -36,7 +36,7 @@
 }
 
 func (f *fleet) endEvacuation(zone string) {
-	f.store.Drop(wire.TableOperator, wire.PrefixEvacuation+zone)
+	f.store.Delete(wire.TableOperator, wire.PrefixEvacuation+zone)
 }
 
 // judgeEvacuation evacuates a zone while no faults are active. It guards against routers that keep
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -313,7 +313,7 @@
 	if f.busy["store"] {
 		return "", nil
 	}
-	kind := []managed.Fault{managed.Refusing, managed.Silent, managed.Forgetful}[f.random.IntN(3)]
+	kind := []managed.Fault{managed.Refusing, managed.Unresponsive, managed.HistoryLost}[f.random.IntN(3)]
 	f.store.SetFault(kind)
 	return "store", func() bool { f.store.SetFault(managed.Healthy); return true }
 }
@@ -342,9 +342,9 @@
 	}
 	wrong := []managed.ReplicaFaults{
 		{LoseAnswers: true},
-		{BreakAfter: 1 + f.random.IntN(events-1)},
+		{BreakAfterEvents: 1 + f.random.IntN(events-1)},
 		{Refuse: true},
-		{Slower: f.upTo(longestSlowness)},
+		{ExtraPause: f.upTo(longestSlowness)},
 		{Unsealed: true},
 	}[f.random.IntN(5)]
 	r.SetFaults(wrong)
@@ -359,7 +359,7 @@
 	}
 	about := r.options.ID
 	if f.random.IntN(2) == 0 {
-		r.Leave()
+		r.StartLeaving()
 		f.addReplica(managed.ReplicaOptions{Service: r.options.Service, Slots: r.options.Slots, Pause: r.options.Pause, Events: r.options.Events})
 		return about, func() bool { f.dropReplica(r); return true }
 	}
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -163,7 +163,7 @@
 // publish writes the newest version, also again.
 func (f *fleet) publish() {
 	version := f.newest()
-	content := managed.Demo(version)
+	content := managed.DemoConfig(version)
 	content.Tenants[0].Keys = append(content.Tenants[0].Keys, versionKey(version))
 	f.store.Put(wire.TableOperator, wire.KeyConfig, content)
 	f.note("version %d", version)
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -32,8 +32,8 @@
 )
 
 const (
-	pathOnce   = managed.DemoOncePrefix + "deploy"
-	pathSafe   = managed.DemoSafePrefix + "purge"
+	pathOnce   = managed.DemoNonIdempotentPrefix + "deploy"
+	pathSafe   = managed.DemoIdempotentPrefix + "purge"
 	pathStream = managed.DemoStreamPrefix + "page"
 )
 
@@ -132,16 +132,16 @@
 	default:
 		return
 	}
-	want := managed.WholeAnswer(got.ID)
+	want := managed.ExpectedAnswer(got.ID)
 	if one.path == pathStream {
-		want = managed.WholeStream(got.ID, events)
+		want = managed.ExpectedStream(got.ID, events)
 	}
 	switch {
-	case got.Whole && got.Body != want:
+	case got.Complete && got.Body != want:
 		j.t.Errorf("%s got a wrong answer at %s: %q", got.ID, router, got.Body)
 	case !strings.HasPrefix(want, got.Body):
 		j.t.Errorf("%s got a torn answer at %s: %q", got.ID, router, got.Body)
-	case got.Whole:
+	case got.Complete:
 		j.served.Add(1)
 	}
 }
--- a/soak/notice_test.go
+++ b/soak/notice_test.go
@@ -29,7 +29,7 @@
 	if r == nil {
 		return "", nil
 	}
-	r.SayLeaving()
+	r.AnnounceLeaving()
 	f.addReplica(managed.ReplicaOptions{Service: r.options.Service, Slots: r.options.Slots, Pause: r.options.Pause, Events: r.options.Events})
 	return r.options.ID, func() bool { f.dropReplica(r); return true }
 }
@@ -48,7 +48,7 @@
 // faults are active. It guards against routers that go on sending to them.
 func (j *judge) judgeNotices() {
 	leaving, shedding := j.replicas[0], j.replicas[1]
-	leaving.SayLeaving()
+	leaving.AnnounceLeaving()
 	shedding.SetFaults(managed.ReplicaFaults{RefuseEvery: 2, RetryAfter: holdOff})
 	begin := time.Now()
 	time.Sleep(holdOff + quietTime)
--- a/soak/restore_test.go
+++ b/soak/restore_test.go
@@ -24,7 +24,7 @@
 	if f.busy["store"] {
 		return "", nil
 	}
-	from := f.store.Copy()
+	from := f.store.Backup()
 	return "store", func() bool {
 		f.store.SetFault(managed.Refusing)
 		time.Sleep(awayBeforeReturn)
@@ -41,14 +41,14 @@
 }
 
 // dropUnknown removes the entries of replicas that ended since a copy: nobody renews them.
-func (f *faults) dropUnknown(from managed.Copy) {
+func (f *faults) dropUnknown(from managed.Backup) {
 	lives := make(map[string]bool, len(f.replicas))
 	for _, r := range f.replicas {
 		lives[r.options.ID] = true
 	}
 	for _, id := range from.Keys(wire.TableReplicas) {
 		if !lives[id] {
-			f.store.Drop(wire.TableReplicas, id)
+			f.store.Delete(wire.TableReplicas, id)
 		}
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -99,17 +99,17 @@
 
 func (j *judge) serves(r *router, path string) bool {
 	got := j.caller.Send(j.t.Context(), r.Settings.Listen.Callers, path, managed.DemoKey)
-	return got.Status == http.StatusOK && got.Whole
+	return got.Status == http.StatusOK && got.Complete
 }
 
 // judgeLeaving lets a replica leave in quiet: soon after, no router sends it anything.
 func (j *judge) judgeLeaving() {
 	leaving := j.replicas[0]
-	leaving.Leave()
+	leaving.StartLeaving()
 	time.Sleep(leavingBound + quietTime)
 	for _, run := range j.journal.Runs("") {
-		if run.Replica == leaving.options.ID && run.Left > leavingBound {
-			j.t.Errorf("%s reached %s %s after it told that it leaves", run.ID, run.Replica, run.Left)
+		if run.Replica == leaving.options.ID && run.LeavingFor > leavingBound {
+			j.t.Errorf("%s reached %s %s after it told that it leaves", run.ID, run.Replica, run.LeavingFor)
 			return
 		}
 	}
--- a/standin/engine/call.go
+++ b/standin/engine/call.go
@@ -126,7 +126,7 @@
 
 // ExpectedStreamBody returns the complete body of the streamed answer to the call,
 // for tests to compare with.
-func (c Call) ExpectedStream(requestID string) []byte {
+func (c Call) ExpectedStreamBody(requestID string) []byte {
 	var body []byte
 	mark := host.Mark(c.Prompt)
 	for i := range c.MaxTokens {
@@ -137,4 +137,4 @@
 
 // ExpectedBody returns the complete body of the non-streamed answer to the call, for
 // tests to compare with.
-func (c Call) ExpectedWhole(requestID string) []byte { return c.bodyJSON(requestID) }
+func (c Call) ExpectedBody(requestID string) []byte { return c.bodyJSON(requestID) }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -216,7 +216,7 @@
 	if got := load(); got.Running != 0 || got.Age <= 0 {
 		t.Errorf("lagging load is %+v", got)
 	}
-	e.SetFaults(Faults{LieLoad: &targets.Load{Running: 77}, Leaving: true})
+	e.SetFaults(Faults{FalseLoad: &targets.Load{Running: 77}, Leaving: true})
 	if got := load(); got.Running != 77 || !got.Leaving {
 		t.Errorf("false load is %+v", got)
 	}
--- a/standin/engine/reader.go
+++ b/standin/engine/reader.go
@@ -95,7 +95,7 @@
 		}
 		select {
 		case <-rd.notify:
-		case <-rd.watch.Gone:
+		case <-rd.watch.Closed:
 			return io.ErrClosedPipe
 		}
 	}
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -36,7 +36,7 @@
 		return
 	}
 	faults := e.host.TakeFaults()
-	entry := e.host.Received(ctx)
+	entry := e.host.RecordReceived(ctx)
 	r := newRun(call, entry, string(ctx.PostBody()), faults)
 	if faults.Refuse || !e.enqueue(r) {
 		e.host.RefuseNotRun(ctx, entry)
@@ -52,7 +52,7 @@
 		ctx.Error("bad "+targets.HeaderResumeOffset, fasthttp.StatusBadRequest)
 		return
 	}
-	entry := e.host.Received(ctx)
+	entry := e.host.RecordReceived(ctx)
 	r := e.takeOver(entry.RequestID, call, e.host.TakeFaults(), entry.Run)
 	if r == nil {
 		ctx.Error("nothing to resume", fasthttp.StatusGone)
--- a/standin/internal/host/faults.go
+++ b/standin/internal/host/faults.go
@@ -20,7 +20,7 @@
 	// SlowFactor multiplies the duration of every step or run. Zero means 1.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 	// FalseLoad, if set, is reported in place of the true load.
-	LieLoad *targets.Load `json:"lie_load,omitempty"`
+	FalseLoad *targets.Load `json:"lie_load,omitempty"`
 	// Leaving makes the load report announce that the target is leaving.
 	Leaving bool `json:"leaving,omitempty"`
 	// Refuse answers 503 with Walnut-Not-Run without running the request.
--- a/standin/internal/host/host.go
+++ b/standin/internal/host/host.go
@@ -36,7 +36,7 @@
 )
 
 // Target is what one kind of stand-in target implements; the host does the rest.
-type Behaviour interface {
+type Target interface {
 	// Serve answers a request whose path the host does not serve itself.
 	Serve(ctx *fasthttp.RequestCtx)
 	// Load returns the true load.
@@ -51,7 +51,7 @@
 	// Journal records what happens to requests.
 	Journal *journal.Journal
 
-	target  Behaviour
+	target  Target
 	faults  faultState
 	lastRun atomic.Uint64
 	startID atomic.Uint64
@@ -66,7 +66,7 @@
 }
 
 // New returns a host that is not yet listening.
-func New(name string, target Behaviour) *Host {
+func New(name string, target Target) *Host {
 	h := &Host{
 		Journal: journal.New(name),
 		target:  target,
@@ -214,7 +214,7 @@
 
 // RecordReceived adds a Received entry for a request to the journal. It returns the
 // entry, from which the request's further entries are made.
-func (h *Host) Received(ctx *fasthttp.RequestCtx) journal.Entry {
+func (h *Host) RecordReceived(ctx *fasthttp.RequestCtx) journal.Entry {
 	entry := journal.Entry{
 		Event:          journal.Received,
 		Run:            h.lastRun.Add(1),
@@ -264,8 +264,8 @@
 func (h *Host) serveLoad(ctx *fasthttp.RequestCtx) {
 	faults := h.Faults()
 	load := h.target.Load()
-	if faults.LieLoad != nil {
-		load = *faults.LieLoad
+	if faults.FalseLoad != nil {
+		load = *faults.FalseLoad
 	}
 	load.Leaving = load.Leaving || faults.Leaving
 	load.StartID = h.startID.Load()
--- a/standin/internal/host/watch.go
+++ b/standin/internal/host/watch.go
@@ -12,7 +12,7 @@
 // fasthttp does not detect.
 type Watch struct {
 	// Closed is closed when the caller has closed or reset its connection.
-	Gone chan struct{}
+	Closed chan struct{}
 
 	conn net.Conn
 	done chan struct{}
@@ -22,7 +22,7 @@
 // NewWatch starts to watch a connection. Stop must be called before anything else
 // reads from the connection.
 func NewWatch(conn net.Conn) *Watch {
-	w := &Watch{Gone: make(chan struct{}), conn: conn, done: make(chan struct{})}
+	w := &Watch{Closed: make(chan struct{}), conn: conn, done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -35,7 +35,7 @@
 	if err == nil || err == connstate.ErrData || isTimeout(err) {
 		return
 	}
-	close(w.Gone)
+	close(w.Closed)
 }
 
 func isTimeout(err error) bool {
--- a/standin/managed/caller.go
+++ b/standin/managed/caller.go
@@ -24,8 +24,8 @@
 	Status int
 	Body   string
 	// Complete is set if the body was read to its end without an error.
-	Whole  bool
-	Header http.Header
+	Complete bool
+	Header   http.Header
 }
 
 // Caller sends requests to routers as the platform's callers do: it sends each
@@ -74,13 +74,13 @@
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	answer.Status, answer.Body, answer.Whole, answer.Header = response.StatusCode, string(body), err == nil, response.Header
+	answer.Status, answer.Body, answer.Complete, answer.Header = response.StatusCode, string(body), err == nil, response.Header
 	return answer
 }
 
 // ExpectedStream returns the body of a complete stream: each of its events once, in
 // order.
-func WholeStream(id string, events int) string {
+func ExpectedStream(id string, events int) string {
 	var b strings.Builder
 	for n := 1; n <= events; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %s-%d\n\n", n, id, n)
@@ -89,4 +89,4 @@
 }
 
 // ExpectedAnswer returns the body of a complete answer that is not a stream.
-func WholeAnswer(id string) string { return "done " + id }
+func ExpectedAnswer(id string) string { return "done " + id }
--- a/standin/managed/demo.go
+++ b/standin/managed/demo.go
@@ -12,15 +12,15 @@
 	DemoEngine  = "gen"
 	// Path prefixes of the routes: of a non-idempotent one, of an idempotent one
 	// and of one for streams.
-	DemoOncePrefix   = "/ops/"
-	DemoSafePrefix   = "/safe/"
-	DemoStreamPrefix = "/gen/"
+	DemoNonIdempotentPrefix = "/ops/"
+	DemoIdempotentPrefix    = "/safe/"
+	DemoStreamPrefix        = "/gen/"
 )
 
 // DemoConfig returns a small configuration: a plain service behind an idempotent and
 // a non-idempotent route, and an engine behind a route for streams that can be
 // resumed on another replica.
-func Demo(version uint64) wire.Config {
+func DemoConfig(version uint64) wire.Config {
 	route := func(name, prefix, kind, service string) wire.Route {
 		return wire.Route{
 			Name: name, Host: DemoHost, Prefix: prefix, Kind: kind, Service: service,
@@ -32,8 +32,8 @@
 	return wire.Config{
 		Version: version,
 		Routes: []wire.Route{
-			route("ops", DemoOncePrefix, wire.NonIdempotent, DemoService),
-			route("safe", DemoSafePrefix, wire.Idempotent, DemoService),
+			route("ops", DemoNonIdempotentPrefix, wire.NonIdempotent, DemoService),
+			route("safe", DemoIdempotentPrefix, wire.Idempotent, DemoService),
 			stream,
 		},
 		Services: []wire.Service{
--- a/standin/managed/journal.go
+++ b/standin/managed/journal.go
@@ -17,7 +17,7 @@
 	Workspace, AfterEvent string
 	// LeavingFor is how long before the run the replica announced that it is
 	// leaving; zero if it did not.
-	Left time.Duration
+	LeavingFor time.Duration
 	// StartedAt is when the replica began the run.
 	StartedAt time.Time
 	// Cancelled is set if the connection closed before the answer was complete.
--- a/standin/managed/replica.go
+++ b/standin/managed/replica.go
@@ -48,7 +48,7 @@
 	// BreakAfterEvents closes the connection of a stream after this many events, in
 	// the middle of the next one. It affects streams from their first event on, not
 	// resumed ones. Zero means never.
-	BreakAfter int
+	BreakAfterEvents int
 	// Refuse refuses every request without running it. RefuseEvery refuses one in
 	// this many requests; zero means none.
 	Refuse      bool
@@ -57,10 +57,10 @@
 	// none.
 	RetryAfter time.Duration
 	// ExtraPause is added to each ReplicaOptions.Pause.
-	Slower time.Duration
+	ExtraPause time.Duration
 	// MidAnswerPause is how long an answer that is not a stream pauses after its
 	// header and half of its body.
-	HangsMidway time.Duration
+	MidAnswerPause time.Duration
 }
 
 // DefaultZone is the zone of replicas whose options do not set one.
@@ -155,7 +155,7 @@
 
 // StartLeaving announces, in the replica's entry and in its answers, that the replica
 // is leaving. It continues to serve requests.
-func (r *Replica) Leave() {
+func (r *Replica) StartLeaving() {
 	r.mu.Lock()
 	r.leavingSince = time.Now()
 	r.announcesLeaving = true
@@ -165,7 +165,7 @@
 
 // AnnounceLeaving announces only in answers that the replica is leaving. Its entry
 // stays unchanged, as happens while the store accepts no writes.
-func (r *Replica) SayLeaving() {
+func (r *Replica) AnnounceLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.announcesLeaving = true
@@ -194,7 +194,7 @@
 
 // Close stops the replica and removes its entry from the store.
 func (r *Replica) Close() {
-	r.store.Drop(wire.TableReplicas, r.options.ID)
+	r.store.Delete(wire.TableReplicas, r.options.ID)
 	_ = r.listener.Close()
 }
 
@@ -275,7 +275,7 @@
 		Replica:    r.options.ID,
 		Workspace:  string(header.Peek(wire.HeaderWorkspace)),
 		AfterEvent: string(header.Peek(wire.HeaderAfterEvent)),
-		Left:       r.leavingFor(),
+		LeavingFor: r.leavingFor(),
 		StartedAt:  time.Now(),
 	}
 	r.journal.addRun(run)
@@ -284,14 +284,14 @@
 		ctx.Response.Header.Set(wire.HeaderSeal, "seal-"+r.options.ID)
 	}
 	if r.options.Events == 0 {
-		time.Sleep(r.options.Pause + r.currentFaults().Slower)
+		time.Sleep(r.options.Pause + r.currentFaults().ExtraPause)
 		r.journal.recordEnd(run, ctx.Conn())
 		r.releaseSlot()
 		if r.currentFaults().LoseAnswers {
 			_ = ctx.Conn().Close()
 			return
 		}
-		r.sendAnswer(ctx, WholeAnswer(id))
+		r.sendAnswer(ctx, ExpectedAnswer(id))
 		return
 	}
 	ctx.SetContentType("text/event-stream")
@@ -306,7 +306,7 @@
 
 // sendAnswer sends a body of known length, with MidAnswerPause if that fault is set.
 func (r *Replica) sendAnswer(ctx *fasthttp.RequestCtx, body string) {
-	pause := r.currentFaults().HangsMidway
+	pause := r.currentFaults().MidAnswerPause
 	if pause == 0 {
 		ctx.SetBodyString(body)
 		return
@@ -348,8 +348,8 @@
 func (r *Replica) writeEvents(w *bufio.Writer, conn net.Conn, run *Run, afterEvent int) {
 	for event := afterEvent + 1; event <= r.options.Events; event++ {
 		faults := r.currentFaults()
-		time.Sleep(r.options.Pause + faults.Slower)
-		if faults.BreakAfter > 0 && afterEvent == 0 && event > faults.BreakAfter {
+		time.Sleep(r.options.Pause + faults.ExtraPause)
+		if faults.BreakAfterEvents > 0 && afterEvent == 0 && event > faults.BreakAfterEvents {
 			fmt.Fprintf(w, "id: %d\nda", event)
 			_ = w.Flush()
 			time.Sleep(flushPause)
--- a/standin/managed/restore.go
+++ b/standin/managed/restore.go
@@ -8,20 +8,20 @@
 )
 
 // Backup is a copy of the content of a store at some moment.
-type Copy struct {
+type Backup struct {
 	rows     map[rowKey]wire.Row
 	revision uint64
 }
 
 // Backup returns a copy of the present content, to restore later.
-func (s *Store) Copy() Copy {
+func (s *Store) Backup() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{rows: maps.Clone(s.rows), revision: s.revision}
+	return Backup{rows: maps.Clone(s.rows), revision: s.revision}
 }
 
 // Keys returns the sorted keys of a table's rows.
-func (c Copy) Keys(table string) []string {
+func (c Backup) Keys(table string) []string {
 	var keys []string
 	for key, row := range c.rows {
 		if key.table == table && !row.Removed {
@@ -34,7 +34,7 @@
 
 // Restore replaces the content of the store by that of a backup, as after a disaster:
 // later writes are lost, their revisions are assigned again, and the era rises by one.
-func (s *Store) Restore(from Copy) {
+func (s *Store) Restore(from Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rows = maps.Clone(from.rows)
--- a/standin/managed/store.go
+++ b/standin/managed/store.go
@@ -30,10 +30,10 @@
 	// Unresponsive: calls get no answer, not even after the fault has ended. Feeds
 	// that were waiting when it began go on waiting, and are answered once it has
 	// ended.
-	Silent
+	Unresponsive
 	// HistoryLost: feeds are answered with 410, because the history that they ask
 	// for is gone.
-	Forgetful
+	HistoryLost
 )
 
 // Store is a stand-in for the row store. Create it with StartStore.
@@ -168,7 +168,7 @@
 // LoseWaitingFeeds makes the store never answer the feeds that wait at an address at
 // present, whatever changes. This is what callers see of a store that restarts behind
 // a proxy that keeps their connections open.
-func (s *Store) LoseWaiting(address string) {
+func (s *Store) LoseWaitingFeeds(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feedLosses[address]++
@@ -225,7 +225,7 @@
 }
 
 // CallsExceptEraProbes returns the number of all calls other than era probes.
-func (s *Store) CallsBesideProbes() int {
+func (s *Store) CallsExceptEraProbes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	total := 0
@@ -249,7 +249,7 @@
 }
 
 // Delete removes a row.
-func (s *Store) Drop(table, key string) {
+func (s *Store) Delete(table, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -276,10 +276,10 @@
 	case Refusing:
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
-	case Silent:
+	case Unresponsive:
 		<-s.closed
 		return
-	case Forgetful:
+	case HistoryLost:
 		if path == wire.PathChanges {
 			ctx.SetStatusCode(fasthttp.StatusGone)
 			return
@@ -397,7 +397,7 @@
 		// removed ones. No row is older than revision 1.
 		answer := s.changedRows(table, max(after, 1))
 		switch fault := s.currentFault(ctx); {
-		case fault == Silent:
+		case fault == Unresponsive:
 		case after > answer.Revision && fault == Healthy:
 			ctx.SetStatusCode(fasthttp.StatusGone) // the store was restored and does not have this revision yet
 			return
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -31,7 +31,7 @@
 )
 
 // LoseAllReplies is the value of Faults.LoseReplies that loses every reply.
-const LoseAll = -1
+const LoseAllReplies = -1
 
 // Table names that denote the object store and the weight store in the journal and
 // in Faults.LoseTablePrefix.
@@ -71,7 +71,7 @@
 	default:
 		return fmt.Errorf("%w: unknown outage %q", store.ErrInvalid, f.Outage)
 	}
-	if f.DelayMillis < 0 || f.ReplyDelayMillis < 0 || f.VMLagMillis < 0 || f.LoseReplies < LoseAll {
+	if f.DelayMillis < 0 || f.ReplyDelayMillis < 0 || f.VMLagMillis < 0 || f.LoseReplies < LoseAllReplies {
 		return fmt.Errorf("%w: negative fault", store.ErrInvalid)
 	}
 	if f.WritesPerSecond < 0 || f.RowsPerSecond < 0 || f.ReadsPerSecond < 0 {
--- a/standin/platform/handle.go
+++ b/standin/platform/handle.go
@@ -76,7 +76,7 @@
 }
 
 // HeldCalls returns the number of calls that an outage holds at present.
-func (s *Server) Held() int { return int(s.heldCalls.Load()) }
+func (s *Server) HeldCalls() int { return int(s.heldCalls.Load()) }
 
 // serveRead serves a read. It reports false if the call is not a read.
 func (s *Server) serveRead(ctx *fasthttp.RequestCtx) bool {
--- a/standin/platform/server_test.go
+++ b/standin/platform/server_test.go
@@ -120,7 +120,7 @@
 			go func() {
 				done <- client.Commit(ctx, []store.Op{{Kind: store.OpInsert, Table: "t", Key: "k"}})
 			}()
-			eventually(t, func() bool { return server.Held() == 1 })
+			eventually(t, func() bool { return server.HeldCalls() == 1 })
 			cancel()
 			if err := <-done; !errors.Is(err, store.ErrUnknown) {
 				t.Fatalf("got %v", err)
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -160,7 +160,7 @@
 		return
 	}
 	c := &call{
-		entry:   s.host.Received(ctx),
+		entry:   s.host.RecordReceived(ctx),
 		body:    string(ctx.PostBody()),
 		faults:  s.host.TakeFaults(),
 		started: make(chan struct{}),
@@ -172,7 +172,7 @@
 	}
 	watch := host.NewWatch(ctx.Conn())
 	defer watch.Stop()
-	if !s.runCall(ctx, c, watch.Gone) {
+	if !s.runCall(ctx, c, watch.Closed) {
 		host.Abort(ctx)
 		return
 	}
--- a/store/client_test.go
+++ b/store/client_test.go
@@ -29,7 +29,7 @@
 		{"dropped", standin.Faults{Outage: standin.OutageDrop}, store.ErrUnknown, "reply_lost", 0},
 		{"hung", standin.Faults{Outage: standin.OutageHang}, store.ErrUnknown, "timeout", 0},
 		{"slow", standin.Faults{ReplyDelayMillis: 60_000}, store.ErrUnknown, "timeout", 1},
-		{"reply lost", standin.Faults{LoseReplies: standin.LoseAll, LoseTablePrefix: "ru"}, store.ErrUnknown, "reply_lost", 1},
+		{"reply lost", standin.Faults{LoseReplies: standin.LoseAllReplies, LoseTablePrefix: "ru"}, store.ErrUnknown, "reply_lost", 1},
 		{"other reply lost", standin.Faults{LoseReplies: 1, LoseTablePrefix: "other"}, nil, "", 1},
 	}
 	for _, c := range cases {
@@ -115,7 +115,7 @@
 	sent, cancelSent := context.WithCancel(background)
 	sentDone := make(chan error, 1)
 	go func() { sentDone <- f.Commit(sent, insert("sent")) }()
-	eventually(t, "call held", func() bool { return f.server.Held() == 1 })
+	eventually(t, "call held", func() bool { return f.server.HeldCalls() == 1 })
 
 	waiting, cancelWaiting := context.WithTimeout(background, 10*time.Millisecond)
 	defer cancelWaiting()
--- a/targets/judged_test.go
+++ b/targets/judged_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(call.ExpectedStream(req.ID))
+	return string(call.ExpectedStreamBody(req.ID))
 }
 
 // waitForEnd waits for the end of a request in the journal and returns its outcome.
