--- a/bench/measure/join.go
+++ b/bench/measure/join.go
@@ -7,8 +7,9 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// Join works out runs and waits from what callers saw and targets journalled.
-// All processes share one machine's clock.
+// Join builds a record from the results that callers got and the entries that
+// targets journalled, with times relative to start. It takes the clocks of all
+// processes to agree, since they share one machine.
 func Join(start time.Time, results []load.Result, entries []journal.Entry) Record {
 	workspaceOf := make(map[string]string, len(results))
 	for _, r := range results {
@@ -19,21 +20,21 @@
 		target string
 		run    uint64
 	}
-	open := make(map[key]time.Duration)
-	startedAt := make(map[string]time.Duration)
+	runStart := make(map[key]time.Duration)
+	requestStart := make(map[string]time.Duration)
 	for _, e := range entries {
 		k := key{e.Target, e.Run}
 		at := e.Wall.Sub(start)
 		switch e.Event {
 		case journal.Started:
-			open[k] = at
-			startedAt[e.RequestID] = at
+			runStart[k] = at
+			requestStart[e.RequestID] = at
 		case journal.Ended:
-			from, ran := open[k]
-			if !ran {
+			from, started := runStart[k]
+			if !started {
 				continue
 			}
-			delete(open, k)
+			delete(runStart, k)
 			record.Runs = append(record.Runs, Run{
 				Workspace: workspaceOf[e.RequestID],
 				Target:    e.Target,
@@ -44,7 +45,7 @@
 	}
 	for _, r := range results {
 		wait := Wait{Workspace: r.Request.Workspace, From: r.Start.Sub(start), To: r.End.Sub(start)}
-		if at, ran := startedAt[r.RequestID]; ran {
+		if at, started := requestStart[r.RequestID]; started {
 			wait.To = at
 		}
 		record.Waits = append(record.Waits, wait)
--- a/bench/measure/measure.go
+++ b/bench/measure/measure.go
@@ -1,5 +1,6 @@
-// Package measure works out utilisation and the fairness gap from what targets
-// ran and what callers waited for. Times are durations since a common start.
+// Package measure computes utilisation and the fairness gap from the runs on
+// targets and the waiting times of requests. Times are durations since a common
+// start.
 package measure
 
 import (
@@ -15,28 +16,28 @@
 	End       time.Duration
 }
 
-// Wait is the time that a request waited: from its sending to its start on a
-// target, or to its refusal.
+// Wait is the time that a request waited: from when it was sent until it started
+// on a target, or ended without having started.
 type Wait struct {
 	Workspace string
 	From      time.Duration
 	To        time.Duration
 }
 
-// Record is what one experiment saw.
+// Record holds the runs and waits of one experiment.
 type Record struct {
 	Runs  []Run
 	Waits []Wait
-	// From and To bound what is judged.
+	// From and To bound the time that is evaluated.
 	From, To time.Duration
 }
 
 // interval is a half-open span of time.
 type interval struct{ from, to time.Duration }
 
-// backlogged returns when a workspace had a request waiting, as disjoint
-// intervals in order of time.
-func (r Record) backlogged(workspace string) []interval {
+// backlogIntervals returns when a workspace, or any if the name is empty, had a
+// request waiting, as disjoint intervals in order of time.
+func (r Record) backlogIntervals(workspace string) []interval {
 	var spans []interval
 	for _, w := range r.Waits {
 		if w.Workspace == workspace || workspace == "" {
@@ -62,7 +63,8 @@
 	return merged
 }
 
-// intersect returns the times that lie in both lists of disjoint intervals.
+// intersect returns the intersection of two lists of disjoint intervals, both in
+// order of time.
 func intersect(a, b []interval) []interval {
 	var both []interval
 	for i, j := 0, 0; i < len(a) && j < len(b); {
@@ -80,13 +82,14 @@
 	return both
 }
 
-// curve is the cumulative service of a workspace: straight lines between points.
+// curve is the cumulative service of a workspace over time, linear between its
+// points.
 type curve []point
 
 type point struct {
 	at      time.Duration
 	service float64 // slot seconds
-	slope   float64 // slots held from here on
+	slope   float64 // slots held from this point on
 }
 
 func newCurve(runs []Run, workspace string) curve {
@@ -110,8 +113,8 @@
 	return c
 }
 
-// at returns the service up to a time.
-func (c curve) at(t time.Duration) float64 {
+// valueAt returns the service up to time t.
+func (c curve) valueAt(t time.Duration) float64 {
 	n, _ := slices.BinarySearchFunc(c, t, func(p point, t time.Duration) int {
 		if p.at <= t {
 			return -1
@@ -122,8 +125,8 @@
 	return p.service + p.slope*(t-p.at).Seconds()
 }
 
-// within returns the times in a span at which the slope changes.
-func (c curve) within(s interval) []time.Duration {
+// breakpointsIn returns the times inside s at which the slope changes.
+func (c curve) breakpointsIn(s interval) []time.Duration {
 	var times []time.Duration
 	for _, p := range c {
 		if p.at > s.from && p.at < s.to {
--- a/bench/measure/processor.go
+++ b/bench/measure/processor.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// clockTicks is the unit of /proc/PID/stat, in ticks a second.
-const clockTicks = 100
+// ticksPerSecond is the unit of the times in /proc/PID/stat.
+const ticksPerSecond = 100
 
-// ProcessorTime returns the processor time that a process has used.
+// ProcessorTime returns the user and system time that a process has used.
 func ProcessorTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	// The command, in parentheses, may hold spaces: fields are counted after it.
+	// The command name, in parentheses, may contain spaces, so fields are counted
+	// from after it.
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest)
 	const userTime, systemTime = 11, 12
@@ -32,5 +33,5 @@
 		}
 		ticks += n
 	}
-	return time.Duration(ticks) * time.Second / clockTicks, nil
+	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
