--- a/bench/table/table.go
+++ b/bench/table/table.go
@@ -1,5 +1,5 @@
-// Package table writes the outcome of an experiment: one line for each case,
-// with the median of the repeats and their spread, and the raw values as CSV.
+// Package table writes the results of an experiment: one line for each case,
+// with the median and the range of the repeats, and the raw values as CSV.
 package table
 
 import (
@@ -13,7 +13,7 @@
 
 // Value is one measured number.
 type Value struct {
-	// Name holds the unit too; it heads the column.
+	// Name includes the unit and is the column's heading.
 	Name   string
 	Number float64
 }
@@ -25,29 +25,30 @@
 	Values []Value
 }
 
-// Write writes the cases in their order, and the machine's load average. Every
-// row must have the same names of values in the same order.
+// Write writes one line for each case, in order of first appearance, and the
+// machine's load average. Every row must have the same value names in the same
+// order.
 func Write(out io.Writer, rows []Row) error {
 	if len(rows) == 0 {
 		return nil
 	}
-	columns := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprint(columns, "case\tn")
+	tabs := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprint(tabs, "case\tn")
 	for _, v := range rows[0].Values {
-		fmt.Fprintf(columns, "\t%s", v.Name)
+		fmt.Fprintf(tabs, "\t%s", v.Name)
 	}
-	fmt.Fprintln(columns)
-	for _, name := range cases(rows) {
-		writeCase(columns, name, rows)
+	fmt.Fprintln(tabs)
+	for _, name := range caseNames(rows) {
+		writeCase(tabs, name, rows)
 	}
-	if err := columns.Flush(); err != nil {
+	if err := tabs.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "median (least..greatest) of n repeats; load average of the machine at the end: %s\n", LoadAverage())
 	return nil
 }
 
-func cases(rows []Row) []string {
+func caseNames(rows []Row) []string {
 	var names []string
 	for _, r := range rows {
 		if !slices.Contains(names, r.Case) {
@@ -66,22 +67,22 @@
 			numbers = append(numbers, r.Values[i].Number)
 		}
 		slices.Sort(numbers)
-		fmt.Fprintf(out, "\t%s (%s..%s)", short(median(numbers)), short(numbers[0]), short(numbers[len(numbers)-1]))
+		fmt.Fprintf(out, "\t%s (%s..%s)", formatNumber(median(numbers)), formatNumber(numbers[0]), formatNumber(numbers[len(numbers)-1]))
 	}
 	fmt.Fprintln(out)
 }
 
 // median returns the middle of sorted numbers, or the mean of the middle two.
-func median(numbers []float64) float64 {
-	upper := len(numbers) / 2
-	if len(numbers)%2 == 1 {
-		return numbers[upper]
+func median(sorted []float64) float64 {
+	upper := len(sorted) / 2
+	if len(sorted)%2 == 1 {
+		return sorted[upper]
 	}
-	return (numbers[upper-1] + numbers[upper]) / 2
+	return (sorted[upper-1] + sorted[upper]) / 2
 }
 
-// short writes a number with about three digits.
-func short(v float64) string {
+// formatNumber formats a number with about three significant digits.
+func formatNumber(v float64) string {
 	switch {
 	case v >= 100 || v <= -100 || v == float64(int64(v)):
 		return fmt.Sprintf("%.0f", v)
@@ -92,8 +93,8 @@
 	}
 }
 
-// CSV writes one line for each value, under a head line. A nil writer takes
-// nothing.
+// WriteCSV writes a header line and one line for each value. It does nothing if
+// out is nil.
 func CSV(out io.Writer, rows []Row) error {
 	if out == nil || len(rows) == 0 {
 		return nil
