--- a/bench/workload/bound.go
+++ b/bench/workload/bound.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// IdealGap is the gap that one queue for all slots, without any lag, may
-// reach: the runs in progress of the two workspaces, each taken at the longest
-// run, since a cost is known only at the end. A workspace is taken to have its
-// fair number of runs in progress, rounded up, and one more. In slot seconds
-// per unit of share.
+// IdealGap returns the fairness gap that even a single queue for all slots,
+// without any delay, may reach, in slot seconds per unit of share. It is the sum,
+// over the two workspaces for which it is largest, of their runs in progress, each
+// counted at the length of the longest run because the cost of a run is known only
+// when it ends. A workspace counts with its fair number of runs in progress, rounded
+// up, plus one.
 func IdealGap(d Deployment, s Shape, longest time.Duration) float64 {
 	slots := float64(d.Targets * d.Slots)
 	shares := 0.0
 	for n := range Workspaces {
 		shares += s.Share(n)
 	}
-	var first, second float64
+	var largest, secondLargest float64
 	for n := range Workspaces {
 		runs := min(math.Ceil(slots*s.Share(n)/shares)+1, float64(s.Callers(n)))
-		term := runs * longest.Seconds() / s.Share(n)
-		first, second = max(first, term), max(second, min(first, term))
+		gapTerm := runs * longest.Seconds() / s.Share(n)
+		largest, secondLargest = max(largest, gapTerm), max(secondLargest, min(largest, gapTerm))
 	}
-	return first + second
+	return largest + secondLargest
 }
--- a/bench/workload/send.go
+++ b/bench/workload/send.go
@@ -20,7 +20,8 @@
 	}}
 }
 
-// SlotsOf returns the slots of every target of a deployment, by name.
+// SlotsOf returns the number of slots of each target of a deployment, by target
+// name.
 func (d Deployment) SlotsOf() map[string]int {
 	slots := make(map[string]int)
 	for n := range d.Targets {
@@ -29,35 +30,35 @@
 	return slots
 }
 
-// Send lets every workspace's callers send to routers until ctx ends, and
+// Send runs the callers of every workspace against routers until ctx ends, and
 // waits for every answer. Equal seeds give equal requests.
 func (s Shape) Send(ctx context.Context, d Deployment, routers []string, seed uint64) ([]load.Result, *load.Summary) {
 	var mu sync.Mutex
 	var results []load.Result
 	summary := load.NewSummary()
-	keep := func(r load.Result) {
+	record := func(r load.Result) {
 		mu.Lock()
 		defer mu.Unlock()
 		results = append(results, r)
 		summary.Add(r)
 	}
-	var all sync.WaitGroup
+	var senders sync.WaitGroup
 	for n := range Workspaces {
-		reached := routers
+		entryRouters := routers
 		if s.OneRouter(n) {
-			reached = routers[:1]
+			entryRouters = routers[:1]
 		}
 		run := load.Run{
-			Routers: reached,
+			Routers: entryRouters,
 			Callers: s.Callers(n),
 			Seed:    seed<<8 | uint64(n),
 			Next: func(sequence int, random *rand.Rand) load.Request {
 				return s.Request(n, sequence, d, random)
 			},
-			OnResult: keep,
+			OnResult: record,
 		}
-		all.Go(func() { run.Do(ctx) })
+		senders.Go(func() { run.Do(ctx) })
 	}
-	all.Wait()
+	senders.Wait()
 	return results, summary
 }
--- a/bench/workload/shapes.go
+++ b/bench/workload/shapes.go
@@ -1,5 +1,5 @@
-// Package workload keeps the workspaces of a deployment backlogged, in one of
-// several patterns of work that experiments share.
+// Package workload provides the load patterns that the experiments share. Each
+// keeps the workspaces of a deployment backlogged.
 package workload
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/walnutcove/walnutcove/load"
 )
 
-// Deployment is the size of one of today's users.
+// Deployment is the size of one user's deployment.
 type Deployment struct {
 	Name        string
 	DataCentres []string
@@ -22,7 +22,8 @@
 	Step        time.Duration
 }
 
-// Deployments are both users' sizes of today, without their plain services.
+// Deployments holds the present sizes of both users' deployments, without their
+// plain services.
 var Deployments = map[string]Deployment{
 	"ilesanmi": {
 		Name:        "ilesanmi",
@@ -40,69 +41,71 @@
 	},
 }
 
-// The configuration of every deployment here.
+// The configuration that all deployments share.
 const (
-	// Workspaces is how many workspaces send.
+	// Workspaces is the number of workspaces that send requests.
 	Workspaces = 16
-	// Pool and Model name the only pool and its model.
+	// Pool and Model are the names of the only pool and of its model.
 	Pool  = "shared"
 	Model = "walnut-small"
 )
 
 const (
-	// minTokens and maxTokens bound the answers, which cost a hundredfold of
-	// one another, evenly spread over the orders of magnitude.
+	// minTokens and maxTokens bound the length of the answers, which is
+	// distributed log-uniformly: costs differ by up to a factor of a hundred.
 	minTokens = 2
 	maxTokens = 200
-	// tinyTokens is the length of many tiny requests.
+	// tinyTokens is the length of the answers to tiny requests.
 	tinyTokens = 10
-	// callersEach is how many requests each workspace keeps in flight.
-	callersEach = 10
-	// impatience is how long impatient callers let a request wait.
-	impatience = 250 * time.Millisecond
-	// floodFactor is how many times the callers of others a flood has.
+	// callersPerWorkspace is how many requests a workspace keeps in flight unless
+	// its shape says otherwise.
+	callersPerWorkspace = 10
+	// shortDeadline is how long impatient callers let a request wait.
+	shortDeadline = 250 * time.Millisecond
+	// floodFactor multiplies the callers of the workspace that floods.
 	floodFactor = 50
 )
 
-// Shape is a pattern of work.
+// Shape is a load pattern. Workspaces are numbered from zero.
 type Shape struct {
 	Name string
 	// Share returns the share of workspace n.
 	Share func(n int) float64
 	// Callers returns how many requests workspace n keeps in flight.
 	Callers func(n int) int
-	// OneRouter says that workspace n enters through the first router only.
+	// OneRouter reports whether workspace n sends to the first router only.
 	OneRouter func(n int) bool
-	// Targets narrows workspace n to some targets; nil for all.
+	// Targets returns the targets that workspace n may use; nil for all.
 	Targets func(n int, d Deployment) []string
 	// Hint returns the cost hint of a request of workspace n.
 	Hint func(n int, cost time.Duration) time.Duration
-	// Tokens returns the length of the answer to a request of workspace n.
+	// Tokens returns the length in tokens of the answer to a request of workspace n.
 	Tokens func(n int, random *rand.Rand) int
 	// Deadline returns how long requests of workspace n may wait.
 	Deadline func(n int) time.Duration
 }
 
-// Shapes are the patterns of work, by name.
+// Shapes holds the load patterns by name. Call WithDefaults before using one.
 var Shapes = map[string]Shape{
 	"burst":      {},
-	"one-router": {OneRouter: func(n int) bool { return n == 0 }, Callers: largeFirst},
-	"flood":      {Callers: floodFirst},
-	"hints":      {Hint: roughAbsentDishonest},
-	"subsets":    {Targets: everyThirdTarget},
+	"one-router": {OneRouter: func(n int) bool { return n == 0 }, Callers: moreFromFirst},
+	"flood":      {Callers: floodFromFirst},
+	"hints":      {Hint: mixedHints},
+	"subsets":    {Targets: subsetForEveryFourth},
 	"shares":     {Share: func(n int) float64 { return float64(1 + n%8) }},
-	"sizes":      {Tokens: tinyOrHuge, Callers: manyTiny},
-	"impatient":  {Deadline: someImpatient},
+	"sizes":      {Tokens: tinyOrHuge, Callers: moreCallersForTiny},
+	"impatient":  {Deadline: shortDeadlineForEveryFourth},
 }
 
-// WithDefaults names a shape and fills in what it leaves out.
+// WithDefaults returns the shape with its name and with defaults for the
+// functions that it leaves out.
 func (s Shape) WithDefaults(name string) Shape {
 	s.Name = name
 	if s.Share == nil {
 		s.Share = func(int) float64 { return 1 }
 	}
 	if s.Callers == nil {
-		s.Callers = func(int) int { return callersEach }
+		s.Callers = func(int) int { return callersPerWorkspace }
 	}
 	if s.OneRouter == nil {
 		s.OneRouter = func(int) bool { return false }
@@ -122,32 +125,33 @@
 	return s
 }
 
-// someImpatient gives every fourth workspace callers that give up and send
-// again, so that tickets are withdrawn and grants cross the withdrawals.
-func someImpatient(n int) time.Duration {
+// shortDeadlineForEveryFourth gives every fourth workspace callers that give up
+// and send again, so that tickets are cancelled while their grants are on the
+// way.
+func shortDeadlineForEveryFourth(n int) time.Duration {
 	if n%4 == 0 {
-		return impatience
+		return shortDeadline
 	}
 	return time.Minute
 }
 
-func largeFirst(n int) int {
+func moreFromFirst(n int) int {
 	if n == 0 {
-		return 4 * callersEach
+		return 4 * callersPerWorkspace
 	}
-	return callersEach
+	return callersPerWorkspace
 }
 
-func floodFirst(n int) int {
+func floodFromFirst(n int) int {
 	if n == 0 {
-		return floodFactor * callersEach
+		return floodFactor * callersPerWorkspace
 	}
-	return callersEach
+	return callersPerWorkspace
 }
 
-// roughAbsentDishonest gives a third of the workspaces hints within a factor
-// of two, a third none, and a third hints of a fiftieth of the cost.
-func roughAbsentDishonest(n int, cost time.Duration) time.Duration {
+// mixedHints gives a third of the workspaces hints within a factor of two of the
+// cost, a third no hints, and a third hints of a fiftieth of the cost.
+func mixedHints(n int, cost time.Duration) time.Duration {
 	switch n % 3 {
 	case 0:
 		return cost + cost/2
@@ -158,8 +162,8 @@
 	}
 }
 
-// everyThirdTarget narrows every fourth workspace to a third of the targets.
-func everyThirdTarget(n int, d Deployment) []string {
+// subsetForEveryFourth restricts every fourth workspace to a third of the targets.
+func subsetForEveryFourth(n int, d Deployment) []string {
 	if n%4 != 0 {
 		return nil
 	}
@@ -172,21 +176,24 @@
 	return names
 }
 
+// spreadTokens draws a length from the log-uniform distribution between
+// minTokens and maxTokens.
 func spreadTokens(_ int, random *rand.Rand) int {
 	low, high := math.Log(minTokens), math.Log(maxTokens)
 	return int(math.Exp(low + random.Float64()*(high-low)))
 }
 
-// manyTiny keeps enough of the tiny requests in flight for a fair share.
-func manyTiny(n int) int {
+// moreCallersForTiny gives the workspaces with tiny requests enough callers to
+// use their fair share.
+func moreCallersForTiny(n int) int {
 	if n%2 == 0 {
-		return 4 * callersEach
+		return 4 * callersPerWorkspace
 	}
-	return callersEach
+	return callersPerWorkspace
 }
 
-// tinyOrHuge gives the even workspaces many tiny requests and the odd ones a
-// few huge ones.
+// tinyOrHuge gives the even workspaces many tiny requests and the odd ones a few
+// requests of the greatest length.
 func tinyOrHuge(n int, _ *rand.Rand) int {
 	if n%2 == 0 {
 		return tinyTokens
@@ -194,28 +201,28 @@
 	return maxTokens
 }
 
-// TargetName returns the name of target n, from zero.
+// TargetName returns the name of target n, counted from zero.
 func TargetName(n int) string { return fmt.Sprintf("%s-%d", Pool, n+1) }
 
-// WorkspaceName returns the name of workspace n, from zero.
+// WorkspaceName returns the name of workspace n, counted from zero.
 func WorkspaceName(n int) string { return fmt.Sprintf("workspace-%02d", n+1) }
 
-// WorkspaceKey returns the key of workspace n.
+// WorkspaceKey returns the API key of workspace n.
 func WorkspaceKey(n int) string { return WorkspaceName(n) + "-key" }
 
-// Declared returns the workspaces of a shape.
+// DeclaredWorkspaces returns the configuration of the shape's workspaces.
 func (s Shape) Declared(d Deployment) map[string]config.Workspace {
-	all := make(map[string]config.Workspace)
+	workspaces := make(map[string]config.Workspace)
 	for n := range Workspaces {
 		w := fleet.Workspace(WorkspaceKey(n), s.Share(n), Pool)
 		w.Targets = s.Targets(n, d)
-		w.MaxQueued = floodFactor * callersEach
-		all[WorkspaceName(n)] = w
+		w.MaxQueued = floodFactor * callersPerWorkspace
+		workspaces[WorkspaceName(n)] = w
 	}
-	return all
+	return workspaces
 }
 
-// Request makes one request of workspace n.
+// Request returns a request of workspace n.
 func (s Shape) Request(n, sequence int, d Deployment, random *rand.Rand) load.Request {
 	tokens := s.Tokens(n, random)
 	return load.Request{
