--- a/bench/throughput/throughput.go
+++ b/bench/throughput/throughput.go
@@ -1,6 +1,6 @@
-// Package throughput measures how many requests a second one router relays and
-// what processor time each costs it. The targets have more slots than callers
-// keep busy, so that the router is what is measured.
+// Package throughput measures how many requests per second one router relays and
+// how much processor time each request costs it. The targets have more slots than
+// the callers keep busy, so that the router is the bottleneck.
 package throughput
 
 import (
@@ -18,12 +18,12 @@
 
 // Options configure the experiment.
 type Options struct {
-	// Callers are the numbers of requests kept in flight, one line each.
+	// Callers lists the numbers of requests to keep in flight, one table line each.
 	Callers []int
 	// Duration is how long callers send in each repeat.
 	Duration time.Duration
 	Repeats  int
-	// Tokens is the length of a streamed answer.
+	// Tokens is the length of each streamed answer.
 	Tokens int
 }
 
@@ -36,7 +36,7 @@
 	slots     = 512
 )
 
-// Run makes the measurement and writes a table.
+// Run runs the experiment and writes a table.
 func Run(ctx context.Context, out io.Writer, o Options) error {
 	f, err := fleet.Start(ctx, fleet.Options{
 		DataCentres: []string{"ikeja"},
@@ -82,9 +82,9 @@
 		return fmt.Errorf("%d callers: %v", callers, summary)
 	}
 	rate := float64(answered) / elapsed
-	cost := (after - before).Seconds() * 1e6 / float64(answered)
+	microsPerRequest := (after - before).Seconds() * 1e6 / float64(answered)
 	fmt.Fprintf(out, "%7d  %6d  %10.0f  %8.0f  %15.0f  %v  %v  %v  %v  %v\n",
-		callers, repeat, rate, rate*float64(o.Tokens), cost,
+		callers, repeat, rate, rate*float64(o.Tokens), microsPerRequest,
 		summary.FirstPart(50), summary.FirstPart(95), summary.FirstPart(99),
 		summary.Whole(50), summary.Whole(99))
 	return nil
