--- a/bench/latency/latency.go
+++ b/bench/latency/latency.go
@@ -1,6 +1,6 @@
-// Package latency measures what a router adds to an uncontended request: the
-// same requests are sent to the target directly and through a router, in turn,
-// in one run.
+// Package latency measures the latency that a router adds to an uncontended
+// request: in each repeat, the same requests are sent to the target directly and
+// then through each router in turn.
 package latency
 
 import (
@@ -17,7 +17,7 @@
 
 // Options configure the experiment.
 type Options struct {
-	// Requests is how many requests each way sends in each repeat.
+	// Requests is how many requests are sent on each path in each repeat.
 	Requests int
 	// Repeats is how often the comparison is made.
 	Repeats int
@@ -30,7 +30,7 @@
 	key       = "bakery-key"
 )
 
-// Run makes the measurement and writes a table.
+// Run runs the experiment and writes a table.
 func Run(ctx context.Context, out io.Writer, o Options) error {
 	f, err := fleet.Start(ctx, fleet.Options{
 		DataCentres: []string{"ikeja"},
@@ -50,17 +50,17 @@
 	direct := f.Targets[pool+"-1"].Address
 	fmt.Fprintln(out, "repeat  way     first part p50  p95  p99   whole p50  p95  p99")
 	for repeat := range o.Repeats {
-		for _, way := range []struct{ name, address string }{
+		for _, path := range []struct{ name, address string }{
 			{"direct", direct},
 			{"router-1", f.Callers()[0]},
 			{"router-2", f.Callers()[1]},
 			{"router-3", f.Callers()[2]},
 		} {
-			summary := send(ctx, way.address, o.Requests)
+			summary := send(ctx, path.address, o.Requests)
 			if summary.Count(load.Answered) != o.Requests {
-				return fmt.Errorf("%s: %v", way.name, summary)
+				return fmt.Errorf("%s: %v", path.name, summary)
 			}
-			fmt.Fprintf(out, "%d  %-8s  %v  %v  %v  %v  %v  %v\n", repeat+1, way.name,
+			fmt.Fprintf(out, "%d  %-8s  %v  %v  %v  %v  %v  %v\n", repeat+1, path.name,
 				summary.FirstPart(50), summary.FirstPart(95), summary.FirstPart(99),
 				summary.Whole(50), summary.Whole(95), summary.Whole(99))
 		}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// send sends requests one after another to one address.
+// send sends requests to one address, one after another.
 func send(ctx context.Context, address string, requests int) *load.Summary {
 	run := load.Run{
 		Routers:  []string{address},
