--- a/bench/fleet/control.go
+++ b/bench/fleet/control.go
@@ -11,7 +11,7 @@
 	"github.com/walnutcove/walnutcove/operator"
 )
 
-// Control is the control traffic of one router, the mean over the fleet.
+// ControlTraffic is the control traffic of one router, as the mean over the fleet.
 type Control struct {
 	// BytesPerSecond counts bytes on the wire to and from other routers.
 	BytesPerSecond float64
@@ -19,25 +19,25 @@
 	MessagesPerSecond float64
 	// PlatformBytesPerSecond counts bytes to and from the platform.
 	PlatformBytesPerSecond float64
-	// CorePercent is the time of the control goroutine as a part of one core.
+	// CorePercent is the busy time of the control goroutine in percent of one core.
 	CorePercent float64
-	// Disturbances counts, over the whole fleet and time, routers that were
-	// suspected, schedulers passed over and processes that stood still: each
-	// may move a shard to another scheduler.
+	// Disturbances counts, over the whole fleet and time, suspected routers,
+	// schedulers that did not answer and processes that resumed after a freeze.
+	// Each of these may move a shard to another scheduler.
 	Disturbances int
 }
 
-// ControlCounts are the fleet's counters at one time, summed over the routers.
+// ControlCounters holds the fleet's counters at one time, summed over the routers.
 type ControlCounts struct {
-	routers      int
-	bytes        float64
-	messages     float64
-	platform     float64
-	busy         float64
-	disturbances float64
+	routers       int
+	bytes         float64
+	messages      float64
+	platformBytes float64
+	busySeconds   float64
+	disturbances  float64
 }
 
-// The metrics that ControlCounts sums.
+// The metrics that ControlCounters sums.
 const (
 	metricPeerBytes    = "walnut_peer_wire_bytes_total"
 	metricPeerMessages = "walnut_peer_messages_total"
@@ -49,7 +49,7 @@
 	metricThaws        = "walnut_control_thaws_total"
 )
 
-// ReadControl reads the counters of every router.
+// ReadControlCounters reads the counters of every router.
 func (f *Fleet) ReadControl() (ControlCounts, error) {
 	counts := ControlCounts{routers: len(f.Routers)}
 	for _, r := range f.Routers {
@@ -59,34 +59,35 @@
 		}
 		counts.bytes += values[metricPeerBytes]
 		counts.messages += values[metricPeerMessages]
-		counts.platform += values[metricSent] + values[metricReceived]
-		counts.busy += values[metricControlBusy]
+		counts.platformBytes += values[metricSent] + values[metricReceived]
+		counts.busySeconds += values[metricControlBusy]
 		counts.disturbances += values[metricSuspected] + values[metricUnanswering] + values[metricThaws]
 	}
 	return counts, nil
 }
 
-// Since returns the mean rates of one router since earlier counts.
+// Since returns the mean rates of one router since earlier counters.
 func (c ControlCounts) Since(earlier ControlCounts, elapsed time.Duration) Control {
-	each := float64(c.routers) * elapsed.Seconds()
+	routerSeconds := float64(c.routers) * elapsed.Seconds()
 	return Control{
-		BytesPerSecond:         (c.bytes - earlier.bytes) / each,
-		MessagesPerSecond:      (c.messages - earlier.messages) / each,
-		PlatformBytesPerSecond: (c.platform - earlier.platform) / each,
-		CorePercent:            100 * (c.busy - earlier.busy) / each,
+		BytesPerSecond:         (c.bytes - earlier.bytes) / routerSeconds,
+		MessagesPerSecond:      (c.messages - earlier.messages) / routerSeconds,
+		PlatformBytesPerSecond: (c.platformBytes - earlier.platformBytes) / routerSeconds,
+		CorePercent:            100 * (c.busySeconds - earlier.busySeconds) / routerSeconds,
 		Disturbances:           int(c.disturbances - earlier.disturbances),
 	}
 }
 
-// ReadMetrics returns the metrics of a router, summed over their labels.
+// ReadMetrics returns the metrics that a router serves at its address for
+// operators, summed over their labels.
 func ReadMetrics(operators string) (map[string]float64, error) {
-	answer, err := http.Get("http://" + operators + operator.PathMetrics)
+	response, err := http.Get("http://" + operators + operator.PathMetrics)
 	if err != nil {
 		return nil, fmt.Errorf("read the metrics: %w", err)
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	values := make(map[string]float64)
-	scanner := bufio.NewScanner(answer.Body)
+	scanner := bufio.NewScanner(response.Body)
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
 		name, value, ok := parseMetric(scanner.Text())
@@ -97,7 +98,8 @@
 	return values, scanner.Err()
 }
 
-// parseMetric reads one line of the text format and drops the labels.
+// parseMetric parses one line of the text format and drops the labels. The last
+// result is false if the line holds no metric.
 func parseMetric(line string) (string, float64, bool) {
 	if line == "" || line[0] == '#' {
 		return "", 0, false
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts a fleet of real processes for an experiment: the
-// platform's stand-in, stand-in targets and routers, each its own process.
+// Package fleet starts a fleet of real processes for an experiment: a stand-in for
+// the platform, stand-in targets and routers, each in a process of its own.
 package fleet
 
 import (
@@ -20,37 +20,39 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// Options say what the fleet consists of.
+// Options describe the fleet to start.
 type Options struct {
-	// DataCentres the VMs and targets are spread over, in turn. Required.
+	// DataCentres are the data centres that VMs and targets are assigned to, in
+	// turn. Required.
 	DataCentres []string
 	// Routers is how many routers run.
 	Routers int
 	// Policy is the routers' scheduling policy; empty for the default.
 	Policy string
-	// Pools by name, with their targets' shape.
+	// Pools holds the pools by name, with the settings of their targets.
 	Pools map[string]Pool
-	// Workspaces by name.
+	// Workspaces holds the workspaces by name.
 	Workspaces map[string]config.Workspace
 	// Module is the directory of the module whose programs run; empty for the
-	// working directory. It serves to compare with a changed copy.
+	// working directory. A changed copy can be named here to compare with.
 	Module string
-	// Edit, if set, changes a router's settings before it starts.
+	// EditSettings, if set, changes a router's settings before it starts.
 	Edit func(s *settings.Settings)
 }
 
-// Pool is a pool and the shape of its targets.
+// Pool is a pool and the settings of its targets.
 type Pool struct {
 	Declared config.Pool
-	// Targets is how many targets run, each with Slots.
+	// Targets is how many targets run, each with Slots slots.
 	Targets int
 	Slots   int
-	// Step is an engine's time for each token.
+	// Step is the time that an engine takes for each token.
 	Step time.Duration
 	// LoadLag is the period at which an engine renews its load report.
 	LoadLag time.Duration
-	// PrefixEntries bounds an engine's cache of prompt prefixes; zero for its
-	// default. PrefixGap is the part left out of its load reports.
+	// PrefixEntries bounds an engine's cache of prompt prefixes; zero for the
+	// engine's default. PrefixGap is the fraction of the cached prefixes that its
+	// load reports leave out.
 	PrefixEntries int
 	PrefixGap     float64
 }
@@ -62,22 +64,23 @@
 	Targets  map[string]*processes.StandIn
 	Routers  []*processes.Router
 
-	options  Options
-	dir      string
-	declared map[string]config.Target
+	options         Options
+	dir             string
+	declaredTargets map[string]config.Target
 }
 
-// Start builds the programs of the module and starts a fleet. Close ends it.
+// Start builds the programs of the module and starts a fleet. Call Close to stop
+// it.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "walnutcove-bench-")
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{
-		options:  options,
-		dir:      dir,
-		Targets:  make(map[string]*processes.StandIn),
-		declared: make(map[string]config.Target),
+		options:         options,
+		dir:             dir,
+		Targets:         make(map[string]*processes.StandIn),
+		declaredTargets: make(map[string]config.Target),
 	}
 	if err := f.start(ctx); err != nil {
 		f.Close()
@@ -102,7 +105,7 @@
 	if err := f.startRouters(); err != nil {
 		return err
 	}
-	return f.declare(ctx)
+	return f.submitConfig(ctx)
 }
 
 func (f *Fleet) startPool(name string, pool Pool) error {
@@ -113,7 +116,7 @@
 			return err
 		}
 		f.Targets[target] = started
-		f.declared[target] = config.Target{
+		f.declaredTargets[target] = config.Target{
 			Pool:       name,
 			DataCentre: f.dataCentre(n),
 			Address:    started.Address,
@@ -170,8 +173,9 @@
 	return PostJSON("http://"+f.Platform.Address+"/_vms", store.VMsReply{VMs: vms}, nil)
 }
 
-// declare submits the configuration and waits until every router is on it.
-func (f *Fleet) declare(ctx context.Context) error {
+// submitConfig submits the configuration and waits until it is in force at every
+// router.
+func (f *Fleet) submitConfig(ctx context.Context) error {
 	pools := make(map[string]config.Pool)
 	for name, pool := range f.options.Pools {
 		pools[name] = pool.Declared
@@ -179,15 +183,15 @@
 	changes, err := json.Marshal(config.Declarations{
 		Workspaces: f.options.Workspaces,
 		Pools:      pools,
-		Targets:    f.declared,
+		Targets:    f.declaredTargets,
 	})
 	if err != nil {
 		return fmt.Errorf("encode the declarations: %w", err)
 	}
 	patch := config.Patch{ID: config.NewPatchID(), Author: "bench", Changes: changes}
 	var accepted operator.PatchAccepted
-	first := "http://" + f.Routers[0].Settings.Listen.Operators
-	if err := PostJSON(first+operator.PathPatches, patch, &accepted); err != nil {
+	firstOperators := "http://" + f.Routers[0].Settings.Listen.Operators
+	if err := PostJSON(firstOperators+operator.PathPatches, patch, &accepted); err != nil {
 		return err
 	}
 	for _, r := range f.Routers {
@@ -199,7 +203,7 @@
 	return ctx.Err()
 }
 
-// Callers returns the routers' addresses for callers.
+// CallerAddresses returns the addresses at which the routers serve callers.
 func (f *Fleet) Callers() []string {
 	var addresses []string
 	for _, r := range f.Routers {
@@ -208,10 +212,10 @@
 	return addresses
 }
 
-// Target returns what is declared of a target.
-func (f *Fleet) Target(name string) config.Target { return f.declared[name] }
+// TargetConfig returns the configuration of a target.
+func (f *Fleet) Target(name string) config.Target { return f.declaredTargets[name] }
 
-// Close ends every process and removes the fleet's files.
+// Close kills every process and removes the fleet's files.
 func (f *Fleet) Close() {
 	for _, r := range f.Routers {
 		r.Kill()
@@ -225,29 +229,30 @@
 	_ = os.RemoveAll(f.dir)
 }
 
-// PostJSON posts a document and reads the answer into reply unless it is nil.
+// PostJSON posts a document and decodes the answer into reply unless it is nil.
 func PostJSON(url string, document, reply any) error {
 	body, err := json.Marshal(document)
 	if err != nil {
 		return err
 	}
-	answer, err := http.Post(url, "application/json", bytes.NewReader(body))
+	response, err := http.Post(url, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode/100 != 2 {
+	defer response.Body.Close()
+	if response.StatusCode/100 != 2 {
 		var text bytes.Buffer
-		_, _ = text.ReadFrom(answer.Body)
-		return fmt.Errorf("%s answered %s: %s", url, answer.Status, text.String())
+		_, _ = text.ReadFrom(response.Body)
+		return fmt.Errorf("%s answered %s: %s", url, response.Status, text.String())
 	}
 	if reply == nil {
 		return nil
 	}
-	return json.NewDecoder(answer.Body).Decode(reply)
+	return json.NewDecoder(response.Body).Decode(reply)
 }
 
-// Workspace returns a workspace with a key, a share and pools.
+// Workspace returns the configuration of a workspace with an API key, a share and
+// pools.
 func Workspace(key string, share float64, pools ...string) config.Workspace {
 	hash := config.HashKey([]byte(key))
 	return config.Workspace{Share: share, KeyHashes: []string{hex.EncodeToString(hash[:])}, Pools: pools}
--- a/bench/fleet/journals.go
+++ b/bench/fleet/journals.go
@@ -8,7 +8,7 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// PathJournal is where a stand-in target serves its journal.
+// PathJournal is the path at which a stand-in target serves its journal.
 const PathJournal = "/_journal"
 
 // Journals returns the entries of every target's journal.
@@ -31,21 +31,21 @@
 		if err != nil {
 			return err
 		}
-		answer, err := http.DefaultClient.Do(request)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			return fmt.Errorf("clear the journal of %s: %w", name, err)
 		}
-		_ = answer.Body.Close()
+		_ = response.Body.Close()
 	}
 	return nil
 }
 
-// GetJSON reads a document.
+// GetJSON gets a JSON document and decodes it into document.
 func GetJSON(url string, document any) error {
-	answer, err := http.Get(url)
+	response, err := http.Get(url)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	return json.NewDecoder(answer.Body).Decode(document)
+	defer response.Body.Close()
+	return json.NewDecoder(response.Body).Decode(document)
 }
