--- a/bench/fair/fair.go
+++ b/bench/fair/fair.go
@@ -1,6 +1,6 @@
 // Package fair measures utilisation, the fairness gap and control traffic of a
-// scheduling policy with real processes: routers, stand-in engines that batch
-// continuously, and callers that keep every workspace backlogged.
+// scheduling policy with real processes: routers, stand-in engines with
+// continuous batching, and callers that keep every workspace backlogged.
 package fair
 
 import (
@@ -25,31 +25,32 @@
 	// Duration is how long callers send in each repeat.
 	Duration time.Duration
 	Repeats  int
-	// WarmUp is how long the routers get to meet before callers start. Until
-	// each has heard the others, several schedule the same shard.
+	// WarmUp is how long the routers get to discover one another before callers
+	// start. Until each has received messages from the others, several routers
+	// schedule the same shard.
 	WarmUp time.Duration
-	// CSV receives the raw rows; nil for none.
+	// CSV receives the raw values; nil for none.
 	CSV io.Writer
-	// Detail receives the service of each workspace; nil for none.
+	// Detail receives the service that each workspace got; nil for none.
 	Detail io.Writer
 }
 
-// settle is left out at the beginning of each repeat.
-const settle = time.Second
+// settleTime is left out of the evaluation at the beginning of each repeat.
+const settleTime = time.Second
 
-// Row is the outcome of one repeat.
+// Row holds the values of one repeat.
 type Row struct {
 	Deployment string
 	Shape      string
 	Policy     string
 	Routers    int
 	Repeat     int
-	// Gap is in slot seconds for each unit of share, and Ideal the bound of
-	// one ideal queue.
+	// Gap is the fairness gap in slot seconds per unit of share, and IdealGap its
+	// bound for one ideal queue.
 	Gap         float64
 	Ideal       float64
 	Utilisation float64
-	// Starved is the longest time that a backlogged workspace held no slot.
+	// Starved is the longest time for which a backlogged workspace held no slot.
 	Starved  time.Duration
 	FirstP50 time.Duration
 	FirstP99 time.Duration
@@ -58,21 +59,21 @@
 	Failed   int
 	// Control is the mean over the routers.
 	Control fleet.Control
-	// LongestRun is the longest run seen.
+	// LongestRun is the length of the longest run.
 	LongestRun time.Duration
 }
 
-// Run makes the measurements and writes a table.
+// Run runs the experiment and writes a table.
 func Run(ctx context.Context, out io.Writer, o Options) error {
 	deployment, ok := workload.Deployments[o.Deployment]
 	if !ok {
-		return fmt.Errorf("no deployment is named %q", o.Deployment)
+		return fmt.Errorf("unknown deployment %q", o.Deployment)
 	}
 	writeHeader(out, o.CSV)
 	for _, name := range o.Shapes {
 		shape, ok := workload.Shapes[name]
 		if !ok {
-			return fmt.Errorf("no shape is named %q", name)
+			return fmt.Errorf("unknown shape %q", name)
 		}
 		shape = shape.WithDefaults(name)
 		for _, policy := range o.Policies {
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// runPolicy starts a fleet and repeats one shape on it.
+// runPolicy starts a fleet with a policy and measures one shape on it, o.Repeats
+// times.
 func runPolicy(ctx context.Context, o Options, d workload.Deployment, s workload.Shape, policy string) ([]Row, error) {
 	f, err := fleet.Start(ctx, fleet.Options{
 		DataCentres: d.DataCentres,
@@ -117,7 +119,7 @@
 	return rows, nil
 }
 
-// runOnce sends for the duration and judges what the targets ran.
+// runOnce lets callers send for o.Duration and evaluates the runs on the targets.
 func runOnce(ctx context.Context, f *fleet.Fleet, o Options, d workload.Deployment, s workload.Shape, seed uint64) (Row, error) {
 	if err := f.ClearJournals(); err != nil {
 		return Row{}, err
@@ -127,9 +129,9 @@
 		return Row{}, err
 	}
 	start := time.Now()
-	sending, cancel := context.WithTimeout(ctx, o.Duration)
+	sendCtx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
-	results, summary := s.Send(sending, d, f.Callers(), seed)
+	results, summary := s.Send(sendCtx, d, f.Callers(), seed)
 	after, err := f.ReadControl()
 	if err != nil {
 		return Row{}, err
@@ -139,10 +141,10 @@
 		return Row{}, err
 	}
 	record := measure.Join(start, results, journals)
-	record.From = settle
+	record.From = settleTime
 	record.To = o.Duration
 	writeDetail(o.Detail, record, d, s)
-	row := judge(record, d, s)
+	row := evaluate(record, d, s)
 	row.Deployment = d.Name
 	row.Shape = s.Name
 	row.Routers = o.Routers
@@ -155,20 +157,20 @@
 	return row, nil
 }
 
-func judge(record measure.Record, d workload.Deployment, s workload.Shape) Row {
+func evaluate(record measure.Record, d workload.Deployment, s workload.Shape) Row {
 	shares := make(map[string]float64)
-	reach := make(map[string]map[string]bool)
+	allowedTargets := make(map[string]map[string]bool)
 	for n := range workload.Workspaces {
 		shares[workload.WorkspaceName(n)] = s.Share(n)
 		for _, target := range s.Targets(n, d) {
-			if reach[workload.WorkspaceName(n)] == nil {
-				reach[workload.WorkspaceName(n)] = make(map[string]bool)
+			if allowedTargets[workload.WorkspaceName(n)] == nil {
+				allowedTargets[workload.WorkspaceName(n)] = make(map[string]bool)
 			}
-			reach[workload.WorkspaceName(n)][target] = true
+			allowedTargets[workload.WorkspaceName(n)][target] = true
 		}
 	}
 	mayUse := func(workspace, target string) bool {
-		return reach[workspace] == nil || reach[workspace][target]
+		return allowedTargets[workspace] == nil || allowedTargets[workspace][target]
 	}
 	row := Row{
 		Gap:         record.FairnessGap(shares).SlotSeconds,
--- a/bench/fair/table.go
+++ b/bench/fair/table.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// writeRows writes one line for the repeats of a shape and policy: medians
-// with the least and the greatest.
+// writeRows writes one line for the repeats of a shape and policy: medians with
+// the minimum and maximum, and sums of the counts.
 func writeRows(out, csv io.Writer, rows []Row) {
 	if len(rows) == 0 {
 		return
@@ -28,7 +28,7 @@
 	first := rows[0]
 	gap := spread(rows, func(r Row) float64 { return r.Gap })
 	ideal := spread(rows, func(r Row) float64 { return r.Gap / r.Ideal })
-	used := spread(rows, func(r Row) float64 { return 100 * r.Utilisation })
+	utilisation := spread(rows, func(r Row) float64 { return 100 * r.Utilisation })
 	starved := spread(rows, func(r Row) float64 { return r.Starved.Seconds() })
 	p50 := spread(rows, func(r Row) float64 { return millis(r.FirstP50) })
 	p99 := spread(rows, func(r Row) float64 { return millis(r.FirstP99) })
@@ -37,9 +37,9 @@
 	core := spread(rows, func(r Row) float64 { return r.Control.CorePercent })
 	fmt.Fprintf(out, "%-10s  %-10s  %-11s  %d  %6.3f (%.3f..%.3f)  %4.2f  %6.2f%% (%.2f..%.2f)  %5.2fs  %.0f/%.0f ms  %d %d %d  %.0f %.0f %.2f  %d\n",
 		first.Deployment, first.Shape, first.Policy, len(rows),
-		gap.median, gap.least, gap.greatest, ideal.median,
-		used.median, used.least, used.greatest,
-		starved.greatest, p50.median, p99.median,
+		gap.median, gap.minimum, gap.maximum, ideal.median,
+		utilisation.median, utilisation.minimum, utilisation.maximum,
+		starved.maximum, p50.median, p99.median,
 		total(rows, func(r Row) int { return r.Answered }),
 		total(rows, func(r Row) int { return r.Refused }),
 		total(rows, func(r Row) int { return r.Failed }),
@@ -60,16 +60,16 @@
 	}
 }
 
-// spreadOf is the median of the repeats with the least and the greatest.
-type spreadOf struct{ least, median, greatest float64 }
+// spreadStats holds the median of the repeats with their minimum and maximum.
+type spreadStats struct{ minimum, median, maximum float64 }
 
-func spread(rows []Row, value func(Row) float64) spreadOf {
+func spread(rows []Row, value func(Row) float64) spreadStats {
 	values := make([]float64, 0, len(rows))
 	for _, r := range rows {
 		values = append(values, value(r))
 	}
 	slices.Sort(values)
-	return spreadOf{values[0], values[len(values)/2], values[len(values)-1]}
+	return spreadStats{values[0], values[len(values)/2], values[len(values)-1]}
 }
 
 func total(rows []Row, value func(Row) int) int {
@@ -82,7 +82,8 @@
 
 func millis(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// writeDetail writes what each workspace received, and the worst pair.
+// writeDetail writes the service that each workspace received, and the two
+// workspaces with the largest gap.
 func writeDetail(out io.Writer, record measure.Record, d workload.Deployment, s workload.Shape) {
 	if out == nil {
 		return
