--- a/bench/faults/faults.go
+++ b/bench/faults/faults.go
@@ -1,6 +1,6 @@
-// Package faults measures what faults do to a fleet of real processes whose
-// workspaces are all backlogged: how long a shard stands still, what its slots
-// idle, how far its targets are over-admitted, and what becomes of fairness.
+// Package faults measures the effect of faults on a fleet of real processes whose
+// workspaces are all backlogged: how long no run starts in a shard, how long slots
+// idle, how far targets are over-admitted, and how large the fairness gap grows.
 package faults
 
 import (
@@ -20,28 +20,28 @@
 
 // Options configure the experiment.
 type Options struct {
-	// Deployment names the size.
+	// Deployment is the name of a size in workload.Deployments.
 	Deployment string
 	Routers    int
-	// Only names the faults to measure; empty for all.
+	// Only holds the names of the faults to measure; empty for all.
 	Only    []string
 	Repeats int
 	// CSV receives the raw values; nil for none.
 	CSV io.Writer
 }
 
-// beforeFault is how long requests flow before the fault.
+// beforeFault is how long callers send before the fault.
 const beforeFault = 2 * time.Second
 
-// Run makes the measurements and writes a table.
+// Run runs the experiment and writes a table.
 func Run(ctx context.Context, out io.Writer, o Options) error {
 	deployment, ok := workload.Deployments[o.Deployment]
 	if !ok {
-		return fmt.Errorf("no deployment is named %q", o.Deployment)
+		return fmt.Errorf("unknown deployment %q", o.Deployment)
 	}
 	shape := workload.Shapes["burst"].WithDefaults("burst")
 	var rows []table.Row
-	for _, f := range list() {
+	for _, f := range allFaults() {
 		if len(o.Only) > 0 && !slices.Contains(o.Only, f.name) {
 			continue
 		}
@@ -57,7 +57,7 @@
 	return table.Write(out, rows)
 }
 
-// runFault starts a fleet and repeats one fault on it.
+// runFault starts a fleet and measures one fault on it, o.Repeats times.
 func runFault(ctx context.Context, o Options, d workload.Deployment, shape workload.Shape, f fault) ([]table.Row, error) {
 	running, err := fleet.Start(ctx, fleet.Options{
 		DataCentres: d.DataCentres,
@@ -71,11 +71,11 @@
 	defer running.Close()
 	var rows []table.Row
 	for repeat := range o.Repeats {
-		s, err := newScene(ctx, running, d, shape)
+		t, err := newTrial(ctx, running, d, shape)
 		if err != nil {
 			return nil, err
 		}
-		values, err := s.run(ctx, f, uint64(repeat+1))
+		values, err := t.run(ctx, f, uint64(repeat+1))
 		if err != nil {
 			return nil, err
 		}
@@ -84,79 +84,79 @@
 	return rows, nil
 }
 
-// sent is what callers saw.
-type sent struct {
+// callerResults holds the results that the callers got.
+type callerResults struct {
 	results []load.Result
 	summary *load.Summary
 }
 
-// run keeps all workspaces backlogged, brings the fault about, and judges the
+// run keeps all workspaces backlogged, injects the fault, and evaluates the
 // interval after it.
-func (s *scene) run(ctx context.Context, f fault, seed uint64) ([]table.Value, error) {
-	if err := s.fleet.ClearJournals(); err != nil {
+func (t *trial) run(ctx context.Context, f fault, seed uint64) ([]table.Value, error) {
+	if err := t.fleet.ClearJournals(); err != nil {
 		return nil, err
 	}
 	start := time.Now()
-	sending, cancel := context.WithCancel(ctx)
+	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := make(chan sent, 1)
+	done := make(chan callerResults, 1)
 	go func() {
-		results, summary := s.shape.Send(sending, s.deployment, s.callers(), seed)
-		done <- sent{results, summary}
+		results, summary := t.shape.Send(sendCtx, t.deployment, t.callers(), seed)
+		done <- callerResults{results, summary}
 	}()
 	time.Sleep(beforeFault)
-	at := time.Now()
+	faultAt := time.Now()
 	if f.begin != nil {
-		if err := f.begin(s); err != nil {
+		if err := f.begin(t); err != nil {
 			return nil, err
 		}
 	}
-	time.Sleep(time.Until(at.Add(f.interval)))
+	time.Sleep(time.Until(faultAt.Add(f.interval)))
 	cancel()
-	seen := <-done
-	if err := s.wait(); err != nil {
+	received := <-done
+	if err := t.waitPending(); err != nil {
 		return nil, err
 	}
-	entries, err := s.fleet.Journals()
+	entries, err := t.fleet.Journals()
 	if err != nil {
 		return nil, err
 	}
 	if f.end != nil {
-		if err := f.end(s); err != nil {
+		if err := f.end(t); err != nil {
 			return nil, err
 		}
 	}
-	entries = append(slices.Clone(s.kept), entries...)
-	return s.judge(f, start, at, seen, entries), nil
+	entries = append(slices.Clone(t.savedEntries), entries...)
+	return t.evaluate(f, start, faultAt, received, entries), nil
 }
 
-// judge works the values out.
-func (s *scene) judge(f fault, start, at time.Time, seen sent, entries []journal.Entry) []table.Value {
-	until := at.Add(f.interval)
-	record := measure.Join(start, seen.results, entries)
-	record.From = at.Sub(start)
+// evaluate computes the measured values for the interval that starts at faultAt.
+func (t *trial) evaluate(f fault, start, faultAt time.Time, received callerResults, entries []journal.Entry) []table.Value {
+	until := faultAt.Add(f.interval)
+	record := measure.Join(start, received.results, entries)
+	record.From = faultAt.Sub(start)
 	record.To = until.Sub(start)
 	shares := make(map[string]float64)
 	for n := range workload.Workspaces {
-		shares[workload.WorkspaceName(n)] = s.shape.Share(n)
+		shares[workload.WorkspaceName(n)] = t.shape.Share(n)
 	}
-	slots := s.deployment.Slots
+	slots := t.deployment.Slots
 	count := func(v ...load.Verdict) (n float64) {
 		for _, verdict := range v {
-			n += float64(seen.summary.Count(verdict))
+			n += float64(received.summary.Count(verdict))
 		}
 		return n
 	}
 	return []table.Value{
-		{Name: "shard still ms", Number: longestPause(entries, at, until, s.inShard)},
-		{Name: "target still ms", Number: longestPause(entries, at, until, func(name string) bool { return name == s.target })},
-		{Name: "idle slot s", Number: s.idle(record, start)},
-		{Name: "of slot s", Number: float64(slots*s.deployment.Targets) * f.interval.Seconds()},
-		{Name: "over-admitted", Number: float64(mostPresent(entries, at, until) - slots)},
-		{Name: "bound", Number: float64(f.schedulers*(slots+max(1, slots/4)) - slots)},
+		{Name: "shard still ms", Number: longestPause(entries, faultAt, until, t.inShard)},
+		{Name: "target still ms", Number: longestPause(entries, faultAt, until, func(name string) bool { return name == t.target })},
+		{Name: "idle slot s", Number: t.idleSlotSeconds(record, start)},
+		{Name: "of slot s", Number: float64(slots*t.deployment.Targets) * f.interval.Seconds()},
+		{Name: "over-admitted", Number: float64(maxPresent(entries, faultAt, until) - slots)},
+		{Name: "bound", Number: float64(f.maxSchedulers*(slots+max(1, slots/4)) - slots)},
 		{Name: "gap s/share", Number: record.FairnessGap(shares).SlotSeconds},
-		{Name: "bound", Number: s.gapBound(record)},
-		{Name: "starved s", Number: starved(record, shares)},
+		{Name: "bound", Number: t.gapBound(record)},
+		{Name: "starved s", Number: longestStarvation(record, shares)},
 		{Name: "answered", Number: count(load.Answered)},
 		{Name: "refused", Number: count(load.Refused)},
 		{Name: "broken", Number: count(load.Broken, load.Unreachable)},
--- a/bench/faults/judge.go
+++ b/bench/faults/judge.go
@@ -9,15 +9,16 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// messageTime is R in the bound of the gap: generous on loopback.
-const messageTime = 0.01 // seconds
+// messageSeconds is the message delay R in the bound of the gap. It is generous
+// for loopback.
+const messageSeconds = 0.01
 
-// longestPause returns the longest time without a start at some targets, in
-// milliseconds.
-func longestPause(entries []journal.Entry, from, to time.Time, of func(target string) bool) float64 {
+// longestPause returns the longest time between from and to without a start at
+// the targets that include selects, in milliseconds.
+func longestPause(entries []journal.Entry, from, to time.Time, include func(target string) bool) float64 {
 	starts := []time.Time{from, to}
 	for _, e := range entries {
-		if e.Event == journal.Started && of(e.Target) && e.Wall.After(from) && e.Wall.Before(to) {
+		if e.Event == journal.Started && include(e.Target) && e.Wall.After(from) && e.Wall.Before(to) {
 			starts = append(starts, e.Wall)
 		}
 	}
@@ -29,11 +30,11 @@
 	return longest.Seconds() * 1000
 }
 
-// mostPresent returns the largest number of requests that one target held at
-// once, running or queued, in an interval.
-func mostPresent(entries []journal.Entry, from, to time.Time) int {
+// maxPresent returns the largest number of requests that any one target held at
+// once, running or queued, between from and to.
+func maxPresent(entries []journal.Entry, from, to time.Time) int {
 	present := make(map[string]int)
-	most := 0
+	maxCount := 0
 	for _, e := range entries {
 		switch e.Event {
 		case journal.Received:
@@ -42,53 +43,54 @@
 			present[e.Target]--
 		}
 		if e.Wall.After(from) && e.Wall.Before(to) {
-			most = max(most, present[e.Target])
+			maxCount = max(maxCount, present[e.Target])
 		}
 	}
-	return most
+	return maxCount
 }
 
-// idle returns the slot seconds that idled while work waited. A killed target
-// has no slots until it is back.
-func (s *scene) idle(record measure.Record, start time.Time) float64 {
-	slots := s.deployment.SlotsOf()
-	everyone := func(string, string) bool { return true }
-	if s.killed.IsZero() {
-		return record.Idle(slots, everyone)
+// idleSlotSeconds returns the slot seconds that idled while requests waited. A
+// killed target counts as having no slots until it is restarted.
+func (t *trial) idleSlotSeconds(record measure.Record, start time.Time) float64 {
+	slots := t.deployment.SlotsOf()
+	anyTarget := func(string, string) bool { return true }
+	if t.killedAt.IsZero() {
+		return record.Idle(slots, anyTarget)
 	}
-	killed := map[string]int{s.target: slots[s.target]}
-	delete(slots, s.target)
-	total := record.Idle(slots, everyone)
+	killedTarget := map[string]int{t.target: slots[t.target]}
+	delete(slots, t.target)
+	total := record.Idle(slots, anyTarget)
 	to := record.To
-	record.To = s.killed.Sub(start)
-	total += record.Idle(killed, everyone)
-	record.From, record.To = s.restarted.Sub(start), to
-	return total + record.Idle(killed, everyone)
+	record.To = t.killedAt.Sub(start)
+	total += record.Idle(killedTarget, anyTarget)
+	record.From, record.To = t.restartedAt.Sub(start), to
+	return total + record.Idle(killedTarget, anyTarget)
 }
 
-// gapBound is the bound that package control states, with the longest run that
-// the interval showed.
-func (s *scene) gapBound(record measure.Record) float64 {
+// gapBound returns the bound on the fairness gap that package control states, for
+// the longest run that overlaps the record's interval.
+func (t *trial) gapBound(record measure.Record) float64 {
 	longest := time.Duration(0)
 	for _, run := range record.Runs {
 		if run.End >= record.From && run.Start <= record.To {
 			longest = max(longest, run.End-run.Start)
 		}
 	}
-	slots := float64(s.deployment.Slots * s.deployment.Targets)
-	exchange := exchangePeriod(len(s.fleet.Routers)).Seconds()
-	return workload.IdealGap(s.deployment, s.shape, longest) + slots*(exchange+exchange/2+messageTime)
+	slots := float64(t.deployment.Slots * t.deployment.Targets)
+	exchange := exchangePeriod(len(t.fleet.Routers)).Seconds()
+	return workload.IdealGap(t.deployment, t.shape, longest) + slots*(exchange+exchange/2+messageSeconds)
 }
 
-// exchangePeriod is the default of package control for a fleet.
+// exchangePeriod returns the default exchange period of package control for a
+// fleet of this many routers.
 func exchangePeriod(routers int) time.Duration {
-	const each, least, most = 10 * time.Millisecond, 60 * time.Millisecond, time.Second
-	return min(max(time.Duration(routers)*each, least), most)
+	const perRouter, minPeriod, maxPeriod = 10 * time.Millisecond, 60 * time.Millisecond, time.Second
+	return min(max(time.Duration(routers)*perRouter, minPeriod), maxPeriod)
 }
 
-// starved returns the longest time in seconds that a backlogged workspace held
-// no slot.
-func starved(record measure.Record, shares map[string]float64) float64 {
+// longestStarvation returns the longest time in seconds for which a backlogged
+// workspace held no slot.
+func longestStarvation(record measure.Record, shares map[string]float64) float64 {
 	longest := time.Duration(0)
 	for name := range shares {
 		longest = max(longest, record.LongestWithoutService(name))
--- a/bench/faults/judge_test.go
+++ b/bench/faults/judge_test.go
@@ -12,7 +12,7 @@
 
 func at(seconds int) time.Time { return origin.Add(time.Duration(seconds) * time.Second) }
 
-func TestMostPresentCountsEachTargetAlone(t *testing.T) {
+func TestMaxPresentCountsEachTargetSeparately(t *testing.T) {
 	entries := []journal.Entry{
 		{Target: "a", Run: 1, Event: journal.Received, Wall: at(1)},
 		{Target: "a", Run: 2, Event: journal.Received, Wall: at(2)},
@@ -21,11 +21,11 @@
 		{Target: "a", Run: 3, Event: journal.Received, Wall: at(4)},
 		{Target: "b", Run: 1, Event: journal.Received, Wall: at(2)},
 	}
-	if most := mostPresent(entries, at(0), at(9)); most != 2 {
-		t.Errorf("got %d, want 2", most)
+	if count := maxPresent(entries, at(0), at(9)); count != 2 {
+		t.Errorf("got %d, want 2", count)
 	}
-	if most := mostPresent(entries[:1], at(0), at(9)); most != 1 {
-		t.Errorf("got %d, want 1", most)
+	if count := maxPresent(entries[:1], at(0), at(9)); count != 1 {
+		t.Errorf("got %d, want 1", count)
 	}
 }
 
@@ -44,18 +44,19 @@
 	}
 }
 
-// TestKilledTargetIdlesOnlyWhileItLives: slots 0 to 1 s and 3 to 4 s count,
-// of which one run takes a quarter in the second part.
-func TestKilledTargetIdlesOnlyWhileItLives(t *testing.T) {
-	s := &scene{target: "shared-1", killed: at(1), restarted: at(3)}
-	s.deployment.Targets = 1
-	s.deployment.Slots = 4
+// TestKilledTargetIdlesOnlyWhileRunning checks that the slots of a target that is
+// down from 1 s to 3 s count only from 0 to 1 s and from 3 s to 4 s. One run uses
+// a quarter of the second part.
+func TestKilledTargetIdlesOnlyWhileRunning(t *testing.T) {
+	tr := &trial{target: "shared-1", killedAt: at(1), restartedAt: at(3)}
+	tr.deployment.Targets = 1
+	tr.deployment.Slots = 4
 	record := measure.Record{
 		Waits: []measure.Wait{{Workspace: "w", From: 0, To: 4 * time.Second}},
 		Runs:  []measure.Run{{Workspace: "w", Target: "shared-1", Start: 3 * time.Second, End: 4 * time.Second}},
 		To:    4 * time.Second,
 	}
-	if got := s.idle(record, origin); got != 7 {
+	if got := tr.idleSlotSeconds(record, origin); got != 7 {
 		t.Errorf("got %v slot s, want 7", got)
 	}
 }
--- a/bench/faults/list.go
+++ b/bench/faults/list.go
@@ -12,124 +12,125 @@
 )
 
 const (
-	// usualInterval is how long after a fault is judged.
-	usualInterval = 6 * time.Second
-	// frozenFor is how long a frozen scheduler stands still.
+	// defaultInterval is the length of the evaluated time after most faults.
+	defaultInterval = 6 * time.Second
+	// frozenFor is how long a scheduler stays frozen.
 	frozenFor = 10 * time.Second
-	// afterThaw is judged too.
+	// afterThaw is how much time after the end of a freeze is evaluated as well.
 	afterThaw = 4 * time.Second
-	// downFor is how long a killed target is away.
+	// downFor is how long a killed target stays down.
 	downFor = 3 * time.Second
-	// slowFactor multiplies the time of a slowed target's steps.
+	// slowFactor multiplies the time of each step of a slowed target.
 	slowFactor = 10
-	// lieQueued is the queue that a lying target claims when it "is full".
-	lieQueued = 20
-	// pathFault is where a stand-in target takes its faults.
+	// falseQueued is the queue length that a target falsely reports when it claims
+	// to be full.
+	falseQueued = 20
+	// pathFault is the path at which a stand-in target accepts faults to simulate.
 	pathFault = "/_fault"
 )
 
-// fault is something that goes wrong while all workspaces are backlogged.
+// fault is a failure to inject while all workspaces are backlogged.
 type fault struct {
 	name string
-	// interval is judged, from the fault on.
+	// interval is the length of the evaluated time, which starts at the fault.
 	interval time.Duration
-	// schedulers is how many schedulers may hold grants of one target at once.
-	schedulers int
-	// begin and end bring the fault about and end it. end runs after the
-	// interval; both may be nil.
-	begin, end func(*scene) error
+	// maxSchedulers is how many schedulers may hold grants of one target at once.
+	maxSchedulers int
+	// begin injects the fault and end removes it, after the interval. Both may be
+	// nil.
+	begin, end func(*trial) error
 }
 
-// list returns the faults in the order in which they are measured.
-func list() []fault {
+// allFaults returns the faults in the order in which they are measured.
+func allFaults() []fault {
 	return []fault{
-		{name: "none", interval: usualInterval, schedulers: 1},
-		{name: "scheduler killed", interval: usualInterval, schedulers: 2, begin: (*scene).killScheduler, end: (*scene).restartScheduler},
-		{name: "scheduler frozen 10 s", interval: frozenFor + afterThaw, schedulers: 2, begin: (*scene).freezeScheduler},
-		{name: "scheduler restarted", interval: usualInterval, schedulers: 2, begin: (*scene).replaceScheduler},
-		{name: "target killed 3 s", interval: usualInterval + downFor, schedulers: 1, begin: (*scene).killTarget},
-		{name: "target slowed 10x", interval: usualInterval, schedulers: 1, begin: slowed, end: (*scene).healTarget},
-		{name: "target says 0 running", interval: usualInterval, schedulers: 1, begin: saysIdle, end: (*scene).healTarget},
-		{name: "target says full", interval: usualInterval, schedulers: 1, begin: saysFull, end: (*scene).healTarget},
+		{name: "none", interval: defaultInterval, maxSchedulers: 1},
+		{name: "scheduler killed", interval: defaultInterval, maxSchedulers: 2, begin: (*trial).killScheduler, end: (*trial).restartScheduler},
+		{name: "scheduler frozen 10 s", interval: frozenFor + afterThaw, maxSchedulers: 2, begin: (*trial).freezeScheduler},
+		{name: "scheduler restarted", interval: defaultInterval, maxSchedulers: 2, begin: (*trial).replaceScheduler},
+		{name: "target killed 3 s", interval: defaultInterval + downFor, maxSchedulers: 1, begin: (*trial).killTarget},
+		{name: "target slowed 10x", interval: defaultInterval, maxSchedulers: 1, begin: slowTarget, end: (*trial).clearTargetFault},
+		{name: "target says 0 running", interval: defaultInterval, maxSchedulers: 1, begin: reportIdle, end: (*trial).clearTargetFault},
+		{name: "target says full", interval: defaultInterval, maxSchedulers: 1, begin: reportFull, end: (*trial).clearTargetFault},
 	}
 }
 
-func (s *scene) killScheduler() error {
-	s.scheduler.Kill()
+func (t *trial) killScheduler() error {
+	t.scheduler.Kill()
 	return nil
 }
 
-func (s *scene) restartScheduler() error {
-	if err := s.scheduler.Restart(); err != nil {
+func (t *trial) restartScheduler() error {
+	if err := t.scheduler.Restart(); err != nil {
 		return err
 	}
-	return s.scheduler.WaitReady()
+	return t.scheduler.WaitReady()
 }
 
-func (s *scene) replaceScheduler() error {
-	s.scheduler.Kill()
-	return s.scheduler.Restart()
+func (t *trial) replaceScheduler() error {
+	t.scheduler.Kill()
+	return t.scheduler.Restart()
 }
 
-func (s *scene) freezeScheduler() error {
-	if err := s.scheduler.Freeze(); err != nil {
+func (t *trial) freezeScheduler() error {
+	if err := t.scheduler.Freeze(); err != nil {
 		return err
 	}
-	s.later(frozenFor, s.scheduler.Thaw)
+	t.runAfter(frozenFor, t.scheduler.Thaw)
 	return nil
 }
 
-// killTarget kills the target after it gave its journal, and starts it again,
-// empty, on the same address.
-func (s *scene) killTarget() error {
-	killed := s.fleet.Targets[s.target]
+// killTarget kills the target after reading its journal, and later starts it
+// again on the same address, without state.
+func (t *trial) killTarget() error {
+	killed := t.fleet.Targets[t.target]
 	var entries []journal.Entry
 	if err := fleet.GetJSON("http://"+killed.Address+fleet.PathJournal, &entries); err != nil {
 		return err
 	}
 	killed.Kill()
-	s.keepJournal(entries, time.Now())
-	s.later(downFor, func() error {
-		started, err := processes.StartEngine(s.fleet.Binaries, s.target, processes.EngineOptions{
-			Listen: killed.Address, Slots: s.deployment.Slots, Step: s.deployment.Step,
+	t.saveJournal(entries, time.Now())
+	t.runAfter(downFor, func() error {
+		started, err := processes.StartEngine(t.fleet.Binaries, t.target, processes.EngineOptions{
+			Listen: killed.Address, Slots: t.deployment.Slots, Step: t.deployment.Step,
 		})
 		if err == nil {
-			s.restarted = time.Now()
-			s.fleet.Targets[s.target] = started
+			t.restartedAt = time.Now()
+			t.fleet.Targets[t.target] = started
 		}
 		return err
 	})
 	return nil
 }
 
-func slowed(s *scene) error { return s.setFault(engine.Faults{SlowFactor: slowFactor}) }
+func slowTarget(t *trial) error { return t.setFault(engine.Faults{SlowFactor: slowFactor}) }
 
-func saysIdle(s *scene) error {
-	return s.setFault(engine.Faults{LieLoad: &targets.Load{Slots: s.deployment.Slots}})
+func reportIdle(t *trial) error {
+	return t.setFault(engine.Faults{LieLoad: &targets.Load{Slots: t.deployment.Slots}})
 }
 
-func saysFull(s *scene) error {
-	return s.setFault(engine.Faults{LieLoad: &targets.Load{
-		Running: s.deployment.Slots, Queued: lieQueued, Slots: s.deployment.Slots,
+func reportFull(t *trial) error {
+	return t.setFault(engine.Faults{LieLoad: &targets.Load{
+		Running: t.deployment.Slots, Queued: falseQueued, Slots: t.deployment.Slots,
 	}})
 }
 
-func (s *scene) setFault(f engine.Faults) error {
-	return fleet.PostJSON(s.faultURL(), f, nil)
+func (t *trial) setFault(f engine.Faults) error {
+	return fleet.PostJSON(t.faultURL(), f, nil)
 }
 
-func (s *scene) healTarget() error {
-	request, err := http.NewRequest(http.MethodDelete, s.faultURL(), nil)
+func (t *trial) clearTargetFault() error {
+	request, err := http.NewRequest(http.MethodDelete, t.faultURL(), nil)
 	if err != nil {
 		return err
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
-	return answer.Body.Close()
+	return response.Body.Close()
 }
 
-func (s *scene) faultURL() string {
-	return "http://" + s.fleet.Targets[s.target].Address + pathFault
+func (t *trial) faultURL() string {
+	return "http://" + t.fleet.Targets[t.target].Address + pathFault
 }
--- a/bench/faults/scene.go
+++ b/bench/faults/scene.go
@@ -14,91 +14,98 @@
 )
 
 const (
-	// settleFor is left to a fleet that was started, or whose router was.
-	settleFor = 2 * time.Second
-	// findFor is how long requests flow before the scheduler is asked for.
-	findFor = time.Second
-	// findSeed differs from the seeds of the repeats.
-	findSeed = 1 << 20
+	// settleTime is how long a fleet gets to settle after a start or after the
+	// restart of a router.
+	settleTime = 2 * time.Second
+	// searchTime is how long callers send before the routers are asked which of
+	// them is the scheduler.
+	searchTime = time.Second
+	// searchSeed differs from the seeds of the repeats.
+	searchSeed = 1 << 20
 )
 
-// scene is one repeat of a fault.
-type scene struct {
+// trial is one repeat of a fault.
+type trial struct {
 	fleet      *fleet.Fleet
 	deployment workload.Deployment
 	shape      workload.Shape
-	// scheduler schedules the shard of the first data centre; target is one
-	// of that shard's targets.
+	// scheduler is the router that schedules the shard of the first data centre,
+	// and target one of that shard's targets.
 	scheduler *processes.Router
 	target    string
-	// kept are the entries of targets that were killed; killed and restarted
-	// are when.
-	kept              []journal.Entry
-	killed, restarted time.Time
-	// pending receives the errors of what was put off with later.
+	// savedEntries holds the journal of the target if it was killed at killedAt
+	// and started again at restartedAt.
+	savedEntries          []journal.Entry
+	killedAt, restartedAt time.Time
+	// pending holds one channel for each call of runAfter; it receives the
+	// action's error.
 	pending []chan error
 }
 
-// newScene finds the scheduler by letting requests flow for a moment.
-func newScene(ctx context.Context, f *fleet.Fleet, d workload.Deployment, shape workload.Shape) (*scene, error) {
-	s := &scene{fleet: f, deployment: d, shape: shape, target: workload.TargetName(0)}
-	time.Sleep(settleFor)
-	sending, cancel := context.WithCancel(ctx)
+// newTrial returns a trial after sending requests for a while to find the
+// scheduler.
+func newTrial(ctx context.Context, f *fleet.Fleet, d workload.Deployment, shape workload.Shape) (*trial, error) {
+	t := &trial{fleet: f, deployment: d, shape: shape, target: workload.TargetName(0)}
+	time.Sleep(settleTime)
+	sendCtx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		shape.Send(sending, d, f.Callers(), findSeed)
+		shape.Send(sendCtx, d, f.Callers(), searchSeed)
 	}()
-	time.Sleep(findFor)
-	err := s.findScheduler()
+	time.Sleep(searchTime)
+	err := t.findScheduler()
 	cancel()
 	<-ended
-	return s, err
+	return t, err
 }
 
-func (s *scene) findScheduler() error {
-	most := 0
-	for _, r := range s.fleet.Routers {
+// findScheduler finds the router that runs the most requests of the shard of the
+// first data centre.
+func (t *trial) findScheduler() error {
+	maxRunning := 0
+	for _, r := range t.fleet.Routers {
 		var status operator.Status
 		if err := fleet.GetJSON("http://"+r.Settings.Listen.Operators+operator.PathStatus, &status); err != nil {
 			return err
 		}
 		for _, shard := range status.Shards {
-			if shard.DataCentre == s.dataCentre() && shard.Running > most {
-				s.scheduler, most = r, shard.Running
+			if shard.DataCentre == t.dataCentre() && shard.Running > maxRunning {
+				t.scheduler, maxRunning = r, shard.Running
 			}
 		}
 	}
-	if s.scheduler == nil {
-		return fmt.Errorf("no router schedules the shard in %s", s.dataCentre())
+	if t.scheduler == nil {
+		return fmt.Errorf("no router schedules the shard in %s", t.dataCentre())
 	}
 	return nil
 }
 
-func (s *scene) dataCentre() string { return s.deployment.DataCentres[0] }
+func (t *trial) dataCentre() string { return t.deployment.DataCentres[0] }
 
-// callers are the addresses of all routers but the one that may fail: the
-// balancer takes that one away.
-func (s *scene) callers() []string {
-	return slices.DeleteFunc(s.fleet.Callers(), func(address string) bool {
-		return address == s.scheduler.Settings.Listen.Callers
+// callers returns the addresses of all routers except the scheduler, which may
+// fail: a load balancer would stop sending to it.
+func (t *trial) callers() []string {
+	return slices.DeleteFunc(t.fleet.Callers(), func(address string) bool {
+		return address == t.scheduler.Settings.Listen.Callers
 	})
 }
 
-// inShard says whether a target belongs to the shard of the scheduler.
-func (s *scene) inShard(target string) bool {
-	return s.fleet.Target(target).DataCentre == s.dataCentre()
+// inShard reports whether a target belongs to the scheduler's shard.
+func (t *trial) inShard(target string) bool {
+	return t.fleet.Target(target).DataCentre == t.dataCentre()
 }
 
-// later does something after a delay; wait returns its error.
-func (s *scene) later(delay time.Duration, do func() error) {
+// runAfter runs action after a delay; waitPending returns its error.
+func (t *trial) runAfter(delay time.Duration, action func() error) {
 	done := make(chan error, 1)
-	s.pending = append(s.pending, done)
-	time.AfterFunc(delay, func() { done <- do() })
+	t.pending = append(t.pending, done)
+	time.AfterFunc(delay, func() { done <- action() })
 }
 
-func (s *scene) wait() error {
-	for _, done := range s.pending {
+// waitPending waits for the actions of runAfter and returns the first error.
+func (t *trial) waitPending() error {
+	for _, done := range t.pending {
 		if err := <-done; err != nil {
 			return err
 		}
@@ -106,10 +113,10 @@
 	return nil
 }
 
-// keepJournal keeps the entries of a target that was killed, and ends what it
-// ran then.
-func (s *scene) keepJournal(entries []journal.Entry, at time.Time) {
-	s.killed = at
+// saveJournal saves the entries of a target that was killed, and adds an end for
+// each request that it held then.
+func (t *trial) saveJournal(entries []journal.Entry, at time.Time) {
+	t.killedAt = at
 	present := make(map[uint64]journal.Entry)
 	for _, e := range entries {
 		switch e.Event {
@@ -119,11 +126,11 @@
 			delete(present, e.Run)
 		}
 	}
-	s.kept = entries
+	t.savedEntries = entries
 	for _, e := range present {
 		e.Event = journal.Ended
 		e.Outcome = journal.Crashed
 		e.Wall = at
-		s.kept = append(s.kept, e)
+		t.savedEntries = append(t.savedEntries, e)
 	}
 }
