--- a/bench/refusals/brownout.go
+++ b/bench/refusals/brownout.go
@@ -19,16 +19,17 @@
 const (
 	brownOutTargets = 6
 	beforeBrownOut  = 1500 * time.Millisecond
-	brownOutFor     = 5 * time.Second
+	brownOutTime    = 5 * time.Second
 	afterBrownOut   = time.Second
-	// pathFault is where a stand-in target takes its faults.
+	// pathFault is the path at which a stand-in target accepts faults to simulate.
 	pathFault = "/_fault"
 )
 
-// brownOutCallers keep somewhat more in flight than there are slots.
+// brownOutCallers returns the number of callers, which keeps 5/3 as many requests
+// in flight as there are slots.
 func (o Options) brownOutCallers() int { return brownOutTargets * o.Slots * 5 / 3 }
 
-// brownOut is a failure of some targets for a while.
+// brownOut is a temporary failure of some targets.
 type brownOut struct {
 	name    string
 	targets int
@@ -42,8 +43,8 @@
 	{"all break", brownOutTargets, engine.Faults{BreakAfterTokens: 1}},
 }
 
-// runBrownOuts measures each brown-out with the retry budget, and without it
-// if there is such a copy of the module.
+// runBrownOuts measures each brown-out with the retry budget, and also without it
+// if o.WithoutBudget names a copy of the module that has none.
 func runBrownOuts(ctx context.Context, o Options) ([]table.Row, error) {
 	var rows []table.Row
 	for _, b := range brownOuts {
@@ -76,53 +77,54 @@
 	return rows, nil
 }
 
-// repeatBrownOut starts a fleet, so that every retry budget is full.
+// repeatBrownOut measures a brown-out once. It starts a new fleet, so that every
+// retry budget is full.
 func repeatBrownOut(ctx context.Context, o Options, b brownOut, module string, seed uint64) ([]table.Value, error) {
 	f, err := startFleet(ctx, o, brownOutTargets, o.brownOutCallers(), module)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	sending, cancel := context.WithCancel(ctx)
+	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := make(chan []try, 1)
-	go func() { done <- keepSending(sending, f, o, seed) }()
+	done := make(chan []attempt, 1)
+	go func() { done <- keepSending(sendCtx, f, o, seed) }()
 	time.Sleep(beforeBrownOut)
 	from := time.Now()
 	if err := setFaults(f, b.targets, http.MethodPost, b.faults); err != nil {
 		return nil, err
 	}
-	time.Sleep(time.Until(from.Add(brownOutFor)))
+	time.Sleep(time.Until(from.Add(brownOutTime)))
 	until := time.Now()
 	if err := setFaults(f, b.targets, http.MethodDelete, engine.Faults{}); err != nil {
 		return nil, err
 	}
 	time.Sleep(afterBrownOut)
 	cancel()
-	tries := <-done
+	attempts := <-done
 	entries, err := f.Journals()
 	if err != nil {
 		return nil, err
 	}
-	return judgeBrownOut(tries, entries, from, until), nil
+	return evaluateBrownOut(attempts, entries, from, until), nil
 }
 
-// keepSending lets callers send one request after another, each until it is
-// answered, until ctx ends.
-func keepSending(ctx context.Context, f *fleet.Fleet, o Options, seed uint64) []try {
+// keepSending runs callers until ctx ends, each of which sends one request after
+// another and retries each until it is answered.
+func keepSending(ctx context.Context, f *fleet.Fleet, o Options, seed uint64) []attempt {
 	client := load.NewClient(callerTimeout)
 	defer client.Close()
 	var mu sync.Mutex
-	var all []try
+	var all []attempt
 	var callers sync.WaitGroup
 	for caller := range o.brownOutCallers() {
 		callers.Go(func() {
 			random := rand.New(rand.NewPCG(seed, uint64(caller)))
 			for n := 0; ctx.Err() == nil; n++ {
 				r := o.request(fmt.Sprintf("b%d-c%d-%d", seed, caller, n))
-				tries := persist(ctx, client, f.Callers(), r, random)
+				own := sendUntilAnswered(ctx, client, f.Callers(), r, random)
 				mu.Lock()
-				all = append(all, tries...)
+				all = append(all, own...)
 				mu.Unlock()
 			}
 		})
@@ -144,18 +146,18 @@
 		if err != nil {
 			return err
 		}
-		answer, err := http.DefaultClient.Do(request)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			return err
 		}
-		_ = answer.Body.Close()
+		_ = response.Body.Close()
 	}
 	return nil
 }
 
-// judgeBrownOut counts what was sent to targets during the brown-out for each
-// request that reached one, and what callers were told.
-func judgeBrownOut(tries []try, entries []journal.Entry, from, until time.Time) []table.Value {
+// evaluateBrownOut counts the requests that targets received during the brown-out,
+// how often they received them, and which results callers got.
+func evaluateBrownOut(attempts []attempt, entries []journal.Entry, from, until time.Time) []table.Value {
 	within := func(t time.Time) bool { return t.After(from) && t.Before(until) }
 	received := 0
 	requests := make(map[string]bool)
@@ -168,16 +170,16 @@
 	outcomes := make(map[int]int)
 	answered := 0
 	var latencies []time.Duration
-	for _, t := range tries {
-		if !within(t.Start) {
+	for _, a := range attempts {
+		if !within(a.Start) {
 			continue
 		}
-		if t.Verdict == load.Answered {
+		if a.Verdict == load.Answered {
 			answered++
 			continue
 		}
-		outcomes[t.Code]++
-		latencies = append(latencies, t.End.Sub(t.Start))
+		outcomes[a.Code]++
+		latencies = append(latencies, a.End.Sub(a.Start))
 	}
 	other := len(latencies)
 	for _, code := range []result.Code{result.RetryBudgetEmpty, result.NoTarget, result.TargetsUnavailable, result.Quarantined} {
--- a/bench/refusals/refusals.go
+++ b/bench/refusals/refusals.go
@@ -1,6 +1,6 @@
-// Package refusals measures what becomes of refused requests with real
-// processes: whether those refused together come back together, how soon they
-// are told, and how far retries multiply load when targets fail.
+// Package refusals measures refused requests with real processes: whether callers
+// that are refused at the same time retry at the same time, how soon they are
+// refused, and by how much retries multiply the load when targets fail.
 package refusals
 
 import (
@@ -19,19 +19,20 @@
 // Options configure the experiments.
 type Options struct {
 	Routers int
-	// Callers is how many send at once in the wave.
+	// Callers is how many callers send at once in the wave.
 	Callers int
-	// Queued bounds what the workspace may have waiting at one router.
+	// MaxQueued bounds the requests of the workspace that wait at one router.
 	Queued int
-	// Slots of each target, and Tokens of each answer at 2 ms a token.
+	// Slots is the number of slots of each target, and Tokens the length of each
+	// answer, at 2 ms for each token.
 	Slots, Tokens int
 	Repeats       int
-	// WithoutBudget is the directory of a copy of the module whose routers
-	// have no retry budget, to compare with; empty for none.
+	// WithoutBudget is the directory of a copy of the module whose routers have
+	// no retry budget, to compare with; empty for none.
 	WithoutBudget string
-	// SkipWave and SkipBrownOut leave out an experiment.
+	// SkipWave and SkipBrownOut each skip one experiment.
 	SkipWave, SkipBrownOut bool
-	// Histogram receives the returns in each 100 ms; nil for none.
+	// Histogram receives the number of retries in each 100 ms; nil for none.
 	Histogram io.Writer
 	// CSV receives the raw values; nil for none.
 	CSV io.Writer
@@ -43,11 +44,11 @@
 	workspace = "bakery"
 	key       = "bakery-key"
 	step      = 2 * time.Millisecond
-	// giveUp is when a caller stops coming back.
-	giveUp = 60 * time.Second
+	// giveUpAfter is how long a caller retries a request.
+	giveUpAfter = 60 * time.Second
 )
 
-// Run makes the measurements and writes a table for each experiment.
+// Run runs the experiments and writes a table for each.
 func Run(ctx context.Context, out io.Writer, o Options) error {
 	if !o.SkipWave {
 		rows, err := runWave(ctx, o)
@@ -75,9 +76,9 @@
 	return table.Write(out, rows)
 }
 
-func startFleet(ctx context.Context, o Options, targets, queued int, module string) (*fleet.Fleet, error) {
+func startFleet(ctx context.Context, o Options, targets, maxQueued int, module string) (*fleet.Fleet, error) {
 	w := fleet.Workspace(key, 1, pool)
-	w.MaxQueued = queued
+	w.MaxQueued = maxQueued
 	f, err := fleet.Start(ctx, fleet.Options{
 		DataCentres: []string{"ikeja"},
 		Routers:     o.Routers,
@@ -91,45 +92,45 @@
 		Workspaces: map[string]config.Workspace{workspace: w},
 	})
 	if err == nil {
-		time.Sleep(settleFor)
+		time.Sleep(settleTime)
 	}
 	return f, err
 }
 
-// settleFor is left to a fleet that was started.
-const settleFor = 2 * time.Second
+// settleTime is how long a new fleet gets to settle.
+const settleTime = 2 * time.Second
 
-// try is one sending of a caller's request.
-type try struct {
+// attempt is one sending of a caller's request.
+type attempt struct {
 	load.Result
-	// Number counts the caller's tries of the request, from 1.
+	// Number counts the attempts at the request, from 1.
 	Number int
 }
 
-// persist sends a request until it is answered, until the router says that
-// coming back is no use, or until a caller would give up. It comes back when
-// the router says, and at once if its connection broke.
-func persist(ctx context.Context, client *load.Client, routers []string, r load.Request, random *rand.Rand) []try {
-	var tries []try
-	limit := time.Now().Add(giveUp)
-	for ctx.Err() == nil && time.Now().Before(limit) {
+// sendUntilAnswered sends a request until it is answered, until the router says
+// that a retry cannot succeed, or until giveUpAfter has passed. It retries after
+// the time that the router asks for, and at once if the connection broke.
+func sendUntilAnswered(ctx context.Context, client *load.Client, routers []string, r load.Request, random *rand.Rand) []attempt {
+	var attempts []attempt
+	giveUpAt := time.Now().Add(giveUpAfter)
+	for ctx.Err() == nil && time.Now().Before(giveUpAt) {
 		done := client.Send(routers[random.IntN(len(routers))], r)
-		tries = append(tries, try{done, len(tries) + 1})
+		attempts = append(attempts, attempt{done, len(attempts) + 1})
 		if done.Verdict == load.Answered || isFinal(done) {
 			break
 		}
-		pause(ctx, done.RetryAfter)
+		sleep(ctx, done.RetryAfter)
 	}
-	return tries
+	return attempts
 }
 
-// isFinal says that sending the same request again cannot help.
+// isFinal reports whether sending the same request again cannot succeed.
 func isFinal(r load.Result) bool {
 	return r.Verdict == load.Refused && !result.Code(r.Code).Info().Retry
 }
 
-// pause waits, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/bench/refusals/wave.go
+++ b/bench/refusals/wave.go
@@ -16,17 +16,18 @@
 
 const (
 	waveTargets = 3
-	// bucket is the width of the histogram of returns.
-	bucket = 100 * time.Millisecond
-	// most of the returns are those that the mean is taken over.
-	most = 0.8
-	// slowRefusal is when a refusal counts as held; the deadline is 30 s.
+	// bucketWidth is the width of a bucket in the histograms of retries.
+	bucketWidth = 100 * time.Millisecond
+	// meanFraction is the fraction of the retries that the mean is taken over.
+	meanFraction = 0.8
+	// slowRefusal is the time after which a refusal counts as held until late
+	// instead of given at once; the deadline is 30 s.
 	slowRefusal = time.Second
-	// callerTimeout bounds the wait for a part of an answer.
+	// callerTimeout bounds the wait for the next part of an answer.
 	callerTimeout = time.Minute
 )
 
-// runWave lets a wave of callers flood a workspace beyond its bound.
+// runWave lets a wave of callers fill a workspace's queues beyond their bound.
 func runWave(ctx context.Context, o Options) ([]table.Row, error) {
 	f, err := startFleet(ctx, o, waveTargets, o.Queued, "")
 	if err != nil {
@@ -36,32 +37,33 @@
 	var rows []table.Row
 	for repeat := range o.Repeats {
 		start := time.Now()
-		tries := wave(ctx, f, o, uint64(repeat+1))
+		attempts := sendWave(ctx, f, o, uint64(repeat+1))
 		if o.Histogram != nil {
-			fmt.Fprintf(o.Histogram, "repeat %d, first returns in each %s: %v\n", repeat+1, bucket, histogram(firstReturns(tries), start))
-			fmt.Fprintf(o.Histogram, "repeat %d, all returns in each %s: %v\n", repeat+1, bucket, histogram(returns(tries), start))
+			fmt.Fprintf(o.Histogram, "repeat %d, first returns in each %s: %v\n", repeat+1, bucketWidth, histogram(firstRetries(attempts), start))
+			fmt.Fprintf(o.Histogram, "repeat %d, all returns in each %s: %v\n", repeat+1, bucketWidth, histogram(retries(attempts), start))
 		}
 		name := fmt.Sprintf("wave of %d", o.Callers)
-		rows = append(rows, table.Row{Case: name, Repeat: repeat + 1, Values: judgeWave(tries, start)})
+		rows = append(rows, table.Row{Case: name, Repeat: repeat + 1, Values: evaluateWave(attempts, start)})
 	}
 	return rows, nil
 }
 
-// wave sends one request of each caller at once and returns all tries.
-func wave(ctx context.Context, f *fleet.Fleet, o Options, seed uint64) []try {
+// sendWave sends one request of each caller at the same time and returns all
+// attempts.
+func sendWave(ctx context.Context, f *fleet.Fleet, o Options, seed uint64) []attempt {
 	client := load.NewClient(callerTimeout)
 	defer client.Close()
 	var mu sync.Mutex
-	var all []try
+	var all []attempt
 	var callers sync.WaitGroup
 	for caller := range o.Callers {
 		callers.Go(func() {
 			random := rand.New(rand.NewPCG(seed, uint64(caller)))
 			r := o.request(fmt.Sprintf("r%d-c%d", seed, caller))
-			tries := persist(ctx, client, f.Callers(), r, random)
+			own := sendUntilAnswered(ctx, client, f.Callers(), r, random)
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, tries...)
+			all = append(all, own...)
 		})
 	}
 	callers.Wait()
@@ -74,31 +76,31 @@
 	}
 }
 
-func judgeWave(tries []try, start time.Time) []table.Value {
+func evaluateWave(attempts []attempt, start time.Time) []table.Value {
 	var latencies []time.Duration
-	answered, refused, others, silent, slow := 0, 0, 0, 0, 0
+	answered, refused, others, withoutRetryAfter, slow := 0, 0, 0, 0, 0
 	last := start
-	for _, t := range tries {
-		if t.Verdict == load.Answered {
+	for _, a := range attempts {
+		if a.Verdict == load.Answered {
 			answered++
-			last = later(last, t.End)
+			last = laterOf(last, a.End)
 			continue
 		}
-		if t.Verdict != load.Refused || t.Code != int(result.QueueFull) {
+		if a.Verdict != load.Refused || a.Code != int(result.QueueFull) {
 			others++
 			continue
 		}
 		refused++
-		latencies = append(latencies, t.End.Sub(t.Start))
-		if t.RetryAfter == 0 {
-			silent++
+		latencies = append(latencies, a.End.Sub(a.Start))
+		if a.RetryAfter == 0 {
+			withoutRetryAfter++
 		}
-		if t.End.Sub(t.Start) > slowRefusal {
+		if a.End.Sub(a.Start) > slowRefusal {
 			slow++
 		}
 	}
-	firstPeak, firstMean := peakAndMean(histogram(firstReturns(tries), start))
-	peak, mean := peakAndMean(histogram(returns(tries), start))
+	firstPeak, firstMean := peakAndMean(histogram(firstRetries(attempts), start))
+	peak, mean := peakAndMean(histogram(retries(attempts), start))
 	return []table.Value{
 		{Name: "answered", Number: float64(answered)},
 		{Name: "in s", Number: last.Sub(start).Seconds()},
@@ -107,7 +109,7 @@
 		{Name: "p99 ms", Number: quantile(latencies, 0.99)},
 		{Name: "most ms", Number: quantile(latencies, 1)},
 		{Name: "over 1 s", Number: float64(slow)},
-		{Name: "no Retry-After", Number: float64(silent)},
+		{Name: "no Retry-After", Number: float64(withoutRetryAfter)},
 		{Name: "first returns: peak/100 ms", Number: firstPeak},
 		{Name: "mean", Number: firstMean},
 		{Name: "all returns: peak/100 ms", Number: peak},
@@ -116,73 +118,73 @@
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// firstReturns are when each refused caller came back for the first time.
-func firstReturns(tries []try) []time.Time {
-	return startsOf(tries, func(number int) bool { return number == 2 })
+// firstRetries returns when each refused caller retried for the first time.
+func firstRetries(attempts []attempt) []time.Time {
+	return startTimes(attempts, func(number int) bool { return number == 2 })
 }
 
-// returns are when refused callers came back.
-func returns(tries []try) []time.Time {
-	return startsOf(tries, func(number int) bool { return number > 1 })
+// retries returns when refused callers retried.
+func retries(attempts []attempt) []time.Time {
+	return startTimes(attempts, func(number int) bool { return number > 1 })
 }
 
-func startsOf(tries []try, wanted func(number int) bool) []time.Time {
+func startTimes(attempts []attempt, include func(number int) bool) []time.Time {
 	var starts []time.Time
-	for _, t := range tries {
-		if wanted(t.Number) {
-			starts = append(starts, t.Start)
+	for _, a := range attempts {
+		if include(a.Number) {
+			starts = append(starts, a.Start)
 		}
 	}
 	return starts
 }
 
-// histogram counts times in buckets, from the first that is not empty to the
-// last.
+// histogram counts times in buckets of bucketWidth, from the first bucket that is
+// not empty to the last.
 func histogram(times []time.Time, start time.Time) []int {
 	if len(times) == 0 {
 		return nil
 	}
-	first := int(slices.MinFunc(times, time.Time.Compare).Sub(start) / bucket)
-	last := int(slices.MaxFunc(times, time.Time.Compare).Sub(start) / bucket)
+	first := int(slices.MinFunc(times, time.Time.Compare).Sub(start) / bucketWidth)
+	last := int(slices.MaxFunc(times, time.Time.Compare).Sub(start) / bucketWidth)
 	counts := make([]int, last-first+1)
 	for _, at := range times {
-		counts[int(at.Sub(start)/bucket)-first]++
+		counts[int(at.Sub(start)/bucketWidth)-first]++
 	}
 	return counts
 }
 
-// peakAndMean returns the largest count, and the mean count over the shortest
-// time from the first on that holds most of the whole: a few late ones must
-// not make the mean look small.
+// peakAndMean returns the largest count, and the mean count over the fewest
+// buckets from the first on that hold meanFraction of the total. The rest is left
+// out because a few late retries would make the mean too small.
 func peakAndMean(counts []int) (peak, mean float64) {
 	if len(counts) == 0 {
 		return 0, 0
 	}
-	whole := 0
+	total := 0
 	for _, n := range counts {
-		whole += n
+		total += n
 	}
 	sum, buckets := 0, 0
-	for float64(sum) < most*float64(whole) {
+	for float64(sum) < meanFraction*float64(total) {
 		sum += counts[buckets]
 		buckets++
 	}
 	return float64(slices.Max(counts)), float64(sum) / float64(buckets)
 }
 
-// quantile returns a quantile (0 to 1) in milliseconds.
+// quantile returns a quantile q, from 0 to 1, in milliseconds.
 func quantile(latencies []time.Duration, q float64) float64 {
 	if len(latencies) == 0 {
 		return 0
 	}
 	slices.Sort(latencies)
-	at := int(q * float64(len(latencies)-1))
-	return latencies[at].Seconds() * 1000
+	index := int(q * float64(len(latencies)-1))
+	return latencies[index].Seconds() * 1000
 }
--- a/bench/refusals/wave_test.go
+++ b/bench/refusals/wave_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestBrownOutCountsWhatFellWithin(t *testing.T) {
+func TestBrownOutCountsOnlyWithinInterval(t *testing.T) {
 	from := time.Unix(1000, 0)
 	until := from.Add(time.Second)
 	within, outside := from.Add(time.Millisecond), until.Add(time.Second)
@@ -32,11 +32,11 @@
 		{RequestID: "b", Event: journal.Received, Wall: within},
 		{RequestID: "c", Event: journal.Received, Wall: outside},
 	}
-	tries := []try{
+	attempts := []attempt{
 		{Result: load.Result{Start: within, End: within, Verdict: load.Refused, Code: 703}},
 		{Result: load.Result{Start: outside, End: outside, Verdict: load.Refused, Code: 703}},
 	}
-	values := judgeBrownOut(tries, entries, from, until)
+	values := evaluateBrownOut(attempts, entries, from, until)
 	for n, want := range []float64{2, 3, 1.5, 0, 1, 0, 0, 0} {
 		if values[n].Number != want {
 			t.Errorf("%s is %v, want %v", values[n].Name, values[n].Number, want)
