--- a/bench/locality/judge.go
+++ b/bench/locality/judge.go
@@ -12,25 +12,27 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// cache is a least-recently-used set of prefixes, as each engine has one.
-type cache struct {
-	entries int
-	order   *list.List // of string, the most recent first
-	byName  map[string]*list.Element
+// lru is a set of prefixes that evicts the least recently used, like the prefix
+// cache of an engine.
+type lru struct {
+	capacity int
+	order    *list.List // of strings, most recent first
+	byName   map[string]*list.Element
 }
 
-func newCache(entries int) *cache {
-	return &cache{entries: entries, order: list.New(), byName: make(map[string]*list.Element)}
+func newLRU(entries int) *lru {
+	return &lru{capacity: entries, order: list.New(), byName: make(map[string]*list.Element)}
 }
 
-// use says whether a prefix was there, and makes it the most recent.
-func (c *cache) use(prefix string) bool {
+// touch reports whether the set held a prefix, and makes the prefix the most
+// recent.
+func (c *lru) touch(prefix string) bool {
 	if found, ok := c.byName[prefix]; ok {
 		c.order.MoveToFront(found)
 		return true
 	}
 	c.byName[prefix] = c.order.PushFront(prefix)
-	if c.order.Len() > c.entries {
+	if c.order.Len() > c.capacity {
 		oldest := c.order.Back()
 		c.order.Remove(oldest)
 		delete(c.byName, oldest.Value.(string))
@@ -38,96 +40,97 @@
 	return false
 }
 
-// caches follows what the engines cache from what they started: an engine
-// looks a prompt up as it starts the run.
-type caches struct {
-	entries int
-	each    map[string]*cache
-	// whole is one cache as large as all together: the most that any choice
-	// of targets could hope for.
-	whole *cache
+// cacheModel models the prefix caches of the engines from the runs that they
+// started: an engine looks a prompt up when it starts the run.
+type cacheModel struct {
+	entries  int
+	byTarget map[string]*lru
+	// combined is one cache as large as those of all targets together: an upper
+	// limit for any choice of targets.
+	combined *lru
 }
 
-func newCaches(entries, targets int) *caches {
-	return &caches{entries: entries, each: make(map[string]*cache), whole: newCache(entries * targets)}
+func newCacheModel(entries, targets int) *cacheModel {
+	return &cacheModel{entries: entries, byTarget: make(map[string]*lru), combined: newLRU(entries * targets)}
 }
 
-// hits counts runs, those whose prefix was cached at their target, and those
-// whose prefix one large cache would have held.
-type hits struct{ runs, cached, whole int }
+// hitCounts counts all runs, those whose prefix was cached at their target, and
+// those whose prefix the combined cache held.
+type hitCounts struct{ runs, cached, combined int }
 
-// follow takes in the starts, and counts those from a time on.
-func (c *caches) follow(entries []journal.Entry, results []load.Result, from time.Time) hits {
+// replay applies the starts in entries to the model, and counts those from a time
+// on.
+func (c *cacheModel) replay(entries []journal.Entry, results []load.Result, from time.Time) hitCounts {
 	prefixOf := make(map[string]string, len(results))
 	for _, r := range results {
 		prefixOf[r.RequestID] = r.Request.Prefix
 	}
 	starts := slices.DeleteFunc(slices.Clone(entries), func(e journal.Entry) bool { return e.Event != journal.Started })
 	slices.SortStableFunc(starts, func(a, b journal.Entry) int { return a.Wall.Compare(b.Wall) })
-	var found hits
+	var counts hitCounts
 	for _, e := range starts {
-		own := c.each[e.Target]
-		if own == nil {
-			own = newCache(c.entries)
-			c.each[e.Target] = own
+		local := c.byTarget[e.Target]
+		if local == nil {
+			local = newLRU(c.entries)
+			c.byTarget[e.Target] = local
 		}
-		cached, whole := own.use(prefixOf[e.RequestID]), c.whole.use(prefixOf[e.RequestID])
+		cached, combined := local.touch(prefixOf[e.RequestID]), c.combined.touch(prefixOf[e.RequestID])
 		if e.Wall.Before(from) {
 			continue
 		}
-		found.runs++
-		found.cached += count(cached)
-		found.whole += count(whole)
+		counts.runs++
+		counts.cached += toInt(cached)
+		counts.combined += toInt(combined)
 	}
-	return found
+	return counts
 }
 
-func count(is bool) int {
-	if is {
+func toInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-func (e *experiment) judge(record measure.Record, results []load.Result, found hits, start time.Time) []table.Value {
+func (e *experiment) evaluate(record measure.Record, results []load.Result, counts hitCounts, start time.Time) []table.Value {
 	shares := make(map[string]float64)
 	for n := range workload.Workspaces {
 		shares[workload.WorkspaceName(n)] = 1
 	}
-	everyone := func(string, string) bool { return true }
+	anyTarget := func(string, string) bool { return true }
 	summary := load.NewSummary()
 	for _, r := range results {
-		if r.Start.After(start.Add(settleFor)) {
+		if r.Start.After(start.Add(settleTime)) {
 			summary.Add(r)
 		}
 	}
-	busy, length := slotTime(record)
+	busy, meanRun := slotUse(record)
 	slots := float64(e.deployment.Slots*e.deployment.Targets) * (record.To - record.From).Seconds()
 	return []table.Value{
-		{Name: "runs/s", Number: float64(found.runs) / (record.To - record.From).Seconds()},
-		{Name: "cached %", Number: percent(found.cached, found.runs)},
-		{Name: "in one large cache %", Number: percent(found.whole, found.runs)},
-		{Name: "slot ms/run", Number: length * 1000},
+		{Name: "runs/s", Number: float64(counts.runs) / (record.To - record.From).Seconds()},
+		{Name: "cached %", Number: percent(counts.cached, counts.runs)},
+		{Name: "in one large cache %", Number: percent(counts.combined, counts.runs)},
+		{Name: "slot ms/run", Number: meanRun * 1000},
 		{Name: "first part p50 ms", Number: summary.FirstPart(50).Seconds() * 1000},
 		{Name: "p95 ms", Number: summary.FirstPart(95).Seconds() * 1000},
 		{Name: "slots busy %", Number: 100 * busy / slots},
-		{Name: "utilisation %", Number: 100 * record.Utilisation(e.deployment.SlotsOf(), everyone)},
+		{Name: "utilisation %", Number: 100 * record.Utilisation(e.deployment.SlotsOf(), anyTarget)},
 		{Name: "gap s/share", Number: record.FairnessGap(shares).SlotSeconds},
-		{Name: "not answered", Number: float64(len(results) - answered(results))},
+		{Name: "not answered", Number: float64(len(results) - countAnswered(results))},
 	}
 }
 
-func answered(results []load.Result) int {
+func countAnswered(results []load.Result) int {
 	n := 0
 	for _, r := range results {
-		n += count(r.Verdict == load.Answered)
+		n += toInt(r.Verdict == load.Answered)
 	}
 	return n
 }
 
-// slotTime returns the slot seconds held within the record's bounds, and the
-// mean length in seconds of the runs that began there.
-func slotTime(record measure.Record) (busy, mean float64) {
+// slotUse returns the slot seconds held within the record's bounds, and the mean
+// length in seconds of the runs that started within them.
+func slotUse(record measure.Record) (busy, mean float64) {
 	runs := 0
 	for _, run := range record.Runs {
 		within := min(run.End, record.To) - max(run.Start, record.From)
--- a/bench/locality/judge_test.go
+++ b/bench/locality/judge_test.go
@@ -8,19 +8,19 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// TestCachesFollowTheEngines: two engines that cache one prefix each, against
-// one cache of two.
-func TestCachesFollowTheEngines(t *testing.T) {
-	c := newCaches(1, 2)
+// TestCacheModelMatchesEngines compares two engines that cache one prefix each
+// with one combined cache of two.
+func TestCacheModelMatchesEngines(t *testing.T) {
+	c := newCacheModel(1, 2)
 	var entries []journal.Entry
 	var results []load.Result
 	start := time.Unix(1000, 0)
 	for n, run := range []struct{ target, prefix string }{
-		{"a", "x"}, // new to all
-		{"a", "x"}, // cached
-		{"b", "x"}, // new to b, known to the large cache
+		{"a", "x"}, // a miss in all caches
+		{"a", "x"}, // a hit
+		{"b", "x"}, // a miss at b, a hit in the combined cache
 		{"a", "y"}, // evicts x from a
-		{"a", "x"}, // gone from a, still in the large cache
+		{"a", "x"}, // a miss at a, a hit in the combined cache
 	} {
 		id := string(rune('0' + n))
 		entries = append(entries, journal.Entry{
@@ -28,8 +28,8 @@
 		})
 		results = append(results, load.Result{RequestID: id, Request: load.Request{Prefix: run.prefix}})
 	}
-	got := c.follow(entries, results, start.Add(time.Second))
-	if want := (hits{runs: 4, cached: 1, whole: 3}); got != want {
+	got := c.replay(entries, results, start.Add(time.Second))
+	if want := (hitCounts{runs: 4, cached: 1, combined: 3}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/bench/locality/locality.go
+++ b/bench/locality/locality.go
@@ -1,6 +1,6 @@
-// Package locality measures what it is worth to choose a target by where the
-// prompt's beginning is likely cached, against choosing by load alone. Prompts
-// share long beginnings, of which each engine caches only a few.
+// Package locality measures the benefit of choosing a target by where the prompt's
+// prefix is likely to be cached, compared with choosing by load alone. Prompts
+// share long prefixes, of which each engine caches only a few.
 package locality
 
 import (
@@ -23,16 +23,17 @@
 // Options configure the experiment.
 type Options struct {
 	Routers int
-	// Prefixes is how many beginnings the prompts have, by Zipf's law.
+	// Prefixes is the number of prompt prefixes, which are chosen by Zipf's law.
 	Prefixes int
-	// PrefixBytes is the length of each.
+	// PrefixBytes is the length of each prefix.
 	PrefixBytes int
-	// Entries is how many each engine caches, Gap the part that its reports
-	// leave out, and Lag the period at which it renews them.
+	// CacheEntries is how many prefixes each engine caches, ReportGap the fraction
+	// of them that its load reports leave out, and ReportPeriod the period at
+	// which it renews the reports.
 	Entries int
 	Gap     float64
 	Lag     time.Duration
-	// Callers are the numbers of requests kept in flight, one case each.
+	// Callers lists the numbers of requests to keep in flight, one case each.
 	Callers []int
 	// Duration is how long callers send in each repeat.
 	Duration time.Duration
@@ -43,21 +44,23 @@
 
 const (
 	deployment = "ilesanmi"
-	// answerTokens make an answer of 50 ms after its first token.
+	// answerTokens is the length of an answer, which takes 50 ms after the first
+	// token.
 	answerTokens = 25
-	// zipfExponent and zipfOffset shape the choice of a prefix.
+	// zipfExponent and zipfOffset are the parameters of the distribution of
+	// prefixes.
 	zipfExponent = 1.1
 	zipfOffset   = 1
-	// settleFor is left to a fleet that was started, and left out at the
-	// beginning of each repeat while caches fill.
-	settleFor = 2 * time.Second
+	// settleTime is how long a new fleet gets to settle. As much is left out at
+	// the beginning of each repeat, while the caches fill.
+	settleTime = 2 * time.Second
 )
 
-// Run makes the measurements and writes a table.
+// Run runs the experiment and writes a table.
 func Run(ctx context.Context, out io.Writer, o Options) error {
 	var rows []table.Row
 	for _, locality := range []bool{true, false} {
-		measured, err := runChoice(ctx, o, locality)
+		measured, err := runPolicy(ctx, o, locality)
 		if err != nil {
 			return err
 		}
@@ -69,13 +72,14 @@
 	return table.Write(out, rows)
 }
 
-// runChoice starts a fleet and repeats every load on it.
-func runChoice(ctx context.Context, o Options, locality bool) ([]table.Row, error) {
+// runPolicy starts a fleet, with or without locality, and measures every number of
+// callers on it, o.Repeats times.
+func runPolicy(ctx context.Context, o Options, locality bool) ([]table.Row, error) {
 	d := workload.Deployments[deployment]
 	pools := d.Pools()
-	shaped := pools[workload.Pool]
-	shaped.PrefixEntries, shaped.PrefixGap, shaped.LoadLag = o.Entries, o.Gap, o.Lag
-	pools[workload.Pool] = shaped
+	pool := pools[workload.Pool]
+	pool.PrefixEntries, pool.PrefixGap, pool.LoadLag = o.Entries, o.Gap, o.Lag
+	pools[workload.Pool] = pool
 	f, err := fleet.Start(ctx, fleet.Options{
 		DataCentres: d.DataCentres,
 		Routers:     o.Routers,
@@ -87,8 +91,8 @@
 		return nil, err
 	}
 	defer f.Close()
-	time.Sleep(settleFor)
-	e := experiment{options: o, deployment: d, fleet: f, prefixes: prompts(o), caches: newCaches(o.Entries, d.Targets)}
+	time.Sleep(settleTime)
+	e := experiment{options: o, deployment: d, fleet: f, prefixes: promptPrefixes(o), caches: newCacheModel(o.Entries, d.Targets)}
 	var rows []table.Row
 	for _, callers := range o.Callers {
 		for repeat := range o.Repeats {
@@ -96,72 +100,72 @@
 			if err != nil {
 				return nil, err
 			}
-			name := fmt.Sprintf("%d callers, %s", callers, choice(locality))
+			name := fmt.Sprintf("%d callers, %s", callers, policyName(locality))
 			rows = append(rows, table.Row{Case: name, Repeat: repeat + 1, Values: values})
 		}
 	}
 	return rows, nil
 }
 
-func choice(locality bool) string {
+func policyName(locality bool) string {
 	if locality {
 		return "load then prefix"
 	}
 	return "load alone"
 }
 
-// prompts returns the beginnings that prompts share. Each is told apart by its
+// promptPrefixes returns the prefixes that prompts share. They differ in their
 // first bytes, which are what a router hashes.
-func prompts(o Options) []string {
+func promptPrefixes(o Options) []string {
 	all := make([]string, o.Prefixes)
 	for n := range all {
-		begin := fmt.Sprintf("prefix %d. ", n)
-		all[n] = begin + strings.Repeat("x", max(0, o.PrefixBytes-len(begin)))
+		distinct := fmt.Sprintf("prefix %d. ", n)
+		all[n] = distinct + strings.Repeat("x", max(0, o.PrefixBytes-len(distinct)))
 	}
 	return all
 }
 
-// experiment is a fleet with what the engines' caches hold.
+// experiment is a running fleet with a model of its engines' caches.
 type experiment struct {
 	options    Options
 	deployment workload.Deployment
 	fleet      *fleet.Fleet
 	prefixes   []string
-	caches     *caches
+	caches     *cacheModel
 }
 
-// run sends for the duration and judges what came after the settling.
+// run lets callers send and evaluates the time after settleTime.
 func (e *experiment) run(ctx context.Context, callers int, seed uint64) ([]table.Value, error) {
 	if err := e.fleet.ClearJournals(); err != nil {
 		return nil, err
 	}
 	start := time.Now()
-	sending, cancel := context.WithTimeout(ctx, settleFor+e.options.Duration)
+	sendCtx, cancel := context.WithTimeout(ctx, settleTime+e.options.Duration)
 	defer cancel()
-	results := e.send(sending, callers, seed)
+	results := e.send(sendCtx, callers, seed)
 	entries, err := e.fleet.Journals()
 	if err != nil {
 		return nil, err
 	}
 	record := measure.Join(start, results, entries)
-	record.From, record.To = settleFor, settleFor+e.options.Duration
-	found := e.caches.follow(entries, results, start.Add(settleFor))
-	return e.judge(record, results, found, start), nil
+	record.From, record.To = settleTime, settleTime+e.options.Duration
+	counts := e.caches.replay(entries, results, start.Add(settleTime))
+	return e.evaluate(record, results, counts, start), nil
 }
 
 // send spreads the callers over the workspaces and returns all results.
 func (e *experiment) send(ctx context.Context, callers int, seed uint64) []load.Result {
 	var mu sync.Mutex
 	var results []load.Result
-	var all sync.WaitGroup
+	var senders sync.WaitGroup
 	for n := range workload.Workspaces {
-		own := callers / workload.Workspaces
+		callersHere := callers / workload.Workspaces
 		if n < callers%workload.Workspaces {
-			own++
+			callersHere++
 		}
 		run := load.Run{
 			Routers: e.fleet.Callers(),
-			Callers: own,
+			Callers: callersHere,
 			Seed:    seed<<8 | uint64(n),
 			Next:    func(sequence int, random *rand.Rand) load.Request { return e.request(n, sequence, random) },
 			OnResult: func(r load.Result) {
@@ -170,9 +174,9 @@
 				results = append(results, r)
 			},
 		}
-		all.Go(func() { run.Do(ctx) })
+		senders.Go(func() { run.Do(ctx) })
 	}
-	all.Wait()
+	senders.Wait()
 	return results
 }
 
