--- a/bench/entry/entry.go
+++ b/bench/entry/entry.go
@@ -1,5 +1,5 @@
 // Package entry measures the processor time that one router of a managed platform spends
-// on a request, and at which stages: it says how many callers a small VM can serve.
+// on a request, and at which stages. It shows how many callers a small VM can serve.
 package entry
 
 import (
@@ -22,49 +22,50 @@
 
 // Options configure the experiment.
 type Options struct {
-	// Routers is how many routers run. All callers come by one of them, and others may
-	// schedule for it.
+	// Routers is how many routers run. All callers send to one of them, and others may
+	// schedule its requests.
 	Routers int
 	// Callers is how many requests are kept in flight.
 	Callers int
 	// Duration is how long each kind of request is measured.
 	Duration time.Duration
-	// Events is the length of a streamed answer, and Pause the time between two events.
+	// Events is the number of events of a streamed answer, and Pause the time between two.
 	Events int
 	Pause  time.Duration
-	// ProfileDir, if not empty, is where the profiles are written.
+	// ProfileDir is the directory for the processor profiles; empty for none.
 	ProfileDir string
 }
 
 const (
-	// replicas and slots are so many that none is waited for, and that a router need not
-	// keep more connections to one than it does elsewhere.
+	// replicas and slots are large enough that no request waits for a slot, and that a
+	// router needs no more connections to a replica than it does elsewhere.
 	replicas = 48
 	slots    = 64
-	// deadline is the requests' own.
+	// deadline is the deadline of each request.
 	deadline = 10 * time.Second
-	// warmUp precedes each measurement: connections are opened, and code is touched.
+	// warmUp is how long callers send before each measurement, so that connections are
+	// open and the code has run.
 	warmUp = time.Second
 )
 
-// load is one kind of request.
-type load struct {
+// requestKind is a kind of request that is measured separately.
+type requestKind struct {
 	name string
 	path string
-	// reconnects says that each request comes by a new connection.
+	// reconnects is set if each request uses a new connection.
 	reconnects bool
-	// key is the callers' key; a wrong one has each request refused.
+	// key is the callers' API key. With a wrong one each request is refused.
 	key string
 }
 
-var loads = []load{
+var requestKinds = []requestKind{
 	{name: "stream", path: managed.DemoStreamPrefix + "page", key: managed.DemoKey},
 	{name: "stream, new connection each", path: managed.DemoStreamPrefix + "page", key: managed.DemoKey, reconnects: true},
 	{name: "whole answer", path: managed.DemoOncePrefix + "deploy", key: managed.DemoKey},
 	{name: "refused", path: managed.DemoOncePrefix + "deploy", key: "no key", reconnects: true},
 }
 
-// Run makes the measurement and writes a table.
+// Run runs the experiment and writes a table.
 func Run(ctx context.Context, out io.Writer, o Options) error {
 	dir, err := os.MkdirTemp("", "walnutcove-entry-")
 	if err != nil {
@@ -83,23 +84,23 @@
 	if err != nil {
 		return err
 	}
-	for _, l := range loads {
-		if err := measureLoad(ctx, out, routers[0], l, o); err != nil {
-			return fmt.Errorf("%s: %w", l.name, err)
+	for _, kind := range requestKinds {
+		if err := measureKind(ctx, out, routers[0], kind, o); err != nil {
+			return fmt.Errorf("%s: %w", kind.name, err)
 		}
 	}
 	return nil
 }
 
 func startReplicas(store *managed.Store, o Options) error {
-	configured := managed.Demo(1)
-	for n := range configured.Services {
-		if engine := configured.Services[n].Engine; engine != nil {
+	managedConfig := managed.Demo(1)
+	for n := range managedConfig.Services {
+		if engine := managedConfig.Services[n].Engine; engine != nil {
 			engine.Slots = slots
 			engine.MemoryTokens *= slots
 		}
 	}
-	store.Put(wire.TableOperator, wire.KeyConfig, configured)
+	store.Put(wire.TableOperator, wire.KeyConfig, managedConfig)
 	journal := &managed.Journal{}
 	for n := range replicas {
 		for _, options := range []managed.ReplicaOptions{
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// startRouters runs walnutd processes, each on one processor, as on small VMs.
+// startRouters starts walnutd processes, each limited to one processor, as on small VMs.
 func startRouters(ctx context.Context, store *managed.Store, dir string, count int) ([]*processes.Router, error) {
 	binaries, err := processes.Build(ctx, ".", dir)
 	if err != nil {
@@ -145,9 +146,10 @@
 	return routers, nil
 }
 
-// measureLoad sends one kind of request and writes what each cost the router.
-func measureLoad(ctx context.Context, out io.Writer, r *processes.Router, l load, o Options) error {
-	callers := startCallers(ctx, r.Settings.Listen.Callers, l, o.Callers)
+// measureKind sends requests of one kind and writes the processor time that each cost the
+// router.
+func measureKind(ctx context.Context, out io.Writer, r *processes.Router, kind requestKind, o Options) error {
+	callers := startCallers(ctx, r.Settings.Listen.Callers, kind, o.Callers)
 	defer callers.stop()
 	time.Sleep(warmUp)
 	answered := callers.answered.Load()
@@ -155,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	profile, err := profileFor(ctx, r.Settings.Listen.Operators, o.Duration)
+	profile, err := takeProfile(ctx, r.Settings.Listen.Operators, o.Duration)
 	if err != nil {
 		return err
 	}
@@ -165,20 +167,20 @@
 	}
 	answered = callers.answered.Load() - answered
 	if answered == 0 {
-		return errors.New("no request was answered as it should be")
+		return errors.New("no request got the expected answer")
 	}
 	spent := after - before
 	fmt.Fprintf(out, "%s: %d requests, %d wrong, %.0f us of processor time each\n",
-		l.name, answered, callers.wrong.Load(), float64(spent.Microseconds())/float64(answered))
+		kind.name, answered, callers.wrong.Load(), float64(spent.Microseconds())/float64(answered))
 	if o.ProfileDir != "" {
-		if err := profile.save(o.ProfileDir, l.name); err != nil {
+		if err := profile.save(o.ProfileDir, kind.name); err != nil {
 			return err
 		}
 	}
 	return profile.writeStages(out, spent, answered)
 }
 
-// callers keep requests in flight.
+// callers is a group of callers that keep requests in flight.
 type callers struct {
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
@@ -186,27 +188,27 @@
 	wrong    atomic.Int64
 }
 
-func startCallers(ctx context.Context, router string, l load, count int) *callers {
+func startCallers(ctx context.Context, router string, kind requestKind, count int) *callers {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &callers{cancel: cancel}
 	for n := range count {
-		c.done.Go(func() { c.send(ctx, router, l, n) })
+		c.done.Go(func() { c.send(ctx, router, kind, n) })
 	}
 	return c
 }
 
-func (c *callers) send(ctx context.Context, router string, l load, n int) {
-	caller := managed.NewCaller(fmt.Sprintf("%x-%d", l.name, n), deadline)
+func (c *callers) send(ctx context.Context, router string, kind requestKind, n int) {
+	caller := managed.NewCaller(fmt.Sprintf("%x-%d", kind.name, n), deadline)
 	defer caller.Close()
-	served := l.key == managed.DemoKey
+	expectOK := kind.key == managed.DemoKey
 	for ctx.Err() == nil {
-		answer := caller.Send(ctx, router, l.path, l.key)
-		if l.reconnects {
+		answer := caller.Send(ctx, router, kind.path, kind.key)
+		if kind.reconnects {
 			caller.Close()
 		}
 		switch {
 		case ctx.Err() != nil:
-		case answer.Whole && (answer.Status == 200) == served:
+		case answer.Whole && (answer.Status == 200) == expectOK:
 			c.answered.Add(1)
 		default:
 			c.wrong.Add(1)
--- a/bench/entry/stages.go
+++ b/bench/entry/stages.go
@@ -17,22 +17,22 @@
 	"github.com/walnutcove/walnutcove/operator"
 )
 
-// module begins the names of the functions of the router's own packages.
-const module = "github.com/walnutcove/walnutcove/"
+// modulePath is the prefix of the function names of the router's own packages.
+const modulePath = "github.com/walnutcove/walnutcove/"
 
-// Stages that are no package of the router's own.
+// The stages outside of the router's own packages.
 const (
 	stageHTTP    = "HTTP library"
 	stageRuntime = "runtime"
 	stageOther   = "other"
 )
 
-// processorProfile is where a router spent its processor time.
+// processorProfile is an encoded profile of a router's processor time.
 type processorProfile struct{ encoded []byte }
 
-// profileFor takes a router's profile of the next time.
-func profileFor(ctx context.Context, operators string, length time.Duration) (processorProfile, error) {
-	url := fmt.Sprintf("http://%s%s?seconds=%.0f", operators, operator.PathProfile, length.Seconds())
+// takeProfile takes a processor profile of a router over the next duration.
+func takeProfile(ctx context.Context, operators string, duration time.Duration) (processorProfile, error) {
+	url := fmt.Sprintf("http://%s%s?seconds=%.0f", operators, operator.PathProfile, duration.Seconds())
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return processorProfile{}, err
@@ -46,7 +46,7 @@
 	return processorProfile{encoded}, err
 }
 
-// save writes the profile for "go tool pprof".
+// save writes the profile to a file for "go tool pprof".
 func (p processorProfile) save(dir, name string) error {
 	file := strings.Map(func(r rune) rune {
 		if r == ' ' || r == ',' {
@@ -57,9 +57,9 @@
 	return os.WriteFile(filepath.Join(dir, file+".pprof"), p.encoded, 0o600)
 }
 
-// writeStages writes what each stage took of a request's processor time, the most first.
-// A sample counts for the innermost of the router's packages in its stack, apart by
-// whether a system call was under way.
+// writeStages writes the processor time that a request spent in each stage, the largest
+// first. A sample counts for the innermost of the router's packages in its stack. Samples
+// taken during a system call are also counted separately.
 func (p processorProfile) writeStages(out io.Writer, spent time.Duration, requests int64) error {
 	parsed, err := profile.Parse(bytes.NewReader(p.encoded))
 	if err != nil {
@@ -69,53 +69,54 @@
 	total := int64(0)
 	for _, sample := range parsed.Sample {
 		amount := sample.Value[len(sample.Value)-1]
-		name, inCall := stageOf(sample)
+		name, inSystemCall := stageOf(sample)
 		s := stages[name]
 		if s == nil {
 			s = &stage{name: name}
 			stages[name] = s
 		}
-		s.all += amount
-		if inCall {
-			s.calls += amount
+		s.total += amount
+		if inSystemCall {
+			s.inSystemCalls += amount
 		}
 		total += amount
 	}
-	each := float64(spent.Microseconds()) / float64(requests) / float64(max(total, 1))
-	for _, s := range sorted(stages) {
-		fmt.Fprintf(out, "  %7.1f us, %6.1f of them in system calls  %s\n", float64(s.all)*each, float64(s.calls)*each, s.name)
+	microsPerUnit := float64(spent.Microseconds()) / float64(requests) / float64(max(total, 1))
+	for _, s := range sortedStages(stages) {
+		fmt.Fprintf(out, "  %7.1f us, %6.1f of them in system calls  %s\n", float64(s.total)*microsPerUnit, float64(s.inSystemCalls)*microsPerUnit, s.name)
 	}
 	return nil
 }
 
-// stage is the time of one part of the router, in the profile's unit.
+// stage is the processor time of one part of the router, in the unit of the profile.
 type stage struct {
-	name       string
-	all, calls int64
+	name                 string
+	total, inSystemCalls int64
 }
 
-func sorted(stages map[string]*stage) []*stage {
+func sortedStages(stages map[string]*stage) []*stage {
 	var list []*stage
 	for _, s := range stages {
 		list = append(list, s)
 	}
-	slices.SortFunc(list, func(a, b *stage) int { return int(b.all - a.all) })
+	slices.SortFunc(list, func(a, b *stage) int { return int(b.total - a.total) })
 	return list
 }
 
-// stageOf names the stage of a sample, and says whether it is of a system call.
-func stageOf(sample *profile.Sample) (name string, inCall bool) {
+// stageOf returns the name of a sample's stage, and reports whether the sample was taken
+// during a system call.
+func stageOf(sample *profile.Sample) (name string, inSystemCall bool) {
 	name = stageOther
 	runtimeOnly := true
 	for _, location := range sample.Location {
 		for _, line := range location.Line {
 			function := line.Function.Name
 			if strings.Contains(function, "yscall") {
-				inCall = true
+				inSystemCall = true
 			}
-			if own, found := strings.CutPrefix(function, module); found {
-				pkg, _, _ := strings.Cut(own, ".")
-				return pkg, inCall
+			if path, found := strings.CutPrefix(function, modulePath); found {
+				pkg, _, _ := strings.Cut(path, ".")
+				return pkg, inSystemCall
 			}
 			if strings.Contains(function, "valyala/fasthttp") {
 				name = stageHTTP
@@ -126,5 +127,5 @@
 	if runtimeOnly {
 		name = stageRuntime
 	}
-	return name, inCall
+	return name, inSystemCall
 }
--- a/bench/entry/stages_test.go
+++ b/bench/entry/stages_test.go
@@ -6,15 +6,16 @@
 	"github.com/google/pprof/profile"
 )
 
-// TestStageOf: a sample counts for the innermost package of the router's own in its stack.
+// TestStageOf checks that a sample counts for the innermost of the router's own packages in
+// its stack.
 func TestStageOf(t *testing.T) {
 	for _, c := range []struct {
 		stack  []string // innermost first
 		stage  string
 		inCall bool
 	}{
-		{[]string{"syscall.Syscall", "net.(*conn).Write", module + "front.(*callerConn).Write", "github.com/valyala/fasthttp.(*Server).serveConn"}, "front", true},
-		{[]string{"runtime.mallocgc", module + "filters/events.(*stream).Read", module + "front.(*answerStream).Read"}, "filters/events", false},
+		{[]string{"syscall.Syscall", "net.(*conn).Write", modulePath + "front.(*callerConn).Write", "github.com/valyala/fasthttp.(*Server).serveConn"}, "front", true},
+		{[]string{"runtime.mallocgc", modulePath + "filters/events.(*stream).Read", modulePath + "front.(*answerStream).Read"}, "filters/events", false},
 		{[]string{"github.com/valyala/fasthttp.(*RequestHeader).parse", "github.com/valyala/fasthttp.(*Server).serveConn"}, stageHTTP, false},
 		{[]string{"runtime.scanobject", "runtime.gcBgMarkWorker"}, stageRuntime, false},
 		{[]string{"encoding/json.Marshal", "main.main"}, stageOther, false},
@@ -24,8 +25,8 @@
 			function := &profile.Function{Name: name}
 			sample.Location = append(sample.Location, &profile.Location{Line: []profile.Line{{Function: function}}})
 		}
-		if stage, inCall := stageOf(&sample); stage != c.stage || inCall != c.inCall {
-			t.Errorf("%v: %s, %v", c.stack, stage, inCall)
+		if stage, inSystemCall := stageOf(&sample); stage != c.stage || inSystemCall != c.inCall {
+			t.Errorf("%v: %s, %v", c.stack, stage, inSystemCall)
 		}
 	}
 }
