--- a/bench/capacity/capacity_test.go
+++ b/bench/capacity/capacity_test.go
@@ -7,7 +7,7 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-func TestFormOfGrowth(t *testing.T) {
+func TestGrowth(t *testing.T) {
 	for want, amounts := range map[string][]float64{
 		"constant":         {5, 5, 5},
 		"levels off":       {1, 5, 5},
@@ -20,45 +20,45 @@
 		for i, size := range []float64{1, 10, 100} {
 			rows = append(rows, Row{Size: size, Value: Value{"q", amounts[i]}})
 		}
-		if got := collect(rows)[0].form(); got != want {
+		if got := seriesOf(rows)[0].growth(); got != want {
 			t.Errorf("%v: %s, want %s", amounts, got, want)
 		}
 	}
 }
 
-// TestSpread takes the median and the ends of the repeats.
+// TestSpread checks the median, minimum and maximum of the repeats.
 func TestSpread(t *testing.T) {
 	var rows []Row
 	for _, amount := range []float64{9, 1, 4} {
 		rows = append(rows, Row{Size: 3, Value: Value{"q", amount}})
 	}
 	want := point{size: 3, low: 1, median: 4, max: 9}
-	if got := collect(rows)[0].points[0]; got != want {
+	if got := seriesOf(rows)[0].points[0]; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// TestMeterJoinsWrites counts one write for the messages of one step.
+// TestMeterJoinsWrites checks that messages of one flush count as one write.
 func TestMeterJoinsWrites(t *testing.T) {
-	beat := control.Heartbeat{Incarnation: 1}
-	apart, joined := newMeter("a"), newMeter("a")
-	apart.flush("b", []control.Message{beat})
-	apart.flush("b", []control.Message{beat})
-	joined.flush("b", []control.Message{beat, beat})
-	if saved := apart.total().bytes - joined.total().bytes; saved != flushBytes {
-		t.Errorf("one write for two saves %v bytes, want %d", saved, flushBytes)
+	heartbeat := control.Heartbeat{Incarnation: 1}
+	separate, joined := newMeter("a"), newMeter("a")
+	separate.flush("b", []control.Message{heartbeat})
+	separate.flush("b", []control.Message{heartbeat})
+	joined.flush("b", []control.Message{heartbeat, heartbeat})
+	if saved := separate.total().bytes - joined.total().bytes; saved != bytesPerFlush {
+		t.Errorf("one write for two saves %v bytes, want %d", saved, bytesPerFlush)
 	}
 	if joined.total("heartbeat").messages != 2 {
-		t.Errorf("counted %+v", joined.kinds)
+		t.Errorf("counted %+v", joined.byKind)
 	}
 }
 
-// TestNodeServesItsLoad: requests that enter are granted, run and end, so that
-// the mirror neither loses nor doubles work.
+// TestNodeServesItsLoad checks that requests that enter are granted, run and end,
+// that is, that the mirror neither loses nor duplicates work.
 func TestNodeServesItsLoad(t *testing.T) {
-	load := nodeLoad{perSecond: 20, run: 2 * time.Second, workspaces: 100}
-	n := newNode(scaledTo(9).assign(), load, 1)
-	n.passTime(20 * time.Second)
+	load := nodeLoad{requestsPerSecond: 20, meanRunTime: 2 * time.Second, workspaces: 100}
+	n := newNode(scaledSize(9).assign(), load, 1)
+	n.advance(20 * time.Second)
 	counters := n.machine.Counters()
 	if n.arrived < 390 || n.arrived-n.dispatched > 1 {
 		t.Errorf("%d arrived, %d dispatched", n.arrived, n.dispatched)
@@ -69,20 +69,21 @@
 	if counters.GrantsReclaimed+counters.GrantsResent+counters.ReportsResent+counters.StaleMessages > 0 {
 		t.Errorf("the mirror lost messages: %+v", counters)
 	}
-	if len(n.mirror.own) != len(n.mirror.taken) || len(n.mirror.own) > 50 {
-		t.Errorf("the mirror holds %d and %d grants", len(n.mirror.own), len(n.mirror.taken))
+	if len(n.mirror.byGiven) != len(n.mirror.byReceived) || len(n.mirror.byGiven) > 50 {
+		t.Errorf("the mirror holds %d and %d grants", len(n.mirror.byGiven), len(n.mirror.byReceived))
 	}
 }
 
-// TestBacklogStaysAsAsked: late binding asks several shards, and what crosses
-// is returned, so that no slot is lost.
-func TestBacklogStaysAsAsked(t *testing.T) {
-	size := scaledTo(30)
-	size.slots = 8
-	n := newNode(size.assign(), nodeLoad{run: time.Second, workspaces: 100, waiting: 30}, 1)
-	n.passTime(5 * time.Second)
+// TestBacklogStaysConstant checks that the number of waiting requests stays as
+// configured and that no slot is lost. With late binding a request has tickets at
+// several shards, and grants that cross a cancellation must be returned.
+func TestBacklogStaysConstant(t *testing.T) {
+	size := scaledSize(30)
+	size.slotsPerTarget = 8
+	n := newNode(size.assign(), nodeLoad{meanRunTime: time.Second, workspaces: 100, keptWaiting: 30}, 1)
+	n.advance(5 * time.Second)
 	full := n.machine.Status().Running
-	n.passTime(15 * time.Second)
+	n.advance(15 * time.Second)
 	status := n.machine.Status()
 	if status.Waiting < 25 || status.Waiting > 30 {
 		t.Errorf("%d waiting, want 30 or a few less", status.Waiting)
@@ -91,15 +92,15 @@
 		t.Errorf("%d running after %d", status.Running, full)
 	}
 	if reclaimed := n.machine.Counters().GrantsReclaimed; reclaimed > 0 {
-		t.Errorf("%d slots were lost for a lease", reclaimed)
+		t.Errorf("%d slots were lost for the time of a lease", reclaimed)
 	}
 }
 
-// TestRepeatable: the same seed gives the same messages.
+// TestRepeatable checks that the same seed gives the same messages.
 func TestRepeatable(t *testing.T) {
 	run := func() traffic {
-		n := newNode(scaledTo(30).assign(), nodeLoad{perSecond: 20, run: time.Second, workspaces: 200}, 7)
-		n.passTime(5 * time.Second)
+		n := newNode(scaledSize(30).assign(), nodeLoad{requestsPerSecond: 20, meanRunTime: time.Second, workspaces: 200}, 7)
+		n.advance(5 * time.Second)
 		return n.meter.total()
 	}
 	if a, b := run(), run(); a != b {
--- a/bench/capacity/configuration.go
+++ b/bench/capacity/configuration.go
@@ -12,24 +12,24 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// patchesMeasured is how many versions each figure is the mean of.
+// patchesMeasured is how many versions each value is the mean of.
 const patchesMeasured = 20
 
 func versionOf(n int) config.Version { return config.Version(n) }
 
-// patchShare changes one workspace's share.
-func patchShare(on config.Version, workspace int) config.Patch {
+// patchShare returns a patch that changes one workspace's share.
+func patchShare(base config.Version, workspace int) config.Patch {
 	return config.Patch{
 		ID:      config.NewPatchID(),
-		Base:    on,
+		Base:    base,
 		Author:  "operator",
-		Changes: json.RawMessage(fmt.Sprintf(`{"workspaces":{"%s":{"share":%d}}}`, workspaceName(workspace), 2+int(on)%5)),
+		Changes: json.RawMessage(fmt.Sprintf(`{"workspaces":{"%s":{"share":%d}}}`, workspaceName(workspace), 2+int(base)%5)),
 	}
 }
 
-// fillVersions makes versions of a small configuration.
+// fillVersions submits a number of versions of a small configuration.
 func fillVersions(s *store.Store, versions int) error {
-	size := fleetSize{nodes: 1, centres: 1, pools: 1, targets: 1, workspaces: 1, slots: 1, poolsEach: 1}
+	size := fleetSize{nodes: 1, dataCentres: 1, pools: 1, targets: 1, workspaces: 1, slotsPerTarget: 1, poolsPerWorkspace: 1}
 	changes, _, err := config.Diff(config.Declarations{}, size.declarations())
 	if err != nil {
 		return err
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// largeSnapshot returns a size's configuration as the first version.
+// largeSnapshot returns the configuration of a size as the first version.
 func largeSnapshot(size fleetSize) (*config.Snapshot, error) {
 	changes, _, err := config.Diff(config.Declarations{}, size.declarations())
 	if err != nil {
@@ -55,10 +55,10 @@
 	return config.Apply(config.Empty(), config.Patch{ID: config.NewPatchID(), Changes: changes})
 }
 
-// measureVersion is what one version costs a node: taking it in force in the
-// follower and in the state machine.
+// measureVersion measures what one version costs a node: applying it in the follower
+// and in the state machine.
 func measureVersion(workspaces int, seed uint64) ([]Value, error) {
-	size := letterSize()
+	size := plannedSize()
 	size.workspaces = workspaces
 	before := heapInUse()
 	snapshot, err := largeSnapshot(size)
@@ -67,17 +67,17 @@
 	}
 	snapshot.Index()
 	heap := heapInUse() - before
-	whole, err := config.EncodeSnapshot(snapshot)
+	encoded, err := config.EncodeSnapshot(snapshot)
 	if err != nil {
 		return nil, err
 	}
 	start := processorTime()
-	if _, err := config.DecodeSnapshot(whole); err != nil {
+	if _, err := config.DecodeSnapshot(encoded); err != nil {
 		return nil, err
 	}
-	decoded := processorTime() - start
+	decodeTime := processorTime() - start
 	n := newNode(size.assign(), nodeLoad{}, seed)
-	applied, changed, entry, err := applyVersions(n, snapshot)
+	followerTime, machineTime, entry, err := applyVersions(n, snapshot)
 	if err != nil {
 		return nil, err
 	}
@@ -86,17 +86,18 @@
 		return nil, err
 	}
 	return []Value{
-		{"follower us/version", float64(applied.Microseconds()) / patchesMeasured},
-		{"machine us/version", float64(changed.Microseconds()) / patchesMeasured},
+		{"follower us/version", float64(followerTime.Microseconds()) / patchesMeasured},
+		{"machine us/version", float64(machineTime.Microseconds()) / patchesMeasured},
 		{"bytes of an entry to a peer", float64(len(update))},
-		{"bytes of the whole", float64(len(whole))},
-		{"ms to read the whole", float64(decoded.Milliseconds())},
+		{"bytes of the whole", float64(len(encoded))},
+		{"ms to read the whole", float64(decodeTime.Milliseconds())},
 		{"heap bytes of the whole", heap},
 	}, nil
 }
 
-// applyVersions puts versions in force one after another.
-func applyVersions(n *node, snapshot *config.Snapshot) (applied, changed time.Duration, entry config.Entry, err error) {
+// applyVersions applies versions one after another. It returns the processor time
+// of the follower and of the state machine, and the last entry.
+func applyVersions(n *node, snapshot *config.Snapshot) (followerTime, machineTime time.Duration, entry config.Entry, err error) {
 	for i := range patchesMeasured {
 		patch := patchShare(snapshot.Version, i)
 		start := processorTime()
@@ -105,12 +106,12 @@
 			return 0, 0, entry, err
 		}
 		next.Index()
-		applied += processorTime() - start
+		followerTime += processorTime() - start
 		start = processorTime()
 		n.machine.Step(n.now, control.ConfigChanged{Snapshot: next})
-		changed += processorTime() - start
+		machineTime += processorTime() - start
 		entry = config.Entry{Version: next.Version, Patch: patch, AcceptedAt: time.Now(), Digest: next.Digest}
 		snapshot = next
 	}
-	return applied, changed, entry, nil
+	return followerTime, machineTime, entry, nil
 }
--- a/bench/capacity/machine.go
+++ b/bench/capacity/machine.go
@@ -10,52 +10,54 @@
 	"github.com/walnutcove/walnutcove/peer/wire"
 )
 
-// measuredTime is how much simulated time is measured.
+// measuredTime is the simulated time over which a node is measured.
 const measuredTime = 20 * time.Second
 
-// The kinds of messages of each mechanism.
+// The message kinds of each mechanism.
 var (
 	requestKinds    = []wire.Kind{"ticket", "grant", "report", "report-ack", "waiting", "cancel-ticket", "refusal"}
 	accountingKinds = []wire.Kind{"service-report", "service-totals"}
 )
 
-// measured is what a node did in the measured time.
-type measured struct {
+// measurement is what a node did during measuredTime.
+type measurement struct {
 	node *node
-	// elapsed is simulated time.
+	// elapsed is the simulated time.
 	elapsed time.Duration
-	// stepTime is the processor time of the state machine, with its garbage
-	// collection, and allocated its allocated bytes.
+	// stepTime is the processor time of the state machine, including garbage
+	// collection, and allocated the bytes that it allocated.
 	stepTime  time.Duration
 	allocated float64
-	// dispatched counts the runs that began.
+	// dispatched is the number of runs that started.
 	dispatched float64
 }
 
-// watch runs a node until it has settled and measures it from then on.
-func watch(n *node) measured {
-	n.passTime(n.load.settleTime())
+// measureNode runs a node until it has settled and then measures it for
+// measuredTime.
+func measureNode(n *node) measurement {
+	n.advance(n.load.settleTime())
 	n.meter.reset()
-	from := len(n.recorded)
+	from := len(n.steps)
 	dispatched := n.dispatched
-	n.passTime(measuredTime)
-	m := measured{node: n, elapsed: measuredTime, dispatched: float64(n.dispatched - dispatched)}
+	n.advance(measuredTime)
+	m := measurement{node: n, elapsed: measuredTime, dispatched: float64(n.dispatched - dispatched)}
 	m.stepTime, m.allocated = n.replay(from)
 	return m
 }
 
-// replay gives the recorded events to a new machine, without any accounting
-// around it, and measures those from one on.
+// replay applies the recorded events to a new state machine, without the counting
+// around it, and measures the steps from index from on. It returns their processor
+// time and allocated bytes.
 func (n *node) replay(from int) (time.Duration, float64) {
 	machine := control.New(n.options(n.seed))
-	for _, r := range n.recorded[:from] {
+	for _, r := range n.steps[:from] {
 		machine.Step(r.at, r.event)
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	start := processorTime()
-	for _, r := range n.recorded[from:] {
+	for _, r := range n.steps[from:] {
 		machine.Step(r.at, r.event)
 	}
 	spent := processorTime() - start
@@ -63,7 +65,7 @@
 	return spent, float64(after.TotalAlloc - before.TotalAlloc)
 }
 
-// processorTime is the processor time of this process.
+// processorTime returns the processor time that this process has used.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -72,9 +74,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// rates returns the messages and bytes that the node sends a second, of kinds
-// or of all, and what its machine costs. It receives as much.
-func (m measured) rates(kinds ...wire.Kind) []Value {
+// rates returns the messages and bytes that the node sends per second, of the given
+// kinds or of all, and the cost of its state machine. The node receives as much as
+// it sends.
+func (m measurement) rates(kinds ...wire.Kind) []Value {
 	sent := m.node.meter.total(kinds...).perSecond(m.elapsed)
 	return []Value{
 		{"messages sent/s", sent.messages},
@@ -84,22 +87,22 @@
 	}
 }
 
-func (m measured) machineMicros() float64 {
+func (m measurement) machineMicros() float64 {
 	return float64(m.stepTime.Microseconds()) / m.elapsed.Seconds()
 }
 
-// measureHeartbeats is a fleet without requests.
+// measureHeartbeats measures a node of a fleet without requests.
 func measureHeartbeats(nodes int, seed uint64) ([]Value, error) {
-	size := scaledTo(nodes)
-	m := watch(newNode(size.assign(), nodeLoad{}, seed))
+	size := scaledSize(nodes)
+	m := measureNode(newNode(size.assign(), nodeLoad{}, seed))
 	return m.rates(), nil
 }
 
-// measureRequests is a node of the fleet ahead with short runs, which are never
-// reported as running.
-func measureRequests(perSecond int, seed uint64) ([]Value, error) {
-	load := nodeLoad{perSecond: float64(perSecond), run: 500 * time.Millisecond, workspaces: letterWorkspaces}
-	m := watch(newNode(letterSize().assign(), load, seed))
+// measureRequests measures a node of the planned fleet with short runs, which are
+// never reported as running.
+func measureRequests(requestsPerSecond int, seed uint64) ([]Value, error) {
+	load := nodeLoad{requestsPerSecond: float64(requestsPerSecond), meanRunTime: 500 * time.Millisecond, workspaces: plannedWorkspaces}
+	m := measureNode(newNode(plannedSize().assign(), load, seed))
 	sent := m.node.meter.total(requestKinds...)
 	return append(m.rates(requestKinds...),
 		Value{"messages sent/request", sent.messages / m.dispatched},
@@ -109,93 +112,96 @@
 	), nil
 }
 
-// measureRunning varies the runs in progress by their length: the requests a
-// second stay.
+// measureRunning varies the number of runs in progress through their length, at a
+// constant rate of requests.
 func measureRunning(runs int, seed uint64) ([]Value, error) {
-	const perSecond = 10
-	load := nodeLoad{perSecond: perSecond, run: time.Duration(runs) * time.Second / perSecond, workspaces: letterWorkspaces}
-	m := watch(newNode(letterSize().assign(), load, seed))
+	const requestsPerSecond = 10
+	load := nodeLoad{requestsPerSecond: requestsPerSecond, meanRunTime: time.Duration(runs) * time.Second / requestsPerSecond, workspaces: plannedWorkspaces}
+	m := measureNode(newNode(plannedSize().assign(), load, seed))
 	return m.rates("report"), nil
 }
 
-// measureAccountingByNodes grows a fleet with each node's load as it will be.
+// measureAccountingByNodes varies the size of the fleet, with the planned load at
+// each node.
 func measureAccountingByNodes(nodes int, seed uint64) ([]Value, error) {
-	size := scaledTo(nodes)
-	load := nodeLoad{perSecond: nodeRequests, run: letterRun, workspaces: size.workspaces}
-	m := watch(newNode(size.assign(), load, seed))
+	size := scaledSize(nodes)
+	load := nodeLoad{requestsPerSecond: requestsPerSecondPerNode, meanRunTime: plannedRunTime, workspaces: size.workspaces}
+	m := measureNode(newNode(size.assign(), load, seed))
 	return append(m.rates(accountingKinds...), Value{"nodes sent to", float64(m.node.meter.peers())}), nil
 }
 
 // measureAccountingByLoad varies how many workspaces have runs at a node.
 func measureAccountingByLoad(active int, seed uint64) ([]Value, error) {
-	load := nodeLoad{perSecond: float64(active) / letterRun.Seconds(), run: letterRun, workspaces: letterWorkspaces}
-	m := watch(newNode(letterSize().assign(), load, seed))
+	load := nodeLoad{requestsPerSecond: float64(active) / plannedRunTime.Seconds(), meanRunTime: plannedRunTime, workspaces: plannedWorkspaces}
+	m := measureNode(newNode(plannedSize().assign(), load, seed))
 	return m.rates(accountingKinds...), nil
 }
 
 // measureWaiting fills the slots with runs that do not end and lets a number of
-// requests wait. The fill takes longer than new windows take to open.
+// requests wait. Filling them takes longer than a new window takes to open.
 func measureWaiting(waiting int, seed uint64) ([]Value, error) {
-	const fill = 3 * time.Second
-	size := letterSize()
-	size.slots = 1
-	slots := size.targets / (size.pools * size.centres)
-	load := nodeLoad{perSecond: float64(slots+waiting) / fill.Seconds(), run: time.Hour, workspaces: letterBacklogged}
+	const fillTime = 3 * time.Second
+	size := plannedSize()
+	size.slotsPerTarget = 1
+	slots := size.targets / (size.pools * size.dataCentres)
+	load := nodeLoad{requestsPerSecond: float64(slots+waiting) / fillTime.Seconds(), meanRunTime: time.Hour, workspaces: plannedBackloggedWorkspaces}
 	n := newNode(size.assign(), load, seed)
 	for n.arrived-n.dispatched < waiting {
-		n.passTime(10 * time.Millisecond)
+		n.advance(10 * time.Millisecond)
 	}
-	n.closed = true
-	n.load.run = 0 // nothing more is waited for
-	m := watch(n)
+	n.arrivalsStopped = true
+	n.load.meanRunTime = 0 // the node doesn't wait for any run to end before it is measured
+	m := measureNode(n)
 	return append(m.rates(requestKinds...), Value{"waiting", float64(n.machine.Status().Waiting)}), nil
 }
 
-// measureBacklog is a node of the fleet ahead whose targets are full, while a
-// number of requests of the backlogged workspaces wait.
+// measureBacklog measures a node of the planned fleet whose targets are full, while
+// a number of requests of the backlogged workspaces wait.
 func measureBacklog(waiting int, seed uint64) ([]Value, error) {
-	size := letterSize()
+	size := plannedSize()
 	fleet := size.assign()
-	owned := len(fleet.shards[nodeName(fleet.typicalScheduler())])
-	inShard := size.targets / (size.pools * size.centres)
-	size.slots = int(nodeRequests*letterRun.Seconds()) / (owned * inShard)
+	ownedShards := len(fleet.shards[nodeName(fleet.typicalScheduler())])
+	targetsPerShard := size.targets / (size.pools * size.dataCentres)
+	size.slotsPerTarget = int(requestsPerSecondPerNode*plannedRunTime.Seconds()) / (ownedShards * targetsPerShard)
 	fleet.size = size
-	load := nodeLoad{run: letterRun, workspaces: letterBacklogged, waiting: waiting}
-	return kindsOf(watch(newNode(fleet, load, seed))), nil
+	load := nodeLoad{meanRunTime: plannedRunTime, workspaces: plannedBackloggedWorkspaces, keptWaiting: waiting}
+	return ratesByKind(measureNode(newNode(fleet, load, seed))), nil
 }
 
 // measureExchangePeriod varies the period of the exchange of service counts at
-// the peak.
+// peak load.
 func measureExchangePeriod(period int, seed uint64) ([]Value, error) {
 	load := nodeLoad{
-		perSecond: nodeRequests, run: letterRun, workspaces: letterWorkspaces,
-		exchange: time.Duration(period) * time.Millisecond,
+		requestsPerSecond: requestsPerSecondPerNode, meanRunTime: plannedRunTime, workspaces: plannedWorkspaces,
+		exchangePeriod: time.Duration(period) * time.Millisecond,
 	}
-	m := watch(newNode(letterSize().assign(), load, seed))
+	m := measureNode(newNode(plannedSize().assign(), load, seed))
 	return m.rates(accountingKinds...), nil
 }
 
-// measureMembership is the silent loss of a watched node, and then its return.
+// measureMembership measures the loss of a watched node, whose heartbeats stop
+// without notice, and then its return.
 func measureMembership(nodes int, seed uint64) ([]Value, error) {
 	const changes = 10
-	size := scaledTo(nodes)
+	size := scaledSize(nodes)
 	n := newNode(size.assign(), nodeLoad{}, seed)
-	n.passTime(3 * time.Second)
+	n.advance(3 * time.Second)
 	n.meter.reset()
 	watched := n.watched
-	from := len(n.recorded)
+	from := len(n.steps)
 	for i := range changes {
 		lost := watched[i%len(watched)]
 		n.watched = slices.DeleteFunc(slices.Clone(watched), func(name control.NodeID) bool { return name == lost })
-		n.passTime(4 * time.Second)
+		n.advance(4 * time.Second)
 		n.watched = watched
 		incarnation := control.Incarnation(i + 2)
 		n.receiveAs(lost, incarnation, control.Heartbeat{Incarnation: incarnation})
-		n.restarted[lost] = incarnation
-		n.passTime(time.Second)
+		n.incarnations[lost] = incarnation
+		n.advance(time.Second)
 	}
 	elapsed := 5 * changes * time.Second
-	beats := n.meter.total("heartbeat").messages - 16*elapsed.Seconds()
+	// An undisturbed node sends 16 heartbeats per second.
+	heartbeats := n.meter.total("heartbeat").messages - 16*elapsed.Seconds()
 	notices := n.meter.total("suspect-notice")
 	spent, _ := n.replay(from)
 	idle, err := measureHeartbeats(nodes, seed)
@@ -206,28 +212,28 @@
 	return []Value{
 		{"notices sent/loss", notices.messages / changes},
 		{"notice bytes sent/loss", notices.bytes / changes},
-		{"heartbeats sent/loss", beats / changes},
+		{"heartbeats sent/loss", heartbeats / changes},
 		{"machine us/loss and return", (float64(spent.Microseconds()) - idleMicros) / changes},
 	}, nil
 }
 
-// measurePartition cuts a node with runs in progress off from the data centres
-// but its own and those of its region, about two nodes in three, and brings
-// them back.
+// measurePartition disconnects a node with runs in progress from all data centres
+// outside its region, which hold about two thirds of the nodes, and then reconnects
+// it.
 func measurePartition(nodes int, seed uint64) ([]Value, error) {
-	size := scaledTo(nodes)
-	load := nodeLoad{perSecond: nodeRequests, run: letterRun, workspaces: size.workspaces}
+	size := scaledSize(nodes)
+	load := nodeLoad{requestsPerSecond: requestsPerSecondPerNode, meanRunTime: plannedRunTime, workspaces: size.workspaces}
 	n := newNode(size.assign(), load, seed)
-	n.passTime(load.settleTime())
-	var far []control.NodeID
+	n.advance(load.settleTime())
+	var unreachable []control.NodeID
 	for i := range nodes {
-		if i%size.centres >= size.centres/3 && nodeName(i) != n.id {
-			far = append(far, nodeName(i))
+		if i%size.dataCentres >= size.dataCentres/3 && nodeName(i) != n.id {
+			unreachable = append(unreachable, nodeName(i))
 		}
 	}
 	n.meter.reset()
-	lost := n.timed(func() {
-		for _, name := range far {
+	lossTime := n.processorTimeOf(func() {
+		for _, name := range unreachable {
 			n.machine.Step(n.now, control.PeerState{Node: name, Connected: false})
 		}
 		n.now += 300 * time.Millisecond
@@ -235,39 +241,41 @@
 	})
 	sentAtLoss := n.meter.total()
 	n.meter.reset()
-	back := n.timed(func() {
-		for _, name := range far {
+	returnTime := n.processorTimeOf(func() {
+		for _, name := range unreachable {
 			n.step(control.PeerState{Node: name, Connected: true})
 			n.receive(name, control.Heartbeat{Incarnation: 1})
 		}
 	})
 	sentAtReturn := n.meter.total()
 	return []Value{
-		{"machine ms at the loss", millis(lost)},
+		{"machine ms at the loss", millis(lossTime)},
 		{"messages sent at the loss", sentAtLoss.messages},
-		{"machine ms at the return", millis(back)},
+		{"machine ms at the return", millis(returnTime)},
 		{"messages sent at the return", sentAtReturn.messages},
 		{"bytes sent at the return", sentAtReturn.bytes},
 	}, nil
 }
 
-// timed returns the processor time of a function.
-func (n *node) timed(run func()) time.Duration {
+// processorTimeOf returns the processor time that a function uses.
+func (n *node) processorTimeOf(run func()) time.Duration {
 	runtime.GC()
 	start := processorTime()
 	run()
 	return processorTime() - start
 }
 
-// measurePeak is a node at the peak, in fleets that grow with their load.
+// measurePeak measures a node at peak load, in fleets whose load grows with their
+// size.
 func measurePeak(nodes int, seed uint64) ([]Value, error) {
-	size := scaledTo(nodes)
-	load := nodeLoad{perSecond: nodeRequests, run: letterRun, workspaces: size.workspaces}
-	return kindsOf(watch(newNode(size.assign(), load, seed))), nil
+	size := scaledSize(nodes)
+	load := nodeLoad{requestsPerSecond: requestsPerSecondPerNode, meanRunTime: plannedRunTime, workspaces: size.workspaces}
+	return ratesByKind(measureNode(newNode(size.assign(), load, seed))), nil
 }
 
-// kindsOf returns the rates of each kind of message.
-func kindsOf(m measured) []Value {
+// ratesByKind returns the rates of all messages and of each kind, and the state of
+// the node.
+func ratesByKind(m measurement) []Value {
 	values := m.rates()
 	for _, kind := range wire.Kinds {
 		sent := m.node.meter.total(kind).perSecond(m.elapsed)
@@ -283,6 +291,6 @@
 		Value{"running", float64(m.node.machine.Status().Running)},
 		Value{"waiting", float64(m.node.machine.Status().Waiting)},
 		Value{"runs begun/s", m.dispatched / m.elapsed.Seconds()},
-		Value{"most shards at a node", float64(m.node.fleet.mostShards())},
+		Value{"most shards at a node", float64(m.node.fleet.maxShards())},
 	)
 }
--- a/bench/capacity/memory.go
+++ b/bench/capacity/memory.go
@@ -7,7 +7,7 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// heapInUse returns the bytes of live objects.
+// heapInUse returns the bytes of live heap objects, after a garbage collection.
 func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -16,14 +16,14 @@
 	return float64(stats.HeapAlloc)
 }
 
-// measureMachineMemory is the state of an idle machine, without the
-// configuration, by the nodes that it knows.
+// measureMachineMemory measures the heap size of an idle state machine, without
+// the configuration, by the number of nodes that it knows.
 func measureMachineMemory(nodes int, _ uint64) ([]Value, error) {
-	fleet := scaledTo(nodes).assign()
+	fleet := scaledSize(nodes).assign()
 	snapshot := fleet.size.snapshot()
 	before := heapInUse()
 	index := fleet.typicalScheduler()
-	machine := control.New(control.Options{Node: nodeName(index), Incarnation: 1, DataCentre: centreName(index % fleet.size.centres)})
+	machine := control.New(control.Options{Node: nodeName(index), Incarnation: 1, DataCentre: dataCentreName(index % fleet.size.dataCentres)})
 	machine.Step(time.Second, control.MembersListed{Members: fleet.size.members()})
 	for n := range nodes {
 		machine.Step(time.Second, control.MessageReceived{From: nodeName(n), Incarnation: 1, Message: control.Heartbeat{Incarnation: 1}})
@@ -36,16 +36,16 @@
 	return []Value{{"heap bytes", used}}, nil
 }
 
-// measureQueueMemory is the state of queued tickets at their scheduler and of
-// waiting requests at their entry.
+// measureQueueMemory measures the heap size of a queued ticket at its scheduler and
+// of a waiting request at its entry.
 func measureQueueMemory(count int, seed uint64) ([]Value, error) {
-	fleet := letterSize().assign()
+	fleet := plannedSize().assign()
 	n := newNode(fleet, nodeLoad{}, seed)
 	shard := n.owned[0]
-	n.recorded = nil
-	base := heapInUse()
+	n.steps = nil
+	before := heapInUse()
 	for i := range count {
-		workspace := fleet.size.workspaceLike(workspaceName(i%letterBacklogged), poolName(i%letterBacklogged%letterPools), shard.Pool)
+		workspace := fleet.size.equivalentWorkspace(workspaceName(i%plannedBackloggedWorkspaces), poolName(i%plannedBackloggedWorkspaces%plannedPools), shard.Pool)
 		n.machine.Step(n.now, control.MessageReceived{From: "vm-1", Incarnation: 1, Message: control.Ticket{
 			ID:    control.TicketID{Node: "vm-1", Incarnation: 1, Request: control.RequestID(i + 1), Attempt: uint32(i + 1)},
 			Shard: shard, Workspace: workspace, TimeLeft: time.Hour, PrefixHash: uint64(i + 1), Fingerprint: uint64(i + 1),
@@ -53,7 +53,7 @@
 	}
 	queued := heapInUse()
 	for i := range count {
-		workspace := i % letterBacklogged
+		workspace := i % plannedBackloggedWorkspaces
 		n.machine.Step(n.now, control.RequestArrived{
 			Request: control.RequestID(i + 1), Attempt: 1, Workspace: workspaceName(workspace),
 			Pool: fleet.size.poolsOf(workspace)[0], Deadline: n.now + time.Hour, Bytes: 2000, Fingerprint: uint64(i + 1),
@@ -62,7 +62,7 @@
 	waiting := heapInUse()
 	runtime.KeepAlive(n)
 	return []Value{
-		{"heap bytes/queued ticket", (queued - base) / float64(count)},
+		{"heap bytes/queued ticket", (queued - before) / float64(count)},
 		{"heap bytes/waiting request", (waiting - queued) / float64(count)},
 	}, nil
 }
--- a/bench/capacity/meter.go
+++ b/bench/capacity/meter.go
@@ -9,19 +9,20 @@
 	"github.com/walnutcove/walnutcove/peer/wire"
 )
 
-// flushBytes is what one write to a session costs on the wire beside the
-// encoded frame: the header of yamux (12 bytes) and the record of TLS 1.3
-// (22). TCP and IP headers are not counted.
-const flushBytes = 12 + 22
+// bytesPerFlush is the overhead of one write to a session on the wire, on top of
+// the encoded frame: the yamux header (12 bytes) and the TLS 1.3 record (22 bytes).
+// TCP and IP headers are not counted.
+const bytesPerFlush = 12 + 22
 
-// meter counts what a node sends, by the encoding that sessions use.
+// meter counts the messages that a node sends and their bytes in the encoding that
+// sessions use.
 type meter struct {
 	self     control.NodeID
 	encoders map[control.NodeID]*wire.Encoder
-	kinds    map[wire.Kind]*traffic
+	byKind   map[wire.Kind]*traffic
 }
 
-// traffic is a count of messages and of bytes on the wire.
+// traffic is a number of messages and of bytes on the wire.
 type traffic struct {
 	messages float64
 	bytes    float64
@@ -31,18 +32,20 @@
 	return &meter{
 		self:     self,
 		encoders: make(map[control.NodeID]*wire.Encoder),
-		kinds:    make(map[wire.Kind]*traffic),
+		byKind:   make(map[wire.Kind]*traffic),
 	}
 }
 
-// reset forgets the counts, but not what the sessions' tables hold.
-func (m *meter) reset() { m.kinds = make(map[wire.Kind]*traffic) }
+// reset clears the counts but keeps the encoders, which hold the tables of the
+// sessions.
+func (m *meter) reset() { m.byKind = make(map[wire.Kind]*traffic) }
 
-// peers returns how many nodes were sent something.
+// peers returns how many nodes have been sent a message.
 func (m *meter) peers() int { return len(m.encoders) }
 
-// flush counts messages that one step sent to one node: they go in one write.
-// The bytes of definitions and of the write are spread over the messages.
+// flush counts messages to one node that go in one write. The overhead of the write
+// is spread evenly over them; the bytes of a definition count for the message that
+// needs it.
 func (m *meter) flush(to control.NodeID, messages []control.Message) {
 	encoder := m.encoders[to]
 	if encoder == nil {
@@ -51,37 +54,37 @@
 		m.encoders[to] = encoder
 	}
 	for _, message := range messages {
-		size := flushBytes / float64(len(messages))
+		size := bytesPerFlush / float64(len(messages))
 		frame, _, err := encoder.Frame([]control.Message{message})
 		if err != nil {
-			panic(err) // every message of the machine has a codec
+			panic(err) // every message of the state machine has an encoding
 		}
-		var counted countingWriter
-		if _, err := protodelim.MarshalTo(&counted, frame); err != nil {
+		var frameBytes countingWriter
+		if _, err := protodelim.MarshalTo(&frameBytes, frame); err != nil {
 			panic(err)
 		}
-		m.add(wire.KindOf(message), 1, size+float64(counted))
+		m.add(wire.KindOf(message), 1, size+float64(frameBytes))
 	}
 }
 
 func (m *meter) add(kind wire.Kind, messages, bytes float64) {
-	t := m.kinds[kind]
+	t := m.byKind[kind]
 	if t == nil {
 		t = &traffic{}
-		m.kinds[kind] = t
+		m.byKind[kind] = t
 	}
 	t.messages += messages
 	t.bytes += bytes
 }
 
-// total sums over kinds; all of them if none is named.
+// total sums the traffic of the given kinds, or of all kinds if none is given.
 func (m *meter) total(kinds ...wire.Kind) traffic {
 	var sum traffic
 	if len(kinds) == 0 {
 		kinds = wire.Kinds
 	}
 	for _, kind := range kinds {
-		if t := m.kinds[kind]; t != nil {
+		if t := m.byKind[kind]; t != nil {
 			sum.messages += t.messages
 			sum.bytes += t.bytes
 		}
@@ -89,12 +92,12 @@
 	return sum
 }
 
-// perSecond divides by the time.
+// perSecond returns the traffic per second of elapsed time.
 func (t traffic) perSecond(elapsed time.Duration) traffic {
 	return traffic{t.messages / elapsed.Seconds(), t.bytes / elapsed.Seconds()}
 }
 
-// countingWriter counts what is written to it.
+// countingWriter counts the bytes written to it.
 type countingWriter int
 
 // Write implements io.Writer.
--- a/bench/capacity/mirror.go
+++ b/bench/capacity/mirror.go
@@ -9,42 +9,44 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// mirror turns what the node sends to another into what that other node, of
-// the same load, sends here. A ticket for another node's shard comes back as
-// that node's ticket for a shard here, the grant for it as the grant for the
-// first, and so on.
+// mirror turns each message that the node sends to another node into the message
+// that the other node, under the same load, sends back. A ticket for another node's
+// shard comes back as that node's ticket for a shard of this node. The grant for the
+// second ticket comes back as the grant for the first, and so on.
 type mirror struct {
 	node *node
-	// asks finds a pair of tickets by the own or by the mirrored one.
-	asks     map[askKey]*ask
-	mirrored map[control.TicketID]*ask
-	// grants finds a pair of grants by the own or by the mirrored one.
-	own    map[control.GrantID]*grantPair
-	taken  map[control.GrantID]*grantPair
-	nextID control.RequestID
-	beats  int
-	// behind finds the workspaces that stand behind an accounted one.
-	behind map[accountKey][]string
-}
-
-type askKey struct {
+	// tickets finds a pair of tickets by the sent one, byMirroredTicket by the
+	// mirrored one.
+	tickets          map[ticketKey]*ticketPair
+	byMirroredTicket map[control.TicketID]*ticketPair
+	// byGiven and byReceived find a pair of grants by either of the two.
+	byGiven    map[control.GrantID]*grantPair
+	byReceived map[control.GrantID]*grantPair
+	nextID     control.RequestID
+	heartbeats int
+	// reportedAs holds the workspaces that were reported under the name of an
+	// accounted one.
+	reportedAs map[accountKey][]string
+}
+
+type ticketKey struct {
 	ticket control.TicketID
 	shard  control.ShardID
 }
 
-// ask is a ticket that the node sent, and its image.
-type ask struct {
-	to    control.NodeID
-	own   askKey
-	image askKey
+// ticketPair is a ticket that the node sent, and its mirrored ticket.
+type ticketPair struct {
+	to       control.NodeID
+	sent     ticketKey
+	mirrored ticketKey
 }
 
-// grantPair is a grant that the node gave for an image, and the one that it
-// gets for its own ticket.
+// grantPair is a grant that the node gave for a mirrored ticket, and the one that it
+// receives for the ticket that it sent.
 type grantPair struct {
-	ask   *ask
-	given control.Grant
-	taken control.Grant
+	tickets  *ticketPair
+	given    control.Grant
+	received control.Grant
 }
 
 type accountKey struct {
@@ -54,16 +56,16 @@
 
 func newMirror(n *node) *mirror {
 	return &mirror{
-		node:     n,
-		asks:     make(map[askKey]*ask),
-		mirrored: make(map[control.TicketID]*ask),
-		own:      make(map[control.GrantID]*grantPair),
-		taken:    make(map[control.GrantID]*grantPair),
-		behind:   make(map[accountKey][]string),
+		node:             n,
+		tickets:          make(map[ticketKey]*ticketPair),
+		byMirroredTicket: make(map[control.TicketID]*ticketPair),
+		byGiven:          make(map[control.GrantID]*grantPair),
+		byReceived:       make(map[control.GrantID]*grantPair),
+		reportedAs:       make(map[accountKey][]string),
 	}
 }
 
-// reflect answers a message to another node.
+// reflect delivers the mirrored message for a message to another node.
 func (m *mirror) reflect(to control.NodeID, message control.Message) {
 	switch msg := message.(type) {
 	case control.Ticket:
@@ -73,8 +75,8 @@
 	case control.Grant:
 		m.grant(msg)
 	case control.Waiting:
-		if a := m.mirrored[msg.Ticket]; a != nil {
-			m.node.receiveLater(a.to, control.Waiting{Ticket: a.own.ticket, Shard: a.own.shard, Ahead: msg.Ahead})
+		if pair := m.byMirroredTicket[msg.Ticket]; pair != nil {
+			m.node.receiveLater(pair.to, control.Waiting{Ticket: pair.sent.ticket, Shard: pair.sent.shard, Ahead: msg.Ahead})
 		}
 	case control.Report:
 		m.report(to, msg)
@@ -92,60 +94,61 @@
 }
 
 func (m *mirror) ticket(to control.NodeID, t control.Ticket) {
-	key := askKey{t.ID, t.Shard}
-	a := m.asks[key]
-	if a == nil {
+	key := ticketKey{t.ID, t.Shard}
+	pair := m.tickets[key]
+	if pair == nil {
 		m.nextID++
-		image := askKey{
+		mirrored := ticketKey{
 			ticket: control.TicketID{Node: to, Incarnation: 1, Request: m.nextID, Attempt: uint32(m.nextID)},
 			shard:  m.node.owned[int(m.nextID)%len(m.node.owned)],
 		}
-		a = &ask{to: to, own: key, image: image}
-		m.asks[key] = a
-		m.mirrored[image.ticket] = a
+		pair = &ticketPair{to: to, sent: key, mirrored: mirrored}
+		m.tickets[key] = pair
+		m.byMirroredTicket[mirrored.ticket] = pair
 	}
-	t.Workspace = m.node.fleet.size.workspaceLike(t.Workspace, t.Shard.Pool, a.image.shard.Pool)
-	t.ID = a.image.ticket
-	t.Shard = a.image.shard
+	t.Workspace = m.node.fleet.size.equivalentWorkspace(t.Workspace, t.Shard.Pool, pair.mirrored.shard.Pool)
+	t.ID = pair.mirrored.ticket
+	t.Shard = pair.mirrored.shard
 	m.node.receiveLater(to, t)
 }
 
 func (m *mirror) cancel(to control.NodeID, c control.CancelTicket) {
-	if a := m.asks[askKey{c.Ticket, c.Shard}]; a != nil {
-		m.forget(a)
-		m.node.receiveLater(to, control.CancelTicket{Ticket: a.image.ticket, Shard: a.image.shard})
+	if pair := m.tickets[ticketKey{c.Ticket, c.Shard}]; pair != nil {
+		m.forget(pair)
+		m.node.receiveLater(to, control.CancelTicket{Ticket: pair.mirrored.ticket, Shard: pair.mirrored.shard})
 	}
 }
 
-func (m *mirror) forget(a *ask) {
-	delete(m.asks, a.own)
-	delete(m.mirrored, a.image.ticket)
+func (m *mirror) forget(pair *ticketPair) {
+	delete(m.tickets, pair.sent)
+	delete(m.byMirroredTicket, pair.mirrored.ticket)
 }
 
-// grant hands the node the grant for its own ticket.
+// grant delivers the grant for the ticket that the node sent.
 func (m *mirror) grant(g control.Grant) {
-	pair := m.own[g.ID]
+	pair := m.byGiven[g.ID]
 	if pair == nil {
-		a := m.mirrored[g.Ticket]
-		if a == nil {
+		tickets := m.byMirroredTicket[g.Ticket]
+		if tickets == nil {
 			m.returnGrant(g)
 			return
 		}
-		targets := m.node.fleet.targets[a.own.shard]
-		taken := control.Grant{
-			ID:     control.GrantID{Scheduler: a.to, Incarnation: 1, Seq: g.ID.Seq},
-			Ticket: a.own.ticket,
+		targets := m.node.fleet.targets[tickets.sent.shard]
+		received := control.Grant{
+			ID:     control.GrantID{Scheduler: tickets.to, Incarnation: 1, Seq: g.ID.Seq},
+			Ticket: tickets.sent.ticket,
 			Target: targets[int(g.ID.Seq)%len(targets)],
 			Spare:  g.Spare,
 		}
-		pair = &grantPair{ask: a, given: g, taken: taken}
-		m.own[g.ID] = pair
-		m.taken[taken.ID] = pair
+		pair = &grantPair{tickets: tickets, given: g, received: received}
+		m.byGiven[g.ID] = pair
+		m.byReceived[received.ID] = pair
 	}
-	m.node.receiveLater(pair.ask.to, pair.taken)
+	m.node.receiveLater(pair.tickets.to, pair.received)
 }
 
-// returnGrant answers a grant that crossed the cancellation of its ticket.
+// returnGrant reports a grant as not run if its ticket was cancelled while the grant
+// was on the way.
 func (m *mirror) returnGrant(g control.Grant) {
 	target := m.node.snapshot.Declarations.Targets[g.Target]
 	m.node.receiveLater(g.Ticket.Node, control.Report{
@@ -158,55 +161,56 @@
 	})
 }
 
-// report brings the report on the grant that the node gave.
+// report delivers the report on the grant that the node gave.
 func (m *mirror) report(to control.NodeID, r control.Report) {
-	pair := m.taken[r.Grant]
+	pair := m.byReceived[r.Grant]
 	if pair == nil {
 		return
 	}
-	r.Workspace = m.node.fleet.size.workspaceLike(r.Workspace, r.Shard.Pool, pair.ask.image.shard.Pool)
+	r.Workspace = m.node.fleet.size.equivalentWorkspace(r.Workspace, r.Shard.Pool, pair.tickets.mirrored.shard.Pool)
 	r.Grant = pair.given.ID
 	r.Ticket = pair.given.Ticket
 	r.Target = pair.given.Target
-	r.Shard = pair.ask.image.shard
+	r.Shard = pair.tickets.mirrored.shard
 	m.node.receiveLater(to, r)
 }
 
-// ack ends a run on both sides.
+// ack ends both runs of a pair and delivers the acknowledgement for the other one.
 func (m *mirror) ack(a control.ReportAck) {
-	pair := m.own[a.Grant]
+	pair := m.byGiven[a.Grant]
 	if pair == nil {
 		return
 	}
-	delete(m.own, a.Grant)
-	delete(m.taken, pair.taken.ID)
-	m.forget(pair.ask)
-	m.node.receiveLater(pair.ask.to, control.ReportAck{Grant: pair.taken.ID})
+	delete(m.byGiven, a.Grant)
+	delete(m.byReceived, pair.received.ID)
+	m.forget(pair.tickets)
+	m.node.receiveLater(pair.tickets.to, control.ReportAck{Grant: pair.received.ID})
 }
 
-// heartbeat brings the heartbeats of the nodes that this one watches, as many
-// as it sends.
-func (m *mirror) heartbeat(beat control.Heartbeat) {
+// heartbeat delivers the heartbeat of a node that this one watches, in turn, so that
+// the node receives as many heartbeats as it sends.
+func (m *mirror) heartbeat(sent control.Heartbeat) {
 	if len(m.node.watched) == 0 {
 		return
 	}
-	from := m.node.watched[m.beats%len(m.node.watched)]
-	m.beats++
+	from := m.node.watched[m.heartbeats%len(m.node.watched)]
+	m.heartbeats++
 	m.node.receiveLater(from, control.Heartbeat{
-		Incarnation:   max(1, m.node.restarted[from]),
-		ConfigVersion: beat.ConfigVersion,
+		Incarnation:   max(1, m.node.incarnations[from]),
+		ConfigVersion: sent.ConfigVersion,
 	})
 }
 
-// serviceReport brings another node's report on workspaces accounted for here.
+// serviceReport delivers another node's report on workspaces whose totals this node
+// keeps.
 func (m *mirror) serviceReport(to control.NodeID, r control.ServiceReport) {
 	counts := make([]control.ServiceCount, 0, len(r.Counts))
 	for _, c := range r.Counts {
-		pick := xxhash.Sum64String(string(to) + c.Workspace)
-		name := m.node.accounted[pick%uint64(len(m.node.accounted))]
+		hash := xxhash.Sum64String(string(to) + c.Workspace)
+		name := m.node.accounted[hash%uint64(len(m.node.accounted))]
 		key := accountKey{to, name}
-		if !slices.Contains(m.behind[key], c.Workspace) {
-			m.behind[key] = append(m.behind[key], c.Workspace)
+		if !slices.Contains(m.reportedAs[key], c.Workspace) {
+			m.reportedAs[key] = append(m.reportedAs[key], c.Workspace)
 		}
 		c.Workspace = name
 		counts = append(counts, c)
@@ -214,11 +218,11 @@
 	m.node.receiveLater(to, control.ServiceReport{Counts: counts})
 }
 
-// serviceTotals brings the totals of the workspaces that this node reported on.
+// serviceTotals delivers the totals of the workspaces that this node reported on.
 func (m *mirror) serviceTotals(to control.NodeID, t control.ServiceTotals) {
 	var counts []control.ServiceCount
 	for _, c := range t.Counts {
-		for _, name := range m.behind[accountKey{to, c.Workspace}] {
+		for _, name := range m.reportedAs[accountKey{to, c.Workspace}] {
 			c.Workspace = name
 			counts = append(counts, c)
 		}
--- a/bench/capacity/node.go
+++ b/bench/capacity/node.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// tickEvery is the period of control.Tick in a router.
-	tickEvery = 20 * time.Millisecond
-	// oneWay is how long a message to another node takes.
-	oneWay = time.Millisecond
-	// loadEvery is the period of load reports of each steady target.
-	loadEvery = time.Second
+	// tickPeriod is the period of control.Tick in a router.
+	tickPeriod = 20 * time.Millisecond
+	// messageDelay is how long a message to another node takes.
+	messageDelay = time.Millisecond
+	// loadReportPeriod is the period of the load reports of each target whose load
+	// is steady.
+	loadReportPeriod = time.Second
 )
 
-// node is one state machine of a fleet whose other nodes are mirrors of it: what
-// it sends to another node comes back as what that node would send here, so
-// that it meets at each of its roles the load that it causes at others. There
-// is no network and no clock; time is simulated.
+// node is one state machine of a fleet whose other nodes are mirrors of it. Each
+// message that it sends to another node comes back as the message that the other
+// node would send here, so that in each of its roles the node carries the load that
+// it causes at others. There is no network and no clock; time is simulated.
 type node struct {
 	fleet    *assignment
 	id       control.NodeID
@@ -38,91 +39,94 @@
 	sequence uint64
 	seed     uint64
 	load     nodeLoad
-	// closed stops new requests.
-	closed bool
-	// owned are the shards that the node schedules, and accounted as many
-	// workspaces as a node adds the service up for in the mean.
+	// arrivalsStopped is set when no new requests may arrive.
+	arrivalsStopped bool
+	// owned holds the shards that the node schedules, and accounted as many
+	// workspaces as a node on average keeps the service totals of.
 	owned     []control.ShardID
 	accounted []string
-	// watched are the nodes whose heartbeats this node expects.
+	// watched holds the nodes whose heartbeats this node expects.
 	watched []control.NodeID
-	// held are the messages to each node that wait for others.
-	held map[control.NodeID][]control.Message
-	// restarted holds the incarnations of nodes that are not in their first.
-	restarted map[control.NodeID]control.Incarnation
-	// polled are the targets whose load the node asks for.
-	polled []string
-	// recorded holds the steps so far, for a replay.
-	recorded            []recorded
+	// deferred holds the messages to each node that wait to be sent with later
+	// ones.
+	deferred map[control.NodeID][]control.Message
+	// incarnations holds the incarnation of each node that has restarted.
+	incarnations map[control.NodeID]control.Incarnation
+	// polledTargets holds the targets whose load the node polls.
+	polledTargets []string
+	// steps holds the steps so far, for replay.
+	steps               []recordedStep
 	arrived, dispatched int
 }
 
-// nodeLoad is what callers ask of a node.
+// nodeLoad is the load that callers put on a node.
 type nodeLoad struct {
-	// perSecond is how many requests enter here.
-	perSecond float64
-	// run is the mean length of a run; they vary evenly by half of it.
-	run time.Duration
-	// workspaces is how many send, evenly.
+	// requestsPerSecond is how many requests per second enter at the node.
+	requestsPerSecond float64
+	// meanRunTime is the mean length of a run. Lengths are distributed evenly
+	// between half of it and one and a half times it.
+	meanRunTime time.Duration
+	// workspaces is how many workspaces send, with equal rates.
 	workspaces int
-	// waiting is how many requests are kept waiting, whatever the rate.
-	waiting int
-	// exchange is the period of the exchange of service counts; zero for the
-	// default.
-	exchange time.Duration
+	// keptWaiting is how many requests are kept waiting, whatever the rate.
+	keptWaiting int
+	// exchangePeriod is the period of the exchange of service counts; zero for
+	// the default.
+	exchangePeriod time.Duration
 }
 
-// settleTime is how long a node runs before it is measured: until the first
-// runs have ended.
-func (l nodeLoad) settleTime() time.Duration { return 3*time.Second + 2*l.run }
+// settleTime returns how long a node runs before it is measured, which is until the
+// first runs have ended.
+func (l nodeLoad) settleTime() time.Duration { return 3*time.Second + 2*l.meanRunTime }
 
-// recorded is one step.
-type recorded struct {
+// recordedStep is an event and the time of the step that applied it.
+type recordedStep struct {
 	at    control.Instant
 	event control.Event
 }
 
-// newNode returns a node that schedules one shard if there is such a one, in a
-// fleet of which every node was heard.
+// newNode returns a typical scheduler of a fleet, which has received a heartbeat
+// of every other node.
 func newNode(fleet *assignment, load nodeLoad, seed uint64) *node {
 	index := fleet.typicalScheduler()
 	id := nodeName(index)
 	n := &node{
-		fleet:     fleet,
-		id:        id,
-		snapshot:  fleet.size.snapshot(),
-		meter:     newMeter(id),
-		random:    rand.New(rand.NewPCG(seed, 1)),
-		now:       time.Second,
-		seed:      seed,
-		load:      load,
-		owned:     fleet.shards[id],
-		accounted: fleet.accounted(),
-		watched:   fleet.size.watchedBy(index),
-		held:      make(map[control.NodeID][]control.Message),
-		restarted: make(map[control.NodeID]control.Incarnation),
+		fleet:        fleet,
+		id:           id,
+		snapshot:     fleet.size.snapshot(),
+		meter:        newMeter(id),
+		random:       rand.New(rand.NewPCG(seed, 1)),
+		now:          time.Second,
+		seed:         seed,
+		load:         load,
+		owned:        fleet.shards[id],
+		accounted:    fleet.accountedWorkspaces(),
+		watched:      fleet.size.watchedBy(index),
+		deferred:     make(map[control.NodeID][]control.Message),
+		incarnations: make(map[control.NodeID]control.Incarnation),
 	}
 	n.mirror = newMirror(n)
 	n.machine = control.New(n.options(seed))
 	n.join()
 	n.checkOwned()
-	n.every(tickEvery, func() { n.step(control.Tick{}) })
-	n.every(loadEvery, n.pollTargets)
-	if load.waiting > 0 {
-		n.every(tickEvery, n.refill)
+	n.every(tickPeriod, func() { n.step(control.Tick{}) })
+	n.every(loadReportPeriod, n.pollTargets)
+	if load.keptWaiting > 0 {
+		n.every(tickPeriod, n.refill)
 	}
-	if load.perSecond > 0 {
-		n.every(time.Duration(float64(time.Second)/load.perSecond), n.arrive)
+	if load.requestsPerSecond > 0 {
+		n.every(time.Duration(float64(time.Second)/load.requestsPerSecond), n.arrive)
 	}
 	return n
 }
 
 func (n *node) options(seed uint64) control.Options {
 	index := n.fleet.typicalScheduler()
-	return control.Options{Node: n.id, Incarnation: 1, DataCentre: centreName(index % n.fleet.size.centres), Seed: seed, ExchangeEvery: n.load.exchange}
+	return control.Options{Node: n.id, Incarnation: 1, DataCentre: dataCentreName(index % n.fleet.size.dataCentres), Seed: seed, ExchangeEvery: n.load.exchangePeriod}
 }
 
-// join lets the machine meet the fleet.
+// join gives the state machine the list of members, a heartbeat of every other node
+// and the configuration.
 func (n *node) join() {
 	n.step(control.MembersListed{Members: n.fleet.size.members()})
 	for i := range n.fleet.size.nodes {
@@ -133,23 +137,23 @@
 	n.step(control.ConfigChanged{Snapshot: n.snapshot})
 }
 
-// checkOwned fails if the machine assigns shards otherwise than assign does.
+// checkOwned panics if the state machine assigns shards differently from assign.
 func (n *node) checkOwned() {
 	owned := 0
 	for _, shard := range n.machine.Status().Shards {
 		if shard.Owned && !slices.Contains(n.owned, shard.Shard) {
-			panic(fmt.Sprintf("%s schedules %v", n.id, shard.Shard))
+			panic(fmt.Sprintf("%s schedules %v, which is assigned to another node", n.id, shard.Shard))
 		}
 		owned++
 	}
 	if owned != len(n.owned) {
-		panic(fmt.Sprintf("%s schedules %d shards, not %d", n.id, owned, len(n.owned)))
+		panic(fmt.Sprintf("%s schedules %d shards, want %d", n.id, owned, len(n.owned)))
 	}
 }
 
-// arrive brings a request of a random workspace.
+// arrive lets a request of a random workspace arrive.
 func (n *node) arrive() {
-	if n.closed {
+	if n.arrivalsStopped {
 		return
 	}
 	n.arrived++
@@ -168,24 +172,25 @@
 	})
 }
 
-// refill lets requests arrive until enough wait.
+// refill lets requests arrive until keptWaiting are waiting.
 func (n *node) refill() {
-	for n.arrived-n.dispatched < n.load.waiting {
+	for n.arrived-n.dispatched < n.load.keptWaiting {
 		n.arrive()
 	}
 }
 
-// pollTargets reports the load of the targets that the node polls. It equals
-// what the node granted, which the window does not learn from.
+// pollTargets reports the load of the targets that the node polls. The load equals
+// what the node granted, so that the window learns nothing from it.
 func (n *node) pollTargets() {
-	for _, name := range n.polled {
-		n.step(control.TargetLoad{Target: name, Slots: n.fleet.size.slots})
+	for _, name := range n.polledTargets {
+		n.step(control.TargetLoad{Target: name, Slots: n.fleet.size.slotsPerTarget})
 	}
 }
 
-// step applies an event and carries the commands out.
+// step applies an event to the state machine and executes the commands that it
+// returns.
 func (n *node) step(event control.Event) {
-	n.recorded = append(n.recorded, recorded{n.now, event})
+	n.steps = append(n.steps, recordedStep{n.now, event})
 	sent := make(map[control.NodeID][]control.Message)
 	var order []control.NodeID
 	for _, command := range n.machine.Step(n.now, event) {
@@ -200,7 +205,7 @@
 		case control.Refuse:
 			panic(fmt.Sprintf("a request was refused: %+v", c))
 		case control.WatchTargets:
-			n.polled = c.Targets
+			n.polledTargets = c.Targets
 		}
 	}
 	for _, to := range order {
@@ -211,52 +216,52 @@
 	}
 }
 
-// write counts messages to a node as a session writes them: those that nothing
-// waits for are held back for a while, so that they go with others.
+// write counts messages to a node as a session writes them: messages that may wait
+// are deferred for a while, so that they share a write with others.
 func (n *node) write(to control.NodeID, messages []control.Message) {
-	held := n.held[to]
-	n.held[to] = append(held, messages...)
+	waiting := n.deferred[to]
+	n.deferred[to] = append(waiting, messages...)
 	urgent := slices.ContainsFunc(messages, func(m control.Message) bool { return !peer.CanWait(m) })
 	switch {
 	case urgent:
 		n.flush(to)
-	case len(held) == 0:
+	case len(waiting) == 0:
 		n.after(peer.LazyWait, func() { n.flush(to) })
 	}
 }
 
-// flush counts one write of what is held back for a node.
+// flush counts one write of the messages that are deferred for a node.
 func (n *node) flush(to control.NodeID) {
-	if messages := n.held[to]; len(messages) > 0 {
-		n.held[to] = nil
+	if messages := n.deferred[to]; len(messages) > 0 {
+		n.deferred[to] = nil
 		n.meter.flush(to, messages)
 	}
 }
 
-// run lets a dispatched request run on its target.
+// run simulates the run of a dispatched request on its target.
 func (n *node) run(c control.Dispatch) {
 	n.dispatched++
-	service := n.load.run/2 + time.Duration(n.random.Int64N(int64(n.load.run)+1))
+	service := n.load.meanRunTime/2 + time.Duration(n.random.Int64N(int64(n.load.meanRunTime)+1))
 	n.after(service, func() {
 		n.step(control.RunEnded{Request: c.Request, Grant: c.Grant, Outcome: control.OutcomeAnswered, Service: service})
 	})
 }
 
 func (n *node) receive(from control.NodeID, message control.Message) {
-	n.receiveAs(from, max(1, n.restarted[from]), message)
+	n.receiveAs(from, max(1, n.incarnations[from]), message)
 }
 
 func (n *node) receiveAs(from control.NodeID, incarnation control.Incarnation, message control.Message) {
 	n.step(control.MessageReceived{From: from, Incarnation: incarnation, Message: message})
 }
 
-// receiveLater delivers a message after its way over the network.
+// receiveLater delivers a message after messageDelay.
 func (n *node) receiveLater(from control.NodeID, message control.Message) {
-	n.after(oneWay, func() { n.receive(from, message) })
+	n.after(messageDelay, func() { n.receive(from, message) })
 }
 
-// passTime lets simulated time pass.
-func (n *node) passTime(d time.Duration) {
+// advance advances simulated time by d and runs the functions that fall due.
+func (n *node) advance(d time.Duration) {
 	end := n.now + d
 	for len(n.events) > 0 && n.events[0].at <= end {
 		e := heap.Pop(&n.events).(scheduled)
@@ -271,7 +276,7 @@
 	heap.Push(&n.events, scheduled{n.now + d, n.sequence, run})
 }
 
-// every runs a function on a period, from a random time on.
+// every runs a function periodically, from a random time within the first period.
 func (n *node) every(period time.Duration, run func()) {
 	var again func()
 	again = func() {
@@ -281,14 +286,14 @@
 	n.after(time.Duration(n.random.Int64N(int64(period)+1)), again)
 }
 
-// scheduled is a function to run at a time.
+// scheduled is a function to run at a time. Equal times run in order of seq.
 type scheduled struct {
 	at  control.Instant
 	seq uint64
 	run func()
 }
 
-// eventQueue is a heap in order of time.
+// eventQueue is a heap of scheduled functions in order of time.
 type eventQueue []scheduled
 
 // Len implements heap.Interface.
--- a/bench/capacity/owners.go
+++ b/bench/capacity/owners.go
@@ -7,16 +7,18 @@
 	"github.com/walnutcove/walnutcove/control/member"
 )
 
-// assignment says which node of a fleet does what, while all live.
+// assignment holds which node of a fleet schedules which shards and targets while
+// all nodes are alive.
 type assignment struct {
 	size fleetSize
-	// shards are those that each node schedules, targets those of each shard.
+	// shards holds the shards that each node schedules, and targets the targets of
+	// each shard.
 	shards  map[control.NodeID][]control.ShardID
 	targets map[control.ShardID][]string
 }
 
-// assign works the assignment out with the view and the keys that the machine
-// uses; newNode compares it with what the machine does.
+// assign computes the assignment with the view and the hash keys that the state
+// machine uses. newNode checks it against the state machine.
 func (s fleetSize) assign() *assignment {
 	a := &assignment{
 		size:    s,
@@ -25,7 +27,7 @@
 	}
 	view := s.viewOf(0)
 	for n := range s.targets {
-		id := control.ShardID{Pool: poolName(n % s.pools), DataCentre: centreName(n / s.pools % s.centres)}
+		id := control.ShardID{Pool: poolName(n % s.pools), DataCentre: dataCentreName(n / s.pools % s.dataCentres)}
 		if a.targets[id] == nil {
 			owner := control.NodeID(view.Owner(member.HashOf(id.Pool+"\x00"+id.DataCentre), id.DataCentre))
 			a.shards[owner] = append(a.shards[owner], id)
@@ -35,8 +37,9 @@
 	return a
 }
 
-// accounted returns as many workspaces as each node adds the service up for.
-func (a *assignment) accounted() []string {
+// accountedWorkspaces returns as many workspaces as a node on average keeps the
+// service totals of.
+func (a *assignment) accountedWorkspaces() []string {
 	var names []string
 	for n := 0; n < a.size.workspaces; n += a.size.nodes {
 		names = append(names, workspaceName(n))
@@ -44,10 +47,10 @@
 	return names
 }
 
-// viewOf returns what node n sees while all nodes live.
+// viewOf returns the membership view of node n while all nodes are alive.
 func (s fleetSize) viewOf(n int) *member.View {
 	const now = time.Second
-	view := member.NewView(string(nodeName(n)), centreName(n%s.centres), time.Hour)
+	view := member.NewView(string(nodeName(n)), dataCentreName(n%s.dataCentres), time.Hour)
 	var listed []member.Listed
 	for _, m := range s.members() {
 		listed = append(listed, member.Listed{Name: string(m.Node), DataCentre: m.DataCentre})
@@ -73,23 +76,24 @@
 	return watched
 }
 
-// typicalScheduler returns a node that schedules one shard, or the fewest.
+// typicalScheduler returns the index of a node that schedules the smallest number of
+// shards above zero, usually one.
 func (a *assignment) typicalScheduler() int {
-	best, fewest := 0, 0
+	best, minCount := 0, 0
 	for n := range a.size.nodes {
 		count := len(a.shards[nodeName(n)])
-		if count > 0 && (fewest == 0 || count < fewest) {
-			best, fewest = n, count
+		if count > 0 && (minCount == 0 || count < minCount) {
+			best, minCount = n, count
 		}
 	}
 	return best
 }
 
-// mostShards returns the most shards that one node schedules.
-func (a *assignment) mostShards() int {
-	most := 0
+// maxShards returns the largest number of shards that one node schedules.
+func (a *assignment) maxShards() int {
+	maxCount := 0
 	for _, shards := range a.shards {
-		most = max(most, len(shards))
+		maxCount = max(maxCount, len(shards))
 	}
-	return most
+	return maxCount
 }
--- a/bench/capacity/platformcost.go
+++ b/bench/capacity/platformcost.go
@@ -17,15 +17,15 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// callsCounted is how many calls each figure of this file is the mean of.
-const callsCounted = 100
+// callsMeasured is how many calls each value of this file is the mean of.
+const callsMeasured = 100
 
-// measureVMList is one reading of the list of VMs.
+// measureVMList measures one reading of the platform's list of VMs.
 func measureVMList(nodes int, _ uint64) ([]Value, error) {
 	var vms []store.VM
 	for n := range nodes {
 		vms = append(vms, store.VM{
-			Name: string(nodeName(n)), DataCentre: centreName(n % letterCentres),
+			Name: string(nodeName(n)), DataCentre: dataCentreName(n % plannedDataCentres),
 			PeerAddress: fmt.Sprintf("10.1.%d.%d:7000", n/200, n%200+1), State: store.VMLive,
 		})
 	}
@@ -35,8 +35,8 @@
 	})
 }
 
-// measureConfigPoll is one look at the configuration store that finds nothing
-// new, in a table of that many versions.
+// measureConfigPoll measures one poll of the configuration store that finds nothing
+// new, in a table with this many versions.
 func measureConfigPoll(versions int, _ uint64) ([]Value, error) {
 	var opened *configstore.Store
 	return withPlatform(nil, func(client *store.Client) error {
@@ -51,8 +51,9 @@
 	})
 }
 
-// withPlatform makes a call many times to the platform's stand-in. The first
-// call prepares; it is told apart for lists of VMs.
+// withPlatform makes a call many times to a stand-in for the platform. The first
+// call is preparation and isn't counted in the mean; for lists of VMs its bytes are
+// a value of their own.
 func withPlatform(vms []store.VM, call func(*store.Client) error) ([]Value, error) {
 	server := standin.New(standin.Options{VMs: vms})
 	address, err := server.Start("127.0.0.1:0")
@@ -74,15 +75,15 @@
 	}
 	before := counter.bytes.Load()
 	spent := processorTime()
-	for range callsCounted {
+	for range callsMeasured {
 		if err := call(client); err != nil {
 			return nil, err
 		}
 	}
 	spent = processorTime() - spent
 	values := []Value{
-		{"bytes/call", float64(counter.bytes.Load()-before) / callsCounted},
-		{"us/call, with stand-in", float64(spent.Microseconds()) / callsCounted},
+		{"bytes/call", float64(counter.bytes.Load()-before) / callsMeasured},
+		{"us/call, with stand-in", float64(spent.Microseconds()) / callsMeasured},
 	}
 	if vms != nil {
 		values = append(values, Value{"bytes, first call", float64(before)})
@@ -90,8 +91,8 @@
 	return values, nil
 }
 
-// measureLoadPoll is one load poll of an engine with that many cached prefixes,
-// without and with them.
+// measureLoadPoll measures one load poll of an engine with this many cached
+// prefixes, without and with the prefixes in the answer.
 func measureLoadPoll(prefixes int, _ uint64) ([]Value, error) {
 	e := engine.New(engine.Options{PrefixEntries: max(1, prefixes), Step: time.Microsecond})
 	address, err := e.Start("127.0.0.1:0")
@@ -109,11 +110,11 @@
 	defer counter.close()
 	client := targets.NewHTTPClient(targets.Options{})
 	defer client.Close()
-	bytes, spent, err := polls(counter, client.Load)
+	bytes, spent, err := measurePolls(counter, client.Load)
 	if err != nil {
 		return nil, err
 	}
-	withPrefixes, _, err := polls(counter, client.LoadWithPrefixes)
+	withPrefixes, _, err := measurePolls(counter, client.LoadWithPrefixes)
 	if err != nil {
 		return nil, err
 	}
@@ -124,21 +125,21 @@
 	}, nil
 }
 
-// polls returns the mean bytes and microseconds of a poll.
-func polls(counter *byteCounter, load func(context.Context, string) (targets.Load, error)) (bytes, micros float64, err error) {
+// measurePolls returns the mean bytes and microseconds of processor time of a poll.
+func measurePolls(counter *byteCounter, load func(context.Context, string) (targets.Load, error)) (bytes, micros float64, err error) {
 	before := counter.bytes.Load()
 	spent := processorTime()
-	for range callsCounted {
+	for range callsMeasured {
 		if _, err := load(context.Background(), counter.address()); err != nil {
 			return 0, 0, err
 		}
 	}
 	spent = processorTime() - spent
-	bytes = float64(counter.bytes.Load()-before) / callsCounted
-	return bytes, float64(spent.Microseconds()) / callsCounted, nil
+	bytes = float64(counter.bytes.Load()-before) / callsMeasured
+	return bytes, float64(spent.Microseconds()) / callsMeasured, nil
 }
 
-// fillPrefixes lets an engine cache prompts with different beginnings.
+// fillPrefixes sends an engine prompts with different prefixes, which it caches.
 func fillPrefixes(address string, prefixes int) error {
 	client := targets.NewHTTPClient(targets.Options{})
 	defer client.Close()
@@ -157,19 +158,19 @@
 	return nil
 }
 
-// byteCounter passes connections on and counts their bytes, both ways.
+// byteCounter is a TCP proxy that counts the bytes of both directions.
 type byteCounter struct {
 	listener net.Listener
-	to       string
+	upstream string
 	bytes    atomic.Int64
 }
 
-func newByteCounter(to string) (*byteCounter, error) {
+func newByteCounter(upstream string) (*byteCounter, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	c := &byteCounter{listener: listener, to: to}
+	c := &byteCounter{listener: listener, upstream: upstream}
 	go c.accept()
 	return c, nil
 }
@@ -184,22 +185,22 @@
 		if err != nil {
 			return
 		}
-		to, err := net.Dial("tcp", c.to)
+		to, err := net.Dial("tcp", c.upstream)
 		if err != nil {
 			_ = from.Close()
 			continue
 		}
-		go c.pass(from, to)
-		go c.pass(to, from)
+		go c.relay(from, to)
+		go c.relay(to, from)
 	}
 }
 
-func (c *byteCounter) pass(from, to net.Conn) {
+func (c *byteCounter) relay(from, to net.Conn) {
 	defer to.Close()
 	_, _ = io.Copy(io.MultiWriter(to, c), from)
 }
 
-// Write counts.
+// Write implements io.Writer. It counts the bytes and discards them.
 func (c *byteCounter) Write(p []byte) (int, error) {
 	c.bytes.Add(int64(len(p)))
 	return len(p), nil
--- a/bench/capacity/processes.go
+++ b/bench/capacity/processes.go
@@ -16,29 +16,29 @@
 const (
 	benchPool  = "drafting"
 	benchModel = "walnut-small"
-	// workspacesEach is how many workspaces there are for each router, as at
-	// the size ahead.
-	workspacesEach = letterWorkspaces / letterNodes
-	// callersEach is how many requests are in flight for each router.
-	callersEach = 12
-	// tokensEach and tokenGap make runs of two seconds.
-	tokensEach = 40
+	// workspacesPerRouter is the number of workspaces for each router, as at the
+	// planned size.
+	workspacesPerRouter = plannedWorkspaces / plannedNodes
+	// callersPerRouter is how many requests are in flight for each router.
+	callersPerRouter = 12
+	// meanTokens and tokenGap make runs of two seconds on average.
+	meanTokens = 40
 	tokenGap   = 50 * time.Millisecond
-	// fleetSettles is left out before each measurement.
-	fleetSettles = 6 * time.Second
+	// fleetSettleTime is how long a fleet gets to settle before each measurement.
+	fleetSettleTime = 6 * time.Second
 )
 
-// Processes measures real routers, idle and with requests.
+// Processes measures real routers, idle and under load.
 type Processes struct {
-	// Routers are the sizes of the fleet.
+	// Routers lists the sizes of the fleet.
 	Routers []int
-	// Duration is how long each state is measured.
+	// Duration is how long each state, idle and loaded, is measured.
 	Duration time.Duration
 	Repeats  int
 	CSV      io.Writer
 }
 
-// Run measures and writes two tables.
+// Run measures each size and writes a table for idle and one for loaded routers.
 func (o Processes) Run(ctx context.Context, out io.Writer) error {
 	if o.CSV != nil {
 		fmt.Fprint(o.CSV, csvHeader)
@@ -46,14 +46,14 @@
 	var idle, loaded []Row
 	for repeat := range max(1, o.Repeats) {
 		for _, routers := range o.Routers {
-			i, l, err := o.measure(ctx, routers)
+			idleValues, loadedValues, err := o.measure(ctx, routers)
 			if err != nil {
 				return fmt.Errorf("%d routers: %w", routers, err)
 			}
-			for _, v := range i {
+			for _, v := range idleValues {
 				idle = append(idle, Row{"idle processes", "routers", float64(routers), repeat + 1, v})
 			}
-			for _, v := range l {
+			for _, v := range loadedValues {
 				loaded = append(loaded, Row{"loaded processes", "routers", float64(routers), repeat + 1, v})
 			}
 		}
@@ -67,12 +67,12 @@
 }
 
 func (o Processes) measure(ctx context.Context, routers int) (idle, loaded []Value, err error) {
-	f, err := startFleet(ctx, routers, workspacesEach*routers)
+	f, err := startFleet(ctx, routers, workspacesPerRouter*routers)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer f.Close()
-	if err := sleep(ctx, fleetSettles); err != nil {
+	if err := sleep(ctx, fleetSettleTime); err != nil {
 		return nil, nil, err
 	}
 	before, err := readUsage(f)
@@ -87,17 +87,18 @@
 		return nil, nil, err
 	}
 	idle = after.since(before, o.Duration)
-	loaded, err = o.withRequests(ctx, f)
+	loaded, err = o.measureLoaded(ctx, f)
 	return idle, loaded, err
 }
 
-// withRequests keeps requests in flight and measures once they flow.
-func (o Processes) withRequests(ctx context.Context, f *fleet.Fleet) ([]Value, error) {
-	sending, stop := context.WithCancel(ctx)
+// measureLoaded keeps requests in flight and measures the fleet after it has
+// settled.
+func (o Processes) measureLoaded(ctx context.Context, f *fleet.Fleet) ([]Value, error) {
+	sendCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	done := make(chan *load.Summary)
-	go func() { done <- sendTo(f.Callers(), len(f.Routers)).Do(sending) }()
-	if err := sleep(ctx, fleetSettles); err != nil {
+	go func() { done <- callersFor(f.Callers(), len(f.Routers)).Do(sendCtx) }()
+	if err := sleep(ctx, fleetSettleTime); err != nil {
 		return nil, err
 	}
 	before, err := readUsage(f)
@@ -119,20 +120,20 @@
 	return after.since(before, o.Duration), nil
 }
 
-func sendTo(callers []string, routers int) load.Run {
+func callersFor(addresses []string, routers int) load.Run {
 	return load.Run{
-		Routers: callers,
-		Callers: callersEach * routers,
+		Routers: addresses,
+		Callers: callersPerRouter * routers,
 		Seed:    1,
 		Next: func(n int, random *rand.Rand) load.Request {
-			workspace := random.IntN(workspacesEach * routers)
+			workspace := random.IntN(workspacesPerRouter * routers)
 			return load.Request{
 				Kind:      load.Stream,
 				Workspace: workspaceName(workspace),
 				Key:       workspaceKey(workspace),
 				Mark:      fmt.Sprintf("m%d", n),
 				Model:     benchModel,
-				MaxTokens: tokensEach/2 + random.IntN(tokensEach),
+				MaxTokens: meanTokens/2 + random.IntN(meanTokens),
 			}
 		},
 	}
@@ -140,7 +141,8 @@
 
 func workspaceKey(n int) string { return workspaceName(n) + "-key" }
 
-// startFleet starts routers with a stand-in engine for every three of them.
+// startFleet starts routers and one stand-in engine for every three of them, at
+// least three.
 func startFleet(ctx context.Context, routers, workspaces int) (*fleet.Fleet, error) {
 	targets := max(3, routers/3)
 	declared := make(map[string]config.Workspace, workspaces)
@@ -148,20 +150,21 @@
 		declared[workspaceName(n)] = fleet.Workspace(workspaceKey(n), 1, benchPool)
 	}
 	return fleet.Start(ctx, fleet.Options{
-		DataCentres: []string{centreName(0), centreName(1), centreName(2)},
+		DataCentres: []string{dataCentreName(0), dataCentreName(1), dataCentreName(2)},
 		Routers:     routers,
 		Pools: map[string]fleet.Pool{benchPool: {
 			Declared: config.Pool{Kind: config.KindEngine, Models: []string{benchModel}},
 			Targets:  targets,
-			Slots:    2 * callersEach * routers / targets,
+			Slots:    2 * callersPerRouter * routers / targets,
 			Step:     tokenGap,
 		}},
 		Workspaces: declared,
-		Edit:       usualPeriods,
+		Edit:       useDefaultPeriods,
 	})
 }
 
-// usualPeriods undoes what fleet.Start sets for quick starts.
-func usualPeriods(s *settings.Settings) {
+// useDefaultPeriods restores the default of the period that fleet.Start shortens
+// for a quick start.
+func useDefaultPeriods(s *settings.Settings) {
 	s.Platform.VMListEvery = settings.Defaults().Platform.VMListEvery
 }
--- a/bench/capacity/recover.go
+++ b/bench/capacity/recover.go
@@ -17,32 +17,35 @@
 	"github.com/walnutcove/walnutcove/processes"
 )
 
-// Recover measures how long real routers take to work again after a fault.
+// Recover measures how long real routers take to recover from a fault.
 type Recover struct {
 	Routers    int
 	Workspaces int
 	Repeats    int
-	// Behind are the numbers of versions that a router misses.
+	// Behind lists the numbers of configuration versions that a router misses.
 	Behind []int
 	CSV    io.Writer
-	// Only names the faults; empty means all.
+	// Only holds the names of the faults to measure; empty for all.
 	Only []string
 }
 
 const (
-	// recoverCallers keep every shard backlogged.
-	recoverCallers = 200
-	recoverTargets = 9
-	recoverSlots   = 8
-	// recoverTokens at recoverStep make runs of 200 ms in the mean.
-	recoverTokens = 40
-	recoverStep   = 5 * time.Millisecond
-	// beforeFault and afterFault are how long requests flow around a fault.
+	// recoveryCallers is the number of callers, enough to keep every shard
+	// backlogged.
+	recoveryCallers = 200
+	recoveryTargets = 9
+	recoverySlots   = 8
+	// recoveryTokens, each taking recoveryTokenTime, make runs of 200 ms on
+	// average.
+	recoveryTokens    = 40
+	recoveryTokenTime = 5 * time.Millisecond
+	// beforeFault and afterFault are how long callers send before and after a
+	// fault.
 	beforeFault = 3 * time.Second
 	afterFault  = 12 * time.Second
 )
 
-// Run measures and writes a table.
+// Run measures each fault and writes a table for each.
 func (o Recover) Run(ctx context.Context, out io.Writer) error {
 	if o.CSV != nil {
 		fmt.Fprint(o.CSV, csvHeader)
@@ -51,11 +54,11 @@
 		name    string
 		measure func(context.Context) ([]Value, error)
 	}{
-		{"scheduler killed", func(ctx context.Context) ([]Value, error) { return o.scheduler(ctx, kill) }},
-		{"scheduler frozen", func(ctx context.Context) ([]Value, error) { return o.scheduler(ctx, freeze) }},
-		{"fleet restarted empty", func(ctx context.Context) ([]Value, error) { return o.restart(ctx, true) }},
-		{"fleet restarted without callers", func(ctx context.Context) ([]Value, error) { return o.restart(ctx, false) }},
-		{"router behind", o.behind},
+		{"scheduler killed", func(ctx context.Context) ([]Value, error) { return o.breakScheduler(ctx, kill) }},
+		{"scheduler frozen", func(ctx context.Context) ([]Value, error) { return o.breakScheduler(ctx, freeze) }},
+		{"fleet restarted empty", func(ctx context.Context) ([]Value, error) { return o.restartFleet(ctx, true) }},
+		{"fleet restarted without callers", func(ctx context.Context) ([]Value, error) { return o.restartFleet(ctx, false) }},
+		{"router behind", o.catchUp},
 		{"router restarted in an outage", o.restartInOutage},
 	} {
 		if len(o.Only) > 0 && !slices.Contains(o.Only, fault.name) {
@@ -86,52 +89,52 @@
 
 func freeze(r *processes.Router) error { return r.Freeze() }
 
-func (o Recover) start(ctx context.Context) (*fleet.Fleet, error) {
+func (o Recover) startFleet(ctx context.Context) (*fleet.Fleet, error) {
 	declared := make(map[string]config.Workspace, o.Workspaces)
 	for n := range o.Workspaces {
 		w := fleet.Workspace(workspaceKey(n), 1, benchPool)
-		w.MaxQueued = recoverCallers
+		w.MaxQueued = recoveryCallers
 		declared[workspaceName(n)] = w
 	}
 	f, err := fleet.Start(ctx, fleet.Options{
-		DataCentres: []string{centreName(0), centreName(1), centreName(2)},
+		DataCentres: []string{dataCentreName(0), dataCentreName(1), dataCentreName(2)},
 		Routers:     o.Routers,
 		Pools: map[string]fleet.Pool{benchPool: {
 			Declared: config.Pool{Kind: config.KindEngine, Models: []string{benchModel}},
-			Targets:  recoverTargets, Slots: recoverSlots, Step: recoverStep,
+			Targets:  recoveryTargets, Slots: recoverySlots, Step: recoveryTokenTime,
 		}},
 		Workspaces: declared,
-		Edit:       usualPeriods,
+		Edit:       useDefaultPeriods,
 	})
 	if err != nil {
 		return nil, err
 	}
-	if err := sleep(ctx, fleetSettles); err != nil {
+	if err := sleep(ctx, fleetSettleTime); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// scheduler breaks the router that schedules the shard of the first data
-// centre, while callers of the other routers keep it backlogged.
-func (o Recover) scheduler(ctx context.Context, fault func(*processes.Router) error) ([]Value, error) {
-	f, err := o.start(ctx)
+// breakScheduler injects a fault into the router that schedules the shard of the
+// first data centre, while callers of the other routers keep the shard backlogged.
+func (o Recover) breakScheduler(ctx context.Context, injectFault func(*processes.Router) error) ([]Value, error) {
+	f, err := o.startFleet(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	victim, err := findScheduler(ctx, f, o.Workspaces)
+	scheduler, err := findScheduler(ctx, f, o.Workspaces)
 	if err != nil {
 		return nil, err
 	}
-	callers := slices.DeleteFunc(f.Callers(), func(address string) bool { return address == victim.Settings.Listen.Callers })
-	requests := sendWhile(ctx, callers, o.Workspaces)
+	addresses := slices.DeleteFunc(f.Callers(), func(address string) bool { return address == scheduler.Settings.Listen.Callers })
+	requests := startCallers(ctx, addresses, o.Workspaces)
 	if err := sleep(ctx, beforeFault); err != nil {
 		return nil, err
 	}
-	at := time.Now()
-	if err := fault(victim); err != nil {
+	faultAt := time.Now()
+	if err := injectFault(scheduler); err != nil {
 		return nil, err
 	}
 	if err := sleep(ctx, afterFault); err != nil {
@@ -142,27 +145,27 @@
 	if err != nil {
 		return nil, err
 	}
-	starts := startsOf(entries, func(target string) bool { return f.Target(target).DataCentre == centreName(0) })
+	starts := startTimes(entries, func(target string) bool { return f.Target(target).DataCentre == dataCentreName(0) })
 	return []Value{
-		{"ms without a start, before", longestPause(starts, at.Add(-beforeFault+time.Second), at)},
-		{"ms without a start, after", longestPause(starts, at, at.Add(afterFault-time.Second))},
-		{"starts/s before", startsPerSecond(starts, at.Add(-beforeFault+time.Second), at)},
-		{"starts/s in the last 5 s", startsPerSecond(starts, at.Add(afterFault-6*time.Second), at.Add(afterFault-time.Second))},
+		{"ms without a start, before", longestPauseMillis(starts, faultAt.Add(-beforeFault+time.Second), faultAt)},
+		{"ms without a start, after", longestPauseMillis(starts, faultAt, faultAt.Add(afterFault-time.Second))},
+		{"starts/s before", startsPerSecond(starts, faultAt.Add(-beforeFault+time.Second), faultAt)},
+		{"starts/s in the last 5 s", startsPerSecond(starts, faultAt.Add(afterFault-6*time.Second), faultAt.Add(afterFault-time.Second))},
 		{"answered", float64(summary.Count(load.Answered))},
 		{"refused", float64(summary.Count(load.Refused))},
 		{"broken or wrong", float64(summary.Count(load.Broken) + summary.Count(load.Wrong))},
 	}, nil
 }
 
-// findScheduler lets requests run for a moment and asks the routers who
+// findScheduler sends requests for a second and asks the routers which of them
 // schedules the shard of the first data centre.
 func findScheduler(ctx context.Context, f *fleet.Fleet, workspaces int) (*processes.Router, error) {
-	requests := sendWhile(ctx, f.Callers(), workspaces)
+	requests := startCallers(ctx, f.Callers(), workspaces)
 	if err := sleep(ctx, time.Second); err != nil {
 		return nil, err
 	}
 	var found *processes.Router
-	most := 0
+	maxRunning := 0
 	for _, r := range f.Routers {
 		var status operator.Status
 		url := "http://" + r.Settings.Listen.Operators + operator.PathStatus
@@ -170,53 +173,54 @@
 			return nil, err
 		}
 		for _, shard := range status.Shards {
-			if shard.DataCentre == centreName(0) && shard.Running > most {
-				found, most = r, shard.Running
+			if shard.DataCentre == dataCentreName(0) && shard.Running > maxRunning {
+				found, maxRunning = r, shard.Running
 			}
 		}
 	}
 	requests.stop()
 	if found == nil {
-		return nil, fmt.Errorf("no router schedules the shard in %s", centreName(0))
+		return nil, fmt.Errorf("no router schedules the shard in %s", dataCentreName(0))
 	}
 	return found, nil
 }
 
-// requests are callers at work.
-type requests struct {
+// callerRun is a group of callers that send in the background.
+type callerRun struct {
 	cancel context.CancelFunc
 	done   chan *load.Summary
 }
 
-func sendWhile(ctx context.Context, callers []string, workspaces int) requests {
-	sending, cancel := context.WithCancel(ctx)
-	r := requests{cancel: cancel, done: make(chan *load.Summary, 1)}
+func startCallers(ctx context.Context, addresses []string, workspaces int) callerRun {
+	sendCtx, cancel := context.WithCancel(ctx)
+	r := callerRun{cancel: cancel, done: make(chan *load.Summary, 1)}
 	run := load.Run{
-		Routers: callers,
-		Callers: recoverCallers,
+		Routers: addresses,
+		Callers: recoveryCallers,
 		Seed:    1,
 		Next: func(n int, random *rand.Rand) load.Request {
 			workspace := random.IntN(workspaces)
 			return load.Request{
 				Kind: load.Stream, Workspace: workspaceName(workspace), Key: workspaceKey(workspace),
-				Mark: fmt.Sprintf("m%d", n), Model: benchModel, MaxTokens: recoverTokens/2 + random.IntN(recoverTokens),
+				Mark: fmt.Sprintf("m%d", n), Model: benchModel, MaxTokens: recoveryTokens/2 + random.IntN(recoveryTokens),
 			}
 		},
 	}
-	go func() { r.done <- run.Do(sending) }()
+	go func() { r.done <- run.Do(sendCtx) }()
 	return r
 }
 
-// stop ends the sending and waits for the answers.
-func (r requests) stop() *load.Summary {
+// stop stops the callers and waits for the answers.
+func (r callerRun) stop() *load.Summary {
 	r.cancel()
 	return <-r.done
 }
 
-// restart kills every router at once and starts all again, empty. Callers ask
-// again without a pause, from the beginning or once all routers are ready.
-func (o Recover) restart(ctx context.Context, impatient bool) ([]Value, error) {
-	f, err := o.start(ctx)
+// restartFleet kills all routers at the same time and starts them again, without
+// state. Callers retry without a pause, from the beginning if sendAtOnce is set and
+// otherwise once all routers are ready.
+func (o Recover) restartFleet(ctx context.Context, sendAtOnce bool) ([]Value, error) {
+	f, err := o.startFleet(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -227,16 +231,16 @@
 	}
 	ending.Wait()
 	started := time.Now()
-	var requests requests
-	if impatient {
-		requests = sendWhile(ctx, f.Callers(), o.Workspaces)
+	var requests callerRun
+	if sendAtOnce {
+		requests = startCallers(ctx, f.Callers(), o.Workspaces)
 	}
-	ready, err := startAgain(f.Routers, started)
+	ready, err := restartRouters(f.Routers, started)
 	if err != nil {
 		return nil, err
 	}
-	if !impatient {
-		requests = sendWhile(ctx, f.Callers(), o.Workspaces)
+	if !sendAtOnce {
+		requests = startCallers(ctx, f.Callers(), o.Workspaces)
 	}
 	if err := sleep(ctx, afterFault); err != nil {
 		return nil, err
@@ -246,24 +250,24 @@
 	if err != nil {
 		return nil, err
 	}
-	starts := startsOf(entries, func(string) bool { return true })
+	starts := startTimes(entries, func(string) bool { return true })
 	if len(starts) == 0 {
-		return nil, fmt.Errorf("nothing ran after the restart: %v", summary)
+		return nil, fmt.Errorf("no run started after the restart: %v", summary)
 	}
-	full := float64(recoverTargets*recoverSlots) * float64(time.Second) / float64(recoverTokens*recoverStep)
+	fullRate := float64(recoveryTargets*recoverySlots) * float64(time.Second) / float64(recoveryTokens*recoveryTokenTime)
 	return []Value{
 		{"ms until the first is ready", slices.Min(ready)},
 		{"ms until all are ready", slices.Max(ready)},
 		{"ms until the first start", millis(starts[0].Sub(started))},
-		{"ms until 90 % of the slots' rate", untilRate(starts, started, 0.9*full)},
+		{"ms until 90 % of the slots' rate", millisUntilRate(starts, started, 0.9*fullRate)},
 		{"answered", float64(summary.Count(load.Answered))},
 		{"refused", float64(summary.Count(load.Refused))},
 	}, nil
 }
 
-// startAgain starts ended routers at once and returns when each was ready, in
-// milliseconds.
-func startAgain(routers []*processes.Router, started time.Time) ([]float64, error) {
+// restartRouters starts killed routers at the same time. It returns how long after
+// started each was ready, in milliseconds.
+func restartRouters(routers []*processes.Router, started time.Time) ([]float64, error) {
 	ready := make([]float64, len(routers))
 	errs := make([]error, len(routers))
 	var starting sync.WaitGroup
@@ -280,30 +284,31 @@
 	return ready, errors.Join(errs...)
 }
 
-// behind freezes a router while versions are accepted, and thaws it.
-func (o Recover) behind(ctx context.Context) ([]Value, error) {
-	f, err := o.start(ctx)
+// catchUp measures how long a router that was frozen while versions were accepted
+// takes to catch up.
+func (o Recover) catchUp(ctx context.Context) ([]Value, error) {
+	f, err := o.startFleet(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
 	version := config.Version(1)
-	last := f.Routers[len(f.Routers)-1]
+	router := f.Routers[len(f.Routers)-1]
 	var values []Value
 	for _, missed := range o.Behind {
-		if err := last.Freeze(); err != nil {
+		if err := router.Freeze(); err != nil {
 			return nil, err
 		}
 		for range missed {
-			if version, err = submit(f, version); err != nil {
+			if version, err = submitShareChange(f, version); err != nil {
 				return nil, err
 			}
 		}
-		if err := last.Thaw(); err != nil {
+		if err := router.Thaw(); err != nil {
 			return nil, err
 		}
 		thawed := time.Now()
-		if err := waitVersion([]*processes.Router{last}, version); err != nil {
+		if err := waitVersion([]*processes.Router{router}, version); err != nil {
 			return nil, err
 		}
 		values = append(values, Value{fmt.Sprintf("ms to catch up %d versions", missed), millis(time.Since(thawed))})
@@ -311,9 +316,9 @@
 	return values, nil
 }
 
-// restartInOutage restarts one router while the platform answers nobody.
+// restartInOutage restarts one router while the platform refuses all calls.
 func (o Recover) restartInOutage(ctx context.Context) ([]Value, error) {
-	f, err := o.start(ctx)
+	f, err := o.startFleet(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -322,13 +327,13 @@
 	if err := fleet.PostJSON("http://"+f.Platform.Address+"/_fault", outage, nil); err != nil {
 		return nil, err
 	}
-	last := f.Routers[len(f.Routers)-1]
-	last.Kill()
+	router := f.Routers[len(f.Routers)-1]
+	router.Kill()
 	started := time.Now()
-	if err := last.Restart(); err != nil {
+	if err := router.Restart(); err != nil {
 		return nil, err
 	}
-	if err := last.WaitReady(); err != nil {
+	if err := router.WaitReady(); err != nil {
 		return nil, err
 	}
 	return []Value{{"ms until ready", millis(time.Since(started))}}, nil
--- a/bench/capacity/rows.go
+++ b/bench/capacity/rows.go
@@ -9,23 +9,23 @@
 
 // Value is one measured quantity.
 type Value struct {
-	// Quantity names it, with its unit.
+	// Quantity is the name of the quantity, with its unit.
 	Quantity string
 	Amount   float64
 }
 
-// Row is one value of one repeat at one size.
+// Row is a value measured in one repeat at one size.
 type Row struct {
-	// Mechanism is what was measured.
+	// Mechanism is the name of what was measured.
 	Mechanism string
-	// Variable names the size that was varied.
+	// Variable is the name of the size that was varied.
 	Variable string
 	Size     float64
 	Repeat   int
 	Value
 }
 
-// csvHeader is the first line of the raw rows.
+// csvHeader is the header line of the raw rows.
 const csvHeader = "mechanism,variable,size,repeat,quantity,amount\n"
 
 func writeCSV(out io.Writer, rows []Row) {
@@ -34,20 +34,20 @@
 	}
 }
 
-// series is one quantity of a mechanism over sizes.
+// series is one quantity of a mechanism at all measured sizes.
 type series struct {
 	quantity string
 	points   []point
 }
 
-// point is the spread of a quantity at one size.
+// point is the median and range of a quantity at one size.
 type point struct {
 	size             float64
 	low, median, max float64
 }
 
-// collect orders rows by quantity and size.
-func collect(rows []Row) []series {
+// seriesOf groups rows by quantity, each in order of size.
+func seriesOf(rows []Row) []series {
 	var all []series
 	for _, r := range rows {
 		if !slices.ContainsFunc(all, func(s series) bool { return s.quantity == r.Quantity }) {
@@ -73,8 +73,8 @@
 	return points
 }
 
-// slope is the growth for each unit of size between the smallest and the
-// largest size.
+// slope returns the growth per unit of size between the smallest and the largest
+// size.
 func (s series) slope() float64 {
 	first, last := s.points[0], s.points[len(s.points)-1]
 	if first.size == last.size {
@@ -83,8 +83,9 @@
 	return (last.median - first.median) / (last.size - first.size)
 }
 
-// exponent is the power of the size by which the quantity grows over the
-// larger half of the sizes: 0 is constant, 1 linear.
+// exponent returns the power of the size with which the quantity grows over the
+// larger half of the sizes: 0 is constant, 1 linear. It is NaN if the values do
+// not determine it.
 func (s series) exponent() float64 {
 	from, last := s.points[(len(s.points)-1)/2], s.points[len(s.points)-1]
 	if from.size <= 0 || from.size == last.size || from.median <= 0 || last.median <= 0 {
@@ -93,40 +94,40 @@
 	return math.Log(last.median/from.median) / math.Log(last.size/from.size)
 }
 
-// levelPart is the part by which a quantity that is called constant may change
-// from the smallest size to the largest.
-const levelPart = 0.3
+// maxConstantChange is the fraction by which a quantity that is called constant
+// may change from the smallest size to the largest.
+const maxConstantChange = 0.3
 
-// form names the growth.
-func (s series) form() string {
-	e := s.exponent()
+// growth names the kind of growth.
+func (s series) growth() string {
+	exponent := s.exponent()
 	first, last := s.points[0].median, s.points[len(s.points)-1].median
 	switch {
-	case math.IsNaN(e):
+	case math.IsNaN(exponent):
 		return "-"
-	case e < -0.2:
+	case exponent < -0.2:
 		return "falls"
-	case e < 0.2 && math.Abs(last-first) > levelPart*first:
+	case exponent < 0.2 && math.Abs(last-first) > maxConstantChange*first:
 		return "levels off"
-	case e < 0.2:
+	case exponent < 0.2:
 		return "constant"
-	case e < 0.8:
+	case exponent < 0.8:
 		return "less than linear"
-	case e < 1.2:
+	case exponent < 1.2:
 		return "linear"
 	default:
 		return "more than linear"
 	}
 }
 
-// writeTable writes each quantity at each size with its spread, and its form.
+// writeTable writes each quantity at each size with its range, and its growth.
 func writeTable(out io.Writer, mechanism, variable string, rows []Row) {
 	fmt.Fprintf(out, "\n%s, by %s: median [least, most] of the repeats\n", mechanism, variable)
-	for _, s := range collect(rows) {
+	for _, s := range seriesOf(rows) {
 		fmt.Fprintf(out, "  %-28s", s.quantity)
 		for _, p := range s.points {
 			fmt.Fprintf(out, "  %g: %.4g [%.4g, %.4g]", p.size, p.median, p.low, p.max)
 		}
-		fmt.Fprintf(out, "  slope %.4g  power %.2f  %s\n", s.slope(), s.exponent(), s.form())
+		fmt.Fprintf(out, "  slope %.4g  power %.2f  %s\n", s.slope(), s.exponent(), s.growth())
 	}
 }
--- a/bench/capacity/size.go
+++ b/bench/capacity/size.go
@@ -8,141 +8,142 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// The size that the project is heading for.
+// The size of the fleet that the project plans for.
 const (
-	letterNodes       = 340
-	letterCentres     = 7
-	letterPools       = 38
-	letterTargets     = 3800
-	letterWorkspaces  = 16000
-	letterBacklogged  = 1600
-	letterRequests    = 10000   // a second, in the whole fleet
-	letterTokens      = 3700000 // a second, in the whole fleet
-	letterTokenGap    = 31 * time.Millisecond
-	letterFirstToken  = 830 * time.Millisecond
-	letterVersionsDay = 11000
+	plannedNodes                = 340
+	plannedDataCentres          = 7
+	plannedPools                = 38
+	plannedTargets              = 3800
+	plannedWorkspaces           = 16000
+	plannedBackloggedWorkspaces = 1600
+	plannedRequestsPerSecond    = 10000   // in the whole fleet
+	plannedTokensPerSecond      = 3700000 // in the whole fleet
+	plannedTokenGap             = 31 * time.Millisecond
+	plannedFirstToken           = 830 * time.Millisecond
+	plannedVersionsPerDay       = 11000
 )
 
-// letterRun is the length of a run: the first token and the gaps between the
-// others of a mean answer.
-const letterRun = letterFirstToken + (letterTokens/letterRequests-1)*letterTokenGap
+// plannedRunTime is the length of a run of mean length: the time to the first token
+// and the gaps between the other tokens.
+const plannedRunTime = plannedFirstToken + (plannedTokensPerSecond/plannedRequestsPerSecond-1)*plannedTokenGap
 
-// nodeRequests is how many requests a second enter at one node.
-const nodeRequests = float64(letterRequests) / letterNodes
+// requestsPerSecondPerNode is how many requests per second enter at one node.
+const requestsPerSecondPerNode = float64(plannedRequestsPerSecond) / plannedNodes
 
-// targetSlots is what a target must serve at once to carry the peak, and an
-// eighth more.
-const targetSlots = int(letterRequests*int64(letterRun)/int64(time.Second)/letterTargets) * 9 / 8
+// plannedSlotsPerTarget is how many requests a target must serve at once to carry
+// the peak load, plus one eighth.
+const plannedSlotsPerTarget = int(plannedRequestsPerSecond*int64(plannedRunTime)/int64(time.Second)/plannedTargets) * 9 / 8
 
-// fleetSize is a size to measure at.
+// fleetSize is the size of a simulated fleet and of its configuration.
 type fleetSize struct {
-	nodes      int
-	centres    int
-	pools      int
-	targets    int
-	workspaces int
-	slots      int
-	// poolsEach is how many pools a workspace may use.
-	poolsEach int
+	nodes          int
+	dataCentres    int
+	pools          int
+	targets        int
+	workspaces     int
+	slotsPerTarget int
+	// poolsPerWorkspace is how many pools a workspace may use.
+	poolsPerWorkspace int
 }
 
-// letterSize is the size ahead.
-func letterSize() fleetSize {
+// plannedSize returns the planned size.
+func plannedSize() fleetSize {
 	return fleetSize{
-		nodes: letterNodes, centres: letterCentres, pools: letterPools, targets: letterTargets,
-		workspaces: letterWorkspaces, slots: targetSlots, poolsEach: 2,
+		nodes: plannedNodes, dataCentres: plannedDataCentres, pools: plannedPools, targets: plannedTargets,
+		workspaces: plannedWorkspaces, slotsPerTarget: plannedSlotsPerTarget, poolsPerWorkspace: 2,
 	}
 }
 
-// scaledTo is the size ahead with a part of its nodes, pools and targets, so
-// that each node schedules as much as at the size ahead.
-func scaledTo(nodes int) fleetSize {
-	s := letterSize()
+// scaledSize returns the planned size scaled down to a number of nodes. Pools,
+// targets and workspaces shrink in proportion, so that each node schedules as much
+// as at the planned size.
+func scaledSize(nodes int) fleetSize {
+	s := plannedSize()
 	s.pools = max(1, s.pools*nodes/s.nodes)
-	s.targets = max(s.pools*s.centres, s.targets*nodes/s.nodes)
+	s.targets = max(s.pools*s.dataCentres, s.targets*nodes/s.nodes)
 	s.workspaces = max(2*s.pools, s.workspaces*nodes/s.nodes)
 	s.nodes = nodes
 	return s
 }
 
-// The names of workspaces and pools.
+// The formats of the names of workspaces and pools.
 const (
 	workspaceFormat = "workspace-%05d"
 	poolFormat      = "pool-%02d"
 )
 
 func nodeName(n int) control.NodeID { return control.NodeID(fmt.Sprintf("vm-%d", n+1)) }
-func centreName(n int) string       { return fmt.Sprintf("dc-%d", n+1) }
+func dataCentreName(n int) string   { return fmt.Sprintf("dc-%d", n+1) }
 func poolName(n int) string         { return fmt.Sprintf(poolFormat, n) }
 func targetName(n int) string       { return fmt.Sprintf("target-%04d", n) }
 func workspaceName(n int) string    { return fmt.Sprintf(workspaceFormat, n) }
 func modelName(n int) string        { return fmt.Sprintf("model-%02d", n) }
 
-// members returns the platform's list of the fleet.
+// members returns the fleet as the platform lists it.
 func (s fleetSize) members() []control.Member {
 	list := make([]control.Member, s.nodes)
 	for n := range list {
-		list[n] = control.Member{Node: nodeName(n), DataCentre: centreName(n % s.centres)}
+		list[n] = control.Member{Node: nodeName(n), DataCentre: dataCentreName(n % s.dataCentres)}
 	}
 	return list
 }
 
-// poolsOf returns the pools that a workspace may use.
+// poolsOf returns the names of the pools that a workspace may use.
 func (s fleetSize) poolsOf(workspace int) []string {
 	var names []string
-	for i := range min(s.poolsEach, s.pools) {
+	for i := range min(s.poolsPerWorkspace, s.pools) {
 		names = append(names, poolName((workspace+i)%s.pools))
 	}
 	return names
 }
 
-// workspaceLike returns a workspace that may use a pool, in the way in which
-// another may use its own: distinct ones stay distinct.
-func (s fleetSize) workspaceLike(name, itsPool, pool string) string {
+// equivalentWorkspace maps the workspace called name, which may use fromPool, to one
+// that may use toPool. Distinct workspaces map to distinct ones.
+func (s fleetSize) equivalentWorkspace(name, fromPool, toPool string) string {
 	var workspace, from, to int
 	_, _ = fmt.Sscanf(name, workspaceFormat, &workspace)
-	_, _ = fmt.Sscanf(itsPool, poolFormat, &from)
-	_, _ = fmt.Sscanf(pool, poolFormat, &to)
+	_, _ = fmt.Sscanf(fromPool, poolFormat, &from)
+	_, _ = fmt.Sscanf(toPool, poolFormat, &to)
 	offset := from - workspace%s.pools
-	like := workspace - workspace%s.pools + (to-offset+s.pools)%s.pools
-	if like >= s.workspaces {
-		like -= s.pools // the last row is not whole
+	equivalent := workspace - workspace%s.pools + (to-offset+s.pools)%s.pools
+	if equivalent >= s.workspaces {
+		equivalent -= s.pools // the last group of s.pools workspaces is incomplete
 	}
-	return workspaceName(like)
+	return workspaceName(equivalent)
 }
 
-// declarations returns a valid configuration of the size.
+// declarations returns a valid configuration of this size.
 func (s fleetSize) declarations() config.Declarations {
-	d := config.Declarations{
+	declared := config.Declarations{
 		Workspaces: make(map[string]config.Workspace, s.workspaces),
 		Pools:      make(map[string]config.Pool, s.pools),
 		Targets:    make(map[string]config.Target, s.targets),
 	}
 	for n := range s.pools {
-		d.Pools[poolName(n)] = config.Pool{Kind: config.KindEngine, Models: []string{modelName(n)}}
+		declared.Pools[poolName(n)] = config.Pool{Kind: config.KindEngine, Models: []string{modelName(n)}}
 	}
 	for n := range s.targets {
-		d.Targets[targetName(n)] = config.Target{
+		declared.Targets[targetName(n)] = config.Target{
 			Pool:       poolName(n % s.pools),
-			DataCentre: centreName(n / s.pools % s.centres),
+			DataCentre: dataCentreName(n / s.pools % s.dataCentres),
 			Address:    fmt.Sprintf("10.0.%d.%d:8000", n/200, n%200+1),
-			Slots:      s.slots,
+			Slots:      s.slotsPerTarget,
 		}
 	}
 	for n := range s.workspaces {
-		d.Workspaces[workspaceName(n)] = config.Workspace{
+		declared.Workspaces[workspaceName(n)] = config.Workspace{
 			KeyHashes: []string{keyHash(n)},
 			Pools:     s.poolsOf(n),
 		}
 	}
-	return config.WithDefaults(d)
+	return config.WithDefaults(declared)
 }
 
 func keyHash(n int) string {
 	return fmt.Sprintf("%x", config.HashKey([]byte(fmt.Sprintf("key-%d", n))))
 }
 
-// snapshot returns the size's configuration as version 1.
+// snapshot returns the configuration of this size as version 1.
 func (s fleetSize) snapshot() *config.Snapshot {
 	return &config.Snapshot{Version: 1, Declarations: s.declarations()}
 }
--- a/bench/capacity/starts.go
+++ b/bench/capacity/starts.go
@@ -7,11 +7,12 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// startsOf returns when runs started at some targets, in order.
-func startsOf(entries []journal.Entry, of func(target string) bool) []time.Time {
+// startTimes returns when runs started at the targets that include selects, in
+// order.
+func startTimes(entries []journal.Entry, include func(target string) bool) []time.Time {
 	var starts []time.Time
 	for _, e := range entries {
-		if e.Event == journal.Started && of(e.Target) {
+		if e.Event == journal.Started && include(e.Target) {
 			starts = append(starts, e.Wall)
 		}
 	}
@@ -19,8 +20,8 @@
 	return starts
 }
 
-// longestPause is the longest time without a start, in milliseconds.
-func longestPause(starts []time.Time, from, to time.Time) float64 {
+// longestPauseMillis returns the longest time between from and to without a start.
+func longestPauseMillis(starts []time.Time, from, to time.Time) float64 {
 	longest := time.Duration(0)
 	last := from
 	for _, at := range starts {
@@ -43,9 +44,9 @@
 	return float64(count) / to.Sub(from).Seconds()
 }
 
-// untilRate is when a second begins in which runs start at a rate, in
-// milliseconds; -1 if none does.
-func untilRate(starts []time.Time, from time.Time, rate float64) float64 {
+// millisUntilRate returns how long after from the first second begins in which runs
+// start at the given rate, or -1 if there is none.
+func millisUntilRate(starts []time.Time, from time.Time, rate float64) float64 {
 	for _, at := range starts {
 		if startsPerSecond(starts, at, at.Add(time.Second)) >= rate {
 			return millis(at.Sub(from))
--- a/bench/capacity/stream.go
+++ b/bench/capacity/stream.go
@@ -15,57 +15,58 @@
 	"github.com/walnutcove/walnutcove/standin/engine"
 )
 
-// eventStart begins each token of a stream.
+// eventStart is the beginning of the event of each token in a stream.
 var eventStart = []byte("data: ")
 
-// streams reads many streams at once and times their tokens.
-type streams struct {
-	// addresses are taken in turn.
+// streamReader reads many streams at once and times their tokens.
+type streamReader struct {
+	// addresses are used in turn.
 	addresses []string
 	key       string
 	tokens    int
 	client    *http.Client
 
-	mu     sync.Mutex
-	first  *hdrhistogram.Histogram
-	gaps   *hdrhistogram.Histogram
-	events int
-	failed []error
+	mu          sync.Mutex
+	firstTokens *hdrhistogram.Histogram
+	tokenGaps   *hdrhistogram.Histogram
+	events      int
+	failures    []error
 }
 
-func newStreams(addresses []string, key string, tokens int) *streams {
-	const longest = int64(time.Minute / time.Microsecond)
-	return &streams{
+func newStreamReader(addresses []string, key string, tokens int) *streamReader {
+	const maxMicros = int64(time.Minute / time.Microsecond)
+	return &streamReader{
 		addresses: addresses, key: key, tokens: tokens,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, DisableCompression: true}},
-		first:  hdrhistogram.New(1, longest, 3),
-		gaps:   hdrhistogram.New(1, longest, 3),
+		client:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, DisableCompression: true}},
+		firstTokens: hdrhistogram.New(1, maxMicros, 3),
+		tokenGaps:   hdrhistogram.New(1, maxMicros, 3),
 	}
 }
 
-// run opens streams spread evenly over a time and reads each to its end.
-func (s *streams) run(ctx context.Context, count int, spread time.Duration) error {
+// run opens count streams, spread evenly over openingTime, and reads each to its
+// end.
+func (s *streamReader) run(ctx context.Context, count int, openingTime time.Duration) error {
 	var all sync.WaitGroup
 	for n := range count {
 		all.Go(func() {
-			time.Sleep(spread * time.Duration(n) / time.Duration(count))
+			time.Sleep(openingTime * time.Duration(n) / time.Duration(count))
 			if err := s.read(ctx, n); err != nil {
 				s.mu.Lock()
-				s.failed = append(s.failed, err)
+				s.failures = append(s.failures, err)
 				s.mu.Unlock()
 			}
 		})
 	}
 	all.Wait()
 	s.client.CloseIdleConnections()
-	if len(s.failed) > 0 {
-		return fmt.Errorf("%d of %d streams failed: %w", len(s.failed), count, s.failed[0])
+	if len(s.failures) > 0 {
+		return fmt.Errorf("%d of %d streams failed: %w", len(s.failures), count, s.failures[0])
 	}
 	return nil
 }
 
-// read opens one stream and times its parts.
-func (s *streams) read(ctx context.Context, n int) error {
+// read opens stream n and times its tokens.
+func (s *streamReader) read(ctx context.Context, n int) error {
 	body, err := json.Marshal(map[string]any{
 		"model": benchModel, "stream": true, "max_tokens": s.tokens,
 		"messages": []map[string]string{{"role": "user", "content": fmt.Sprintf("stream %d", n)}},
@@ -92,9 +93,9 @@
 	return s.readEvents(answer.Body, last)
 }
 
-// readEvents times each read that brings events. Events that come in one read
-// have no gap between them.
-func (s *streams) readEvents(body io.Reader, last time.Time) error {
+// readEvents times each read that returns events. Several events in one read count
+// as arriving together, with no gap between them.
+func (s *streamReader) readEvents(body io.Reader, last time.Time) error {
 	buffer := make([]byte, 16<<10)
 	seen := 0
 	for {
@@ -114,26 +115,26 @@
 	}
 }
 
-func (s *streams) record(first bool, gap time.Duration, events int) {
+func (s *streamReader) record(first bool, gap time.Duration, events int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events += events
 	if first {
-		_ = s.first.RecordValue(gap.Microseconds())
+		_ = s.firstTokens.RecordValue(gap.Microseconds())
 	} else {
-		_ = s.gaps.RecordValue(gap.Microseconds())
+		_ = s.tokenGaps.RecordValue(gap.Microseconds())
 	}
 }
 
-// values returns the quantiles in milliseconds.
-func (s *streams) values() []Value {
+// values returns quantiles of the times in milliseconds.
+func (s *streamReader) values() []Value {
 	quantile := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return []Value{
-		{"first token ms, p50", quantile(s.first, 50)},
-		{"first token ms, p95", quantile(s.first, 95)},
-		{"token gap ms, p50", quantile(s.gaps, 50)},
-		{"token gap ms, p95", quantile(s.gaps, 95)},
-		{"token gap ms, p99", quantile(s.gaps, 99)},
-		{"token gap ms, most", quantile(s.gaps, 100)},
+		{"first token ms, p50", quantile(s.firstTokens, 50)},
+		{"first token ms, p95", quantile(s.firstTokens, 95)},
+		{"token gap ms, p50", quantile(s.tokenGaps, 50)},
+		{"token gap ms, p95", quantile(s.tokenGaps, 95)},
+		{"token gap ms, p99", quantile(s.tokenGaps, 99)},
+		{"token gap ms, most", quantile(s.tokenGaps, 100)},
 	}
 }
--- a/bench/capacity/usage.go
+++ b/bench/capacity/usage.go
@@ -7,7 +7,7 @@
 	"github.com/walnutcove/walnutcove/bench/fleet"
 )
 
-// sleep waits for a time, or until ctx ends, which is an error.
+// sleep waits for d. It returns an error if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -35,16 +35,17 @@
 	return u, nil
 }
 
-// quantity is what is worked out from the metrics.
+// quantity is a value derived from the metrics of a router.
 type quantity struct {
 	name string
-	// metrics are summed. A rate is the growth a second, times scale.
+	// metrics are summed and multiplied by scale. If rate is set, the quantity is
+	// their growth per second.
 	metrics []string
 	rate    bool
 	scale   float64
 }
 
-// quantities are those of the tables of processes.
+// quantities are the rows of the tables of Processes.
 var quantities = []quantity{
 	{"peer bytes both ways/s", []string{"walnut_peer_wire_bytes_total"}, true, 1},
 	{"peer messages both ways/s", []string{"walnut_peer_messages_total"}, true, 1},
@@ -61,36 +62,38 @@
 	{"sessions", []string{"walnut_peer_sessions"}, false, 1},
 }
 
-// since returns the mean over the routers of each quantity, and the most where
-// routers differ by their shards.
+// since returns the mean of each quantity over the routers, and also the maximum
+// of a rate that is more than twice the mean at one of them, as when the routers
+// schedule different numbers of shards.
 func (u usage) since(earlier usage, elapsed time.Duration) []Value {
 	var values []Value
 	for _, q := range quantities {
-		sum, most := 0.0, 0.0
+		sum, maxAmount := 0.0, 0.0
 		for r := range u.routers {
-			amount := q.of(u.routers[r], earlier.routers[r], elapsed)
+			amount := q.amount(u.routers[r], earlier.routers[r], elapsed)
 			sum += amount
-			most = max(most, amount)
+			maxAmount = max(maxAmount, amount)
 		}
 		mean := sum / float64(len(u.routers))
 		values = append(values, Value{q.name, mean})
-		if q.rate && most > 2*mean && most > 1 {
-			values = append(values, Value{q.name + ", most", most})
+		if q.rate && maxAmount > 2*mean && maxAmount > 1 {
+			values = append(values, Value{q.name + ", most", maxAmount})
 		}
 	}
 	return values
 }
 
-func (q quantity) of(now, earlier map[string]float64, elapsed time.Duration) float64 {
-	amount := 0.0
+// amount returns the quantity of one router.
+func (q quantity) amount(now, earlier map[string]float64, elapsed time.Duration) float64 {
+	sum := 0.0
 	for _, name := range q.metrics {
-		amount += now[name]
+		sum += now[name]
 		if q.rate {
-			amount -= earlier[name]
+			sum -= earlier[name]
 		}
 	}
 	if q.rate {
-		amount /= elapsed.Seconds()
+		sum /= elapsed.Seconds()
 	}
-	return amount * q.scale
+	return sum * q.scale
 }
--- a/bench/capacity/versions.go
+++ b/bench/capacity/versions.go
@@ -12,26 +12,27 @@
 	"github.com/walnutcove/walnutcove/processes"
 )
 
-// Versions measures how a configuration change reaches real routers.
+// Versions measures how long a configuration change takes to reach real routers,
+// and what it costs them.
 type Versions struct {
 	Routers int
-	// Workspaces are the sizes of the configuration.
+	// Workspaces lists the sizes of the configuration.
 	Workspaces []int
-	// Patches are made for each size, Every apart.
+	// Patches is the number of patches at each size, and Every the time between two.
 	Patches int
 	Every   time.Duration
 	CSV     io.Writer
 }
 
-// Run measures and writes a table.
+// Run measures each size and writes a table.
 func (o Versions) Run(ctx context.Context, out io.Writer) error {
 	var rows []Row
 	for _, workspaces := range o.Workspaces {
-		made, err := o.measure(ctx, workspaces)
+		measured, err := o.measure(ctx, workspaces)
 		if err != nil {
 			return fmt.Errorf("%d workspaces: %w", workspaces, err)
 		}
-		rows = append(rows, made...)
+		rows = append(rows, measured...)
 	}
 	writeTable(out, "versions at real routers", "workspaces", rows)
 	if o.CSV != nil {
@@ -47,10 +48,10 @@
 		return nil, err
 	}
 	defer f.Close()
-	if err := sleep(ctx, fleetSettles); err != nil {
+	if err := sleep(ctx, fleetSettleTime); err != nil {
 		return nil, err
 	}
-	idleFrom, err := readUsage(f)
+	start, err := readUsage(f)
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rows, err := o.patch(ctx, f, workspaces)
+	rows, err := o.submitPatches(ctx, f, workspaces)
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, v := range o.costs(idleFrom, idle, busy) {
+	for _, v := range o.costs(start, idle, busy) {
 		rows = append(rows, versionRow(workspaces, 0, v))
 	}
 	return rows, nil
@@ -79,14 +80,14 @@
 	return Row{"versions", "workspaces", float64(workspaces), repeat, v}
 }
 
-// patch makes the patches and times each.
-func (o Versions) patch(ctx context.Context, f *fleet.Fleet, workspaces int) ([]Row, error) {
+// submitPatches submits the patches one after another and times each.
+func (o Versions) submitPatches(ctx context.Context, f *fleet.Fleet, workspaces int) ([]Row, error) {
 	var rows []Row
 	version := config.Version(1)
 	for n := range o.Patches {
 		started := time.Now()
 		var err error
-		if version, err = submit(f, version); err != nil {
+		if version, err = submitShareChange(f, version); err != nil {
 			return nil, err
 		}
 		accepted := Value{"ms until accepted", millis(time.Since(started))}
@@ -102,7 +103,7 @@
 	return rows, nil
 }
 
-// The metrics that a version is charged with.
+// The quantities that costs derives from the routers' metrics.
 var (
 	processorUse = quantity{metrics: []string{"process_cpu_seconds_total"}, rate: true, scale: 1000}
 	peerUse      = quantity{metrics: []string{"walnut_peer_wire_bytes_total"}, rate: true, scale: 1}
@@ -113,36 +114,38 @@
 	heapUse     = quantity{metrics: []string{"go_memstats_heap_inuse_bytes"}, scale: 1e-6}
 )
 
-// costs compares the time of the patches with as long a time without.
-func (o Versions) costs(idleFrom, idle, busy usage) []Value {
-	each := func(q quantity) float64 {
-		return (busy.mean(q, idle) - idle.mean(q, idleFrom)) * o.Every.Seconds()
+// costs returns the cost of a version: the use during the patches less the use
+// during as long an idle time before them.
+func (o Versions) costs(start, idle, busy usage) []Value {
+	perVersion := func(q quantity) float64 {
+		return (busy.mean(q, idle) - idle.mean(q, start)) * o.Every.Seconds()
 	}
 	return []Value{
-		{"process ms/version", each(processorUse)},
-		{"peer bytes/version", each(peerUse)},
-		{"platform bytes/version", each(platformUse)},
+		{"process ms/version", perVersion(processorUse)},
+		{"peer bytes/version", perVersion(peerUse)},
+		{"platform bytes/version", perVersion(platformUse)},
 		{"resident MB", busy.mean(residentUse, idle)},
 		{"heap MB in use", busy.mean(heapUse, idle)},
 	}
 }
 
-// mean is a quantity over the routers.
+// mean returns the mean of a quantity over the routers.
 func (u usage) mean(q quantity, earlier usage) float64 {
 	sum := 0.0
 	for r := range u.routers {
-		sum += q.of(u.routers[r], earlier.routers[r], u.at.Sub(earlier.at))
+		sum += q.amount(u.routers[r], earlier.routers[r], u.at.Sub(earlier.at))
 	}
 	return sum / float64(len(u.routers))
 }
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// submit changes a share through the first router and returns the version.
-func submit(f *fleet.Fleet, on config.Version) (config.Version, error) {
+// submitShareChange changes a workspace's share through the first router and
+// returns the new version.
+func submitShareChange(f *fleet.Fleet, base config.Version) (config.Version, error) {
 	var accepted operator.PatchAccepted
 	url := "http://" + f.Routers[0].Settings.Listen.Operators + operator.PathPatches
-	err := fleet.PostJSON(url, patchShare(on, int(on)%workspacesEach), &accepted)
+	err := fleet.PostJSON(url, patchShare(base, int(base)%workspacesPerRouter), &accepted)
 	return accepted.Version, err
 }
 
