--- a/bench/main.go
+++ b/bench/main.go
@@ -1,6 +1,6 @@
 // Command bench measures walnutcove with real processes and small stand-ins on
 // loopback. Each subcommand is one experiment; docs/CAPACITY.md and the design
-// notes name the command that re-makes each figure.
+// notes name the command that reproduces each figure.
 package main
 
 import (
@@ -28,15 +28,15 @@
 	Fair       fairCommand       `cmd:"" help:"Utilisation, fairness gap and control traffic of a policy."`
 	Throughput throughputCommand `cmd:"" help:"Requests a second that one router relays, and what each costs it."`
 	Entry      entryCommand      `cmd:"" help:"Processor time of a request at a small router, by stage."`
-	Faults     faultsCommand     `cmd:"" help:"What faults do to backlogged workspaces: standstill, idle slots, over-admission, gap."`
-	Refusals   refusalsCommand   `cmd:"" help:"Whether the refused come back together, and how far retries multiply load."`
-	Locality   localityCommand   `cmd:"" help:"Choice of target by load, then by cached prefix, against load alone."`
-	Slopes     slopesCommand     `cmd:"" help:"What grows with the fleet, the load and the configuration, in one process."`
-	Capacity   capacityCommand   `cmd:"" help:"What real processes cost, and how they recover."`
+	Faults     faultsCommand     `cmd:"" help:"Effect of faults on backlogged workspaces: time without starts, idle slots, over-admission, fairness gap."`
+	Refusals   refusalsCommand   `cmd:"" help:"When refused callers retry, and by how much retries multiply the load."`
+	Locality   localityCommand   `cmd:"" help:"Choice of target by load and then by cached prefix, compared with load alone."`
+	Slopes     slopesCommand     `cmd:"" help:"Costs that grow with the fleet, the load and the configuration, measured in one process."`
+	Capacity   capacityCommand   `cmd:"" help:"Cost of real router processes and their recovery from faults."`
 }
 
 type latencyCommand struct {
-	Requests int `default:"2000" help:"Requests sent each way in each repeat."`
+	Requests int `default:"2000" help:"Requests sent on each path in each repeat."`
 	Repeats  int `default:"5" help:"Repeats of the comparison."`
 }
 
@@ -60,7 +60,7 @@
 }
 
 type entryCommand struct {
-	Routers    int           `default:"3" help:"Routers to run; all callers come by one."`
+	Routers    int           `default:"3" help:"Routers to run; all callers send to one of them."`
 	Callers    int           `default:"64" help:"Requests kept in flight."`
 	Duration   time.Duration `default:"5s" help:"How long each kind of request is measured; 15s at most."`
 	Events     int           `default:"8" help:"Events of a streamed answer."`
@@ -82,7 +82,7 @@
 	Routers    int           `default:"9" help:"Routers to run."`
 	Duration   time.Duration `default:"8s" help:"How long callers send in each repeat."`
 	Repeats    int           `default:"5" help:"Repeats of each shape and policy."`
-	WarmUp     time.Duration `default:"2s" help:"How long routers get to meet before callers start; 0s measures the cold start."`
+	WarmUp     time.Duration `default:"2s" help:"How long routers may discover one another before callers start; 0s measures the cold start."`
 	CSV        string        `help:"File for the raw rows." placeholder:"FILE"`
 	Detail     bool          `help:"Also write what each workspace received."`
 }
@@ -137,9 +137,9 @@
 	Tokens        int    `default:"25" help:"Tokens of each answer, at 2 ms each."`
 	Repeats       int    `default:"3" help:"Repeats of each case."`
 	WithoutBudget string `help:"Copy of the module without the retry budget, to compare with." placeholder:"DIR"`
-	SkipWave      bool   `help:"Leave the wave out."`
-	SkipBrownOut  bool   `help:"Leave the brown-outs out."`
-	Histogram     bool   `help:"Also write the returns in each 100 ms."`
+	SkipWave      bool   `help:"Skip the wave."`
+	SkipBrownOut  bool   `help:"Skip the brown-outs."`
+	Histogram     bool   `help:"Also write how many retries arrive in each 100 ms."`
 	CSV           string `help:"File for the raw values." placeholder:"FILE"`
 }
 
@@ -160,13 +160,13 @@
 
 type localityCommand struct {
 	Routers     int           `default:"9" help:"Routers to run."`
-	Prefixes    int           `default:"300" help:"Beginnings that the prompts share."`
-	PrefixBytes int           `default:"32768" help:"Length of each."`
+	Prefixes    int           `default:"300" help:"Number of prefixes that prompts share."`
+	PrefixBytes int           `default:"32768" help:"Length of each prefix."`
 	Entries     int           `default:"16" help:"Prefixes that an engine caches."`
-	Gap         float64       `default:"0.2" help:"Part of the cached prefixes left out of reports."`
+	Gap         float64       `default:"0.2" help:"Fraction of the cached prefixes that reports leave out."`
 	Lag         time.Duration `default:"200ms" help:"Period at which engines renew their reports."`
-	Callers     []int         `default:"18,160" help:"Requests kept in flight; 36 slots."`
-	Duration    time.Duration `default:"5s" help:"How long each repeat is judged."`
+	Callers     []int         `default:"18,160" help:"Requests kept in flight; there are 36 slots."`
+	Duration    time.Duration `default:"5s" help:"How long each repeat is measured."`
 	Repeats     int           `default:"3" help:"Repeats of each case."`
 	CSV         string        `help:"File for the raw values." placeholder:"FILE"`
 }
@@ -191,7 +191,7 @@
 type recoverCommand struct {
 	Routers    int      `default:"9" help:"Routers to run."`
 	Workspaces int      `default:"100" help:"Workspaces declared."`
-	Only       []string `help:"Faults to bring about; all if left out."`
+	Only       []string `help:"Faults to inject; all if left out."`
 	Behind     []int    `default:"1,100,400" help:"Versions that a frozen router misses."`
 	Repeats    int      `default:"3" help:"Repeats of each fault."`
 	CSV        string   `help:"File for the raw rows." placeholder:"FILE"`
@@ -255,7 +255,7 @@
 	})
 }
 
-// withCSV calls run with the file, or with nil if none is named.
+// withCSV calls run with a new file at path, or with nil if path is empty.
 func withCSV(path string, run func(io.Writer) error) error {
 	if path == "" {
 		return run(nil)
@@ -283,8 +283,8 @@
 }
 
 func main() {
-	var line commandLine
-	parsed := kong.Parse(&line, kong.Name("bench"), kong.Description("Measurements of walnutcove."))
+	var commands commandLine
+	parsed := kong.Parse(&commands, kong.Name("bench"), kong.Description("Measurements of walnutcove."))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	parsed.BindTo(ctx, (*context.Context)(nil))
