--- a/bench/capacity/processes.go
+++ b/bench/capacity/processes.go
@@ -97,7 +97,7 @@
 	sendCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	done := make(chan *load.Summary)
-	go func() { done <- callersFor(f.Callers(), len(f.Routers)).Do(sendCtx) }()
+	go func() { done <- callersFor(f.CallerAddresses(), len(f.Routers)).Do(sendCtx) }()
 	if err := sleep(ctx, fleetSettleTime); err != nil {
 		return nil, err
 	}
@@ -153,13 +153,13 @@
 		DataCentres: []string{dataCentreName(0), dataCentreName(1), dataCentreName(2)},
 		Routers:     routers,
 		Pools: map[string]fleet.Pool{benchPool: {
-			Declared: config.Pool{Kind: config.KindEngine, Models: []string{benchModel}},
-			Targets:  targets,
-			Slots:    2 * callersPerRouter * routers / targets,
-			Step:     tokenGap,
+			Config:  config.Pool{Kind: config.KindEngine, Models: []string{benchModel}},
+			Targets: targets,
+			Slots:   2 * callersPerRouter * routers / targets,
+			Step:    tokenGap,
 		}},
-		Workspaces: declared,
-		Edit:       useDefaultPeriods,
+		Workspaces:   declared,
+		EditSettings: useDefaultPeriods,
 	})
 }
 
--- a/bench/capacity/recover.go
+++ b/bench/capacity/recover.go
@@ -100,11 +100,11 @@
 		DataCentres: []string{dataCentreName(0), dataCentreName(1), dataCentreName(2)},
 		Routers:     o.Routers,
 		Pools: map[string]fleet.Pool{benchPool: {
-			Declared: config.Pool{Kind: config.KindEngine, Models: []string{benchModel}},
-			Targets:  recoveryTargets, Slots: recoverySlots, Step: recoveryTokenTime,
+			Config:  config.Pool{Kind: config.KindEngine, Models: []string{benchModel}},
+			Targets: recoveryTargets, Slots: recoverySlots, Step: recoveryTokenTime,
 		}},
-		Workspaces: declared,
-		Edit:       useDefaultPeriods,
+		Workspaces:   declared,
+		EditSettings: useDefaultPeriods,
 	})
 	if err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	addresses := slices.DeleteFunc(f.Callers(), func(address string) bool { return address == scheduler.Settings.Listen.Callers })
+	addresses := slices.DeleteFunc(f.CallerAddresses(), func(address string) bool { return address == scheduler.Settings.Listen.Callers })
 	requests := startCallers(ctx, addresses, o.Workspaces)
 	if err := sleep(ctx, beforeFault); err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, err
 	}
-	starts := startTimes(entries, func(target string) bool { return f.Target(target).DataCentre == dataCentreName(0) })
+	starts := startTimes(entries, func(target string) bool { return f.TargetConfig(target).DataCentre == dataCentreName(0) })
 	return []Value{
 		{"ms without a start, before", longestPauseMillis(starts, faultAt.Add(-beforeFault+time.Second), faultAt)},
 		{"ms without a start, after", longestPauseMillis(starts, faultAt, faultAt.Add(afterFault-time.Second))},
@@ -160,7 +160,7 @@
 // findScheduler sends requests for a second and asks the routers which of them
 // schedules the shard of the first data centre.
 func findScheduler(ctx context.Context, f *fleet.Fleet, workspaces int) (*processes.Router, error) {
-	requests := startCallers(ctx, f.Callers(), workspaces)
+	requests := startCallers(ctx, f.CallerAddresses(), workspaces)
 	if err := sleep(ctx, time.Second); err != nil {
 		return nil, err
 	}
@@ -233,14 +233,14 @@
 	started := time.Now()
 	var requests callerRun
 	if sendAtOnce {
-		requests = startCallers(ctx, f.Callers(), o.Workspaces)
+		requests = startCallers(ctx, f.CallerAddresses(), o.Workspaces)
 	}
 	ready, err := restartRouters(f.Routers, started)
 	if err != nil {
 		return nil, err
 	}
 	if !sendAtOnce {
-		requests = startCallers(ctx, f.Callers(), o.Workspaces)
+		requests = startCallers(ctx, f.CallerAddresses(), o.Workspaces)
 	}
 	if err := sleep(ctx, afterFault); err != nil {
 		return nil, err
--- a/bench/capacity/relay.go
+++ b/bench/capacity/relay.go
@@ -57,10 +57,10 @@
 		DataCentres: []string{dataCentreName(0)},
 		Routers:     3,
 		Pools: map[string]fleet.Pool{benchPool: {
-			Declared: config.Pool{Kind: config.KindEngine, Models: []string{benchModel}},
-			Targets:  relayEngines,
-			Slots:    count/relayEngines + 8,
-			Step:     plannedTokenGap,
+			Config:  config.Pool{Kind: config.KindEngine, Models: []string{benchModel}},
+			Targets: relayEngines,
+			Slots:   count/relayEngines + 8,
+			Step:    plannedTokenGap,
 		}},
 		Workspaces: map[string]config.Workspace{workspaceName(0): relayWorkspace(count)},
 	})
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	relayedStreams := newStreamReader(f.Callers()[:1], workspaceKey(0), o.Tokens)
+	relayedStreams := newStreamReader(f.CallerAddresses()[:1], workspaceKey(0), o.Tokens)
 	if err := relayedStreams.run(ctx, count, plannedTokenGap*10); err != nil {
 		return nil, nil, fmt.Errorf("through a router: %w", err)
 	}
--- a/bench/fair/fair.go
+++ b/bench/fair/fair.go
@@ -48,17 +48,17 @@
 	// Gap is the fairness gap in slot seconds per unit of share, and IdealGap its
 	// bound for one ideal queue.
 	Gap         float64
-	Ideal       float64
+	IdealGap    float64
 	Utilisation float64
 	// Starved is the longest time for which a backlogged workspace held no slot.
-	Starved  time.Duration
-	FirstP50 time.Duration
-	FirstP99 time.Duration
-	Answered int
-	Refused  int
-	Failed   int
+	Starved      time.Duration
+	FirstPartP50 time.Duration
+	FirstPartP99 time.Duration
+	Answered     int
+	Refused      int
+	Failed       int
 	// Control is the mean over the routers.
-	Control fleet.Control
+	Control fleet.ControlTraffic
 	// LongestRun is the length of the longest run.
 	LongestRun time.Duration
 }
@@ -95,7 +95,7 @@
 		Routers:     o.Routers,
 		Policy:      policy,
 		Pools:       d.Pools(),
-		Workspaces:  s.Declared(d),
+		Workspaces:  s.DeclaredWorkspaces(d),
 	})
 	if err != nil {
 		return nil, err
@@ -124,15 +124,15 @@
 	if err := f.ClearJournals(); err != nil {
 		return Row{}, err
 	}
-	before, err := f.ReadControl()
+	before, err := f.ReadControlCounters()
 	if err != nil {
 		return Row{}, err
 	}
 	start := time.Now()
 	sendCtx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
-	results, summary := s.Send(sendCtx, d, f.Callers(), seed)
-	after, err := f.ReadControl()
+	results, summary := s.Send(sendCtx, d, f.CallerAddresses(), seed)
+	after, err := f.ReadControlCounters()
 	if err != nil {
 		return Row{}, err
 	}
@@ -140,7 +140,7 @@
 	if err != nil {
 		return Row{}, err
 	}
-	record := measure.Join(start, results, journals)
+	record := measure.NewRecord(start, results, journals)
 	record.From = settleTime
 	record.To = o.Duration
 	writeDetail(o.Detail, record, d, s)
@@ -149,8 +149,8 @@
 	row.Shape = s.Name
 	row.Routers = o.Routers
 	row.Control = after.Since(before, time.Since(start))
-	row.FirstP50 = summary.FirstPartLatency(50)
-	row.FirstP99 = summary.FirstPartLatency(99)
+	row.FirstPartP50 = summary.FirstPartLatency(50)
+	row.FirstPartP99 = summary.FirstPartLatency(99)
 	row.Answered = summary.Count(load.Answered)
 	row.Refused = summary.Count(load.Refused)
 	row.Failed = summary.Count(load.Broken) + summary.Count(load.Wrong) + summary.Count(load.Unreachable)
@@ -182,6 +182,6 @@
 	for _, run := range record.Runs {
 		row.LongestRun = max(row.LongestRun, run.End-run.Start)
 	}
-	row.Ideal = workload.IdealGap(d, s, row.LongestRun)
+	row.IdealGap = workload.IdealGap(d, s, row.LongestRun)
 	return row
 }
--- a/bench/fair/table.go
+++ b/bench/fair/table.go
@@ -27,11 +27,11 @@
 	}
 	first := rows[0]
 	gap := spread(rows, func(r Row) float64 { return r.Gap })
-	ideal := spread(rows, func(r Row) float64 { return r.Gap / r.Ideal })
+	ideal := spread(rows, func(r Row) float64 { return r.Gap / r.IdealGap })
 	utilisation := spread(rows, func(r Row) float64 { return 100 * r.Utilisation })
 	starved := spread(rows, func(r Row) float64 { return r.Starved.Seconds() })
-	p50 := spread(rows, func(r Row) float64 { return millis(r.FirstP50) })
-	p99 := spread(rows, func(r Row) float64 { return millis(r.FirstP99) })
+	p50 := spread(rows, func(r Row) float64 { return millis(r.FirstPartP50) })
+	p99 := spread(rows, func(r Row) float64 { return millis(r.FirstPartP99) })
 	bytes := spread(rows, func(r Row) float64 { return r.Control.BytesPerSecond })
 	messages := spread(rows, func(r Row) float64 { return r.Control.MessagesPerSecond })
 	core := spread(rows, func(r Row) float64 { return r.Control.CorePercent })
@@ -55,8 +55,8 @@
 	for _, r := range rows {
 		fmt.Fprintf(csv, "%s,%s,%s,%d,%d,%.5f,%.5f,%.1f,%.2f,%.2f,%d,%d,%d,%.0f,%.1f,%.3f,%.1f,%.3f,%d\n",
 			r.Deployment, r.Shape, r.Policy, r.Routers, r.Repeat, r.Gap, r.Utilisation, millis(r.Starved),
-			millis(r.FirstP50), millis(r.FirstP99), r.Answered, r.Refused, r.Failed,
-			r.Control.BytesPerSecond, r.Control.MessagesPerSecond, r.Control.CorePercent, millis(r.LongestRun), r.Ideal, r.Control.Disturbances)
+			millis(r.FirstPartP50), millis(r.FirstPartP99), r.Answered, r.Refused, r.Failed,
+			r.Control.BytesPerSecond, r.Control.MessagesPerSecond, r.Control.CorePercent, millis(r.LongestRun), r.IdealGap, r.Control.Disturbances)
 	}
 }
 
@@ -95,9 +95,9 @@
 		name := workload.WorkspaceName(n)
 		shares[name] = s.Share(n)
 		fmt.Fprintf(out, "  %s %s: share %.0f, service %.2f slot s after %.2f while settling, backlogged %.2f s, longest without service %.2f s\n",
-			d.Name, name, s.Share(n), record.Service(name), settling.Service(name), record.Backlogged(name).Seconds(),
+			d.Name, name, s.Share(n), record.Service(name), settling.Service(name), record.BacklogTime(name).Seconds(),
 			record.LongestWithoutService(name).Seconds())
 	}
 	gap := record.FairnessGap(shares)
-	fmt.Fprintf(out, "  gap %.2f between %v from %v to %v\n", gap.SlotSeconds, gap.Between, gap.From, gap.To)
+	fmt.Fprintf(out, "  gap %.2f between %v from %v to %v\n", gap.SlotSeconds, gap.Workspaces, gap.From, gap.To)
 }
--- a/bench/faults/faults.go
+++ b/bench/faults/faults.go
@@ -51,7 +51,7 @@
 		}
 		rows = append(rows, measured...)
 	}
-	if err := table.CSV(o.CSV, rows); err != nil {
+	if err := table.WriteCSV(o.CSV, rows); err != nil {
 		return err
 	}
 	return table.Write(out, rows)
@@ -63,7 +63,7 @@
 		DataCentres: d.DataCentres,
 		Routers:     o.Routers,
 		Pools:       d.Pools(),
-		Workspaces:  shape.Declared(d),
+		Workspaces:  shape.DeclaredWorkspaces(d),
 	})
 	if err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 // evaluate computes the measured values for the interval that starts at faultAt.
 func (t *trial) evaluate(f fault, start, faultAt time.Time, received callerResults, entries []journal.Entry) []table.Value {
 	until := faultAt.Add(f.interval)
-	record := measure.Join(start, received.results, entries)
+	record := measure.NewRecord(start, received.results, entries)
 	record.From = faultAt.Sub(start)
 	record.To = until.Sub(start)
 	shares := make(map[string]float64)
--- a/bench/faults/judge.go
+++ b/bench/faults/judge.go
@@ -55,16 +55,16 @@
 	slots := t.deployment.SlotsOf()
 	anyTarget := func(string, string) bool { return true }
 	if t.killedAt.IsZero() {
-		return record.Idle(slots, anyTarget)
+		return record.IdleSlotSeconds(slots, anyTarget)
 	}
 	killedTarget := map[string]int{t.target: slots[t.target]}
 	delete(slots, t.target)
-	total := record.Idle(slots, anyTarget)
+	total := record.IdleSlotSeconds(slots, anyTarget)
 	to := record.To
 	record.To = t.killedAt.Sub(start)
-	total += record.Idle(killedTarget, anyTarget)
+	total += record.IdleSlotSeconds(killedTarget, anyTarget)
 	record.From, record.To = t.restartedAt.Sub(start), to
-	return total + record.Idle(killedTarget, anyTarget)
+	return total + record.IdleSlotSeconds(killedTarget, anyTarget)
 }
 
 // gapBound returns the bound on the fairness gap that package control states, for
--- a/bench/faults/scene.go
+++ b/bench/faults/scene.go
@@ -51,7 +51,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		shape.Send(sendCtx, d, f.Callers(), searchSeed)
+		shape.Send(sendCtx, d, f.CallerAddresses(), searchSeed)
 	}()
 	time.Sleep(searchTime)
 	err := t.findScheduler()
@@ -86,14 +86,14 @@
 // callers returns the addresses of all routers except the scheduler, which may
 // fail: a load balancer would stop sending to it.
 func (t *trial) callers() []string {
-	return slices.DeleteFunc(t.fleet.Callers(), func(address string) bool {
+	return slices.DeleteFunc(t.fleet.CallerAddresses(), func(address string) bool {
 		return address == t.scheduler.Settings.Listen.Callers
 	})
 }
 
 // inShard reports whether a target belongs to the scheduler's shard.
 func (t *trial) inShard(target string) bool {
-	return t.fleet.Target(target).DataCentre == t.dataCentre()
+	return t.fleet.TargetConfig(target).DataCentre == t.dataCentre()
 }
 
 // runAfter runs action after a delay; waitPending returns its error.
--- a/bench/fleet/control.go
+++ b/bench/fleet/control.go
@@ -12,7 +12,7 @@
 )
 
 // ControlTraffic is the control traffic of one router, as the mean over the fleet.
-type Control struct {
+type ControlTraffic struct {
 	// BytesPerSecond counts bytes on the wire to and from other routers.
 	BytesPerSecond float64
 	// MessagesPerSecond counts messages to and from other routers.
@@ -28,7 +28,7 @@
 }
 
 // ControlCounters holds the fleet's counters at one time, summed over the routers.
-type ControlCounts struct {
+type ControlCounters struct {
 	routers       int
 	bytes         float64
 	messages      float64
@@ -50,8 +50,8 @@
 )
 
 // ReadControlCounters reads the counters of every router.
-func (f *Fleet) ReadControl() (ControlCounts, error) {
-	counts := ControlCounts{routers: len(f.Routers)}
+func (f *Fleet) ReadControlCounters() (ControlCounters, error) {
+	counts := ControlCounters{routers: len(f.Routers)}
 	for _, r := range f.Routers {
 		values, err := ReadMetrics(r.Settings.Listen.Operators)
 		if err != nil {
@@ -67,9 +67,9 @@
 }
 
 // Since returns the mean rates of one router since earlier counters.
-func (c ControlCounts) Since(earlier ControlCounts, elapsed time.Duration) Control {
+func (c ControlCounters) Since(earlier ControlCounters, elapsed time.Duration) ControlTraffic {
 	routerSeconds := float64(c.routers) * elapsed.Seconds()
-	return Control{
+	return ControlTraffic{
 		BytesPerSecond:         (c.bytes - earlier.bytes) / routerSeconds,
 		MessagesPerSecond:      (c.messages - earlier.messages) / routerSeconds,
 		PlatformBytesPerSecond: (c.platformBytes - earlier.platformBytes) / routerSeconds,
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -37,12 +37,12 @@
 	// working directory. A changed copy can be named here to compare with.
 	Module string
 	// EditSettings, if set, changes a router's settings before it starts.
-	Edit func(s *settings.Settings)
+	EditSettings func(s *settings.Settings)
 }
 
 // Pool is a pool and the settings of its targets.
 type Pool struct {
-	Declared config.Pool
+	Config config.Pool
 	// Targets is how many targets run, each with Slots slots.
 	Targets int
 	Slots   int
@@ -127,7 +127,7 @@
 }
 
 func (f *Fleet) startTarget(name string, pool Pool) (*processes.StandIn, error) {
-	if pool.Declared.Kind == config.KindService {
+	if pool.Config.Kind == config.KindService {
 		return processes.StartService(f.Binaries, name, pool.Slots, "")
 	}
 	return processes.StartEngine(f.Binaries, name, processes.EngineOptions{
@@ -151,8 +151,8 @@
 		if f.options.Policy != "" {
 			s.Scheduling.Policy = f.options.Policy
 		}
-		if f.options.Edit != nil {
-			f.options.Edit(&s)
+		if f.options.EditSettings != nil {
+			f.options.EditSettings(&s)
 		}
 		r, err := processes.StartRouter(f.Binaries, f.dir, s)
 		if err != nil {
@@ -178,7 +178,7 @@
 func (f *Fleet) submitConfig(ctx context.Context) error {
 	pools := make(map[string]config.Pool)
 	for name, pool := range f.options.Pools {
-		pools[name] = pool.Declared
+		pools[name] = pool.Config
 	}
 	changes, err := json.Marshal(config.Declarations{
 		Workspaces: f.options.Workspaces,
@@ -204,7 +204,7 @@
 }
 
 // CallerAddresses returns the addresses at which the routers serve callers.
-func (f *Fleet) Callers() []string {
+func (f *Fleet) CallerAddresses() []string {
 	var addresses []string
 	for _, r := range f.Routers {
 		addresses = append(addresses, r.Settings.Listen.Callers)
@@ -213,7 +213,7 @@
 }
 
 // TargetConfig returns the configuration of a target.
-func (f *Fleet) Target(name string) config.Target { return f.declaredTargets[name] }
+func (f *Fleet) TargetConfig(name string) config.Target { return f.declaredTargets[name] }
 
 // Close kills every process and removes the fleet's files.
 func (f *Fleet) Close() {
--- a/bench/latency/latency.go
+++ b/bench/latency/latency.go
@@ -36,10 +36,10 @@
 		DataCentres: []string{"ikeja"},
 		Routers:     3,
 		Pools: map[string]fleet.Pool{pool: {
-			Declared: config.Pool{Kind: config.KindEngine, Models: []string{model}},
-			Targets:  1,
-			Slots:    8,
-			Step:     time.Millisecond,
+			Config:  config.Pool{Kind: config.KindEngine, Models: []string{model}},
+			Targets: 1,
+			Slots:   8,
+			Step:    time.Millisecond,
 		}},
 		Workspaces: map[string]config.Workspace{workspace: fleet.Workspace(key, 1, pool)},
 	})
@@ -52,9 +52,9 @@
 	for repeat := range o.Repeats {
 		for _, path := range []struct{ name, address string }{
 			{"direct", direct},
-			{"router-1", f.Callers()[0]},
-			{"router-2", f.Callers()[1]},
-			{"router-3", f.Callers()[2]},
+			{"router-1", f.CallerAddresses()[0]},
+			{"router-2", f.CallerAddresses()[1]},
+			{"router-3", f.CallerAddresses()[2]},
 		} {
 			summary := send(ctx, path.address, o.Requests)
 			if summary.Count(load.Answered) != o.Requests {
--- a/bench/locality/locality.go
+++ b/bench/locality/locality.go
@@ -30,9 +30,9 @@
 	// CacheEntries is how many prefixes each engine caches, ReportGap the fraction
 	// of them that its load reports leave out, and ReportPeriod the period at
 	// which it renews the reports.
-	Entries int
-	Gap     float64
-	Lag     time.Duration
+	CacheEntries int
+	ReportGap    float64
+	ReportPeriod time.Duration
 	// Callers lists the numbers of requests to keep in flight, one case each.
 	Callers []int
 	// Duration is how long callers send in each repeat.
@@ -66,7 +66,7 @@
 		}
 		rows = append(rows, measured...)
 	}
-	if err := table.CSV(o.CSV, rows); err != nil {
+	if err := table.WriteCSV(o.CSV, rows); err != nil {
 		return err
 	}
 	return table.Write(out, rows)
@@ -78,21 +78,21 @@
 	d := workload.Deployments[deployment]
 	pools := d.Pools()
 	pool := pools[workload.Pool]
-	pool.PrefixEntries, pool.PrefixGap, pool.LoadLag = o.Entries, o.Gap, o.Lag
+	pool.PrefixEntries, pool.PrefixGap, pool.LoadLag = o.CacheEntries, o.ReportGap, o.ReportPeriod
 	pools[workload.Pool] = pool
 	f, err := fleet.Start(ctx, fleet.Options{
-		DataCentres: d.DataCentres,
-		Routers:     o.Routers,
-		Pools:       pools,
-		Workspaces:  workload.Shapes["burst"].WithDefaults("burst").Declared(d),
-		Edit:        func(s *settings.Settings) { s.Scheduling.PrefixLocality = locality },
+		DataCentres:  d.DataCentres,
+		Routers:      o.Routers,
+		Pools:        pools,
+		Workspaces:   workload.Shapes["burst"].WithDefaults("burst").DeclaredWorkspaces(d),
+		EditSettings: func(s *settings.Settings) { s.Scheduling.PrefixLocality = locality },
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
 	time.Sleep(settleTime)
-	e := experiment{options: o, deployment: d, fleet: f, prefixes: promptPrefixes(o), caches: newCacheModel(o.Entries, d.Targets)}
+	e := experiment{options: o, deployment: d, fleet: f, prefixes: promptPrefixes(o), caches: newCacheModel(o.CacheEntries, d.Targets)}
 	var rows []table.Row
 	for _, callers := range o.Callers {
 		for repeat := range o.Repeats {
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	record := measure.Join(start, results, entries)
+	record := measure.NewRecord(start, results, entries)
 	record.From, record.To = settleTime, settleTime+e.options.Duration
 	counts := e.caches.replay(entries, results, start.Add(settleTime))
 	return e.evaluate(record, results, counts, start), nil
@@ -164,7 +164,7 @@
 			callersHere++
 		}
 		run := load.Run{
-			Routers: e.fleet.Callers(),
+			Routers: e.fleet.CallerAddresses(),
 			Callers: callersHere,
 			Seed:    seed<<8 | uint64(n),
 			Next:    func(sequence int, random *rand.Rand) load.Request { return e.request(n, sequence, random) },
--- a/bench/main.go
+++ b/bench/main.go
@@ -146,7 +146,7 @@
 // Run runs the experiment.
 func (c *refusalsCommand) Run(ctx context.Context, k *kong.Context) error {
 	options := refusals.Options{
-		Routers: c.Routers, Callers: c.Callers, Queued: c.Queued, Slots: c.Slots, Tokens: c.Tokens, Repeats: c.Repeats,
+		Routers: c.Routers, Callers: c.Callers, MaxQueued: c.Queued, Slots: c.Slots, Tokens: c.Tokens, Repeats: c.Repeats,
 		WithoutBudget: c.WithoutBudget, SkipWave: c.SkipWave, SkipBrownOut: c.SkipBrownOut,
 	}
 	if c.Histogram {
@@ -175,8 +175,8 @@
 func (c *localityCommand) Run(ctx context.Context, k *kong.Context) error {
 	return withCSV(c.CSV, func(csv io.Writer) error {
 		return locality.Run(ctx, k.Stdout, locality.Options{
-			Routers: c.Routers, Prefixes: c.Prefixes, PrefixBytes: c.PrefixBytes, Entries: c.Entries,
-			Gap: c.Gap, Lag: c.Lag, Callers: c.Callers, Duration: c.Duration, Repeats: c.Repeats, CSV: csv,
+			Routers: c.Routers, Prefixes: c.Prefixes, PrefixBytes: c.PrefixBytes, CacheEntries: c.Entries,
+			ReportGap: c.Gap, ReportPeriod: c.Lag, Callers: c.Callers, Duration: c.Duration, Repeats: c.Repeats, CSV: csv,
 		})
 	})
 }
--- a/bench/measure/gap.go
+++ b/bench/measure/gap.go
@@ -11,7 +11,7 @@
 	// SlotSeconds is the gap in slot seconds for each unit of share.
 	SlotSeconds float64
 	// Between holds the names of the two workspaces.
-	Between [2]string
+	Workspaces [2]string
 	// From and To bound the interval.
 	From, To time.Duration
 }
@@ -36,7 +36,7 @@
 			for _, span := range intersect(backlog[a], backlog[b]) {
 				gap := largestGap(span, curves[a], shares[a], curves[b], shares[b])
 				if gap.SlotSeconds > worst.SlotSeconds {
-					gap.Between = [2]string{a, b}
+					gap.Workspaces = [2]string{a, b}
 					worst = gap
 				}
 			}
@@ -115,7 +115,7 @@
 
 // Idle returns the slot seconds that were not used while a request that may use
 // the target was waiting. The arguments are those of Utilisation.
-func (r Record) Idle(slots map[string]int, mayUse func(workspace, target string) bool) float64 {
+func (r Record) IdleSlotSeconds(slots map[string]int, mayUse func(workspace, target string) bool) float64 {
 	used, offered := r.usedAndOffered(slots, mayUse)
 	return offered - used
 }
@@ -180,7 +180,7 @@
 }
 
 // Backlogged returns how long a workspace had at least one request waiting.
-func (r Record) Backlogged(workspace string) time.Duration {
+func (r Record) BacklogTime(workspace string) time.Duration {
 	var total time.Duration
 	for _, span := range r.backlogIntervals(workspace) {
 		total += span.to - span.from
--- a/bench/measure/join.go
+++ b/bench/measure/join.go
@@ -10,7 +10,7 @@
 // Join builds a record from the results that callers got and the entries that
 // targets journalled, with times relative to start. It takes the clocks of all
 // processes to agree, since they share one machine.
-func Join(start time.Time, results []load.Result, entries []journal.Entry) Record {
+func NewRecord(start time.Time, results []load.Result, entries []journal.Entry) Record {
 	workspaceOf := make(map[string]string, len(results))
 	for _, r := range results {
 		workspaceOf[r.RequestID] = r.Request.Workspace
--- a/bench/refusals/brownout.go
+++ b/bench/refusals/brownout.go
@@ -122,7 +122,7 @@
 			random := rand.New(rand.NewPCG(seed, uint64(caller)))
 			for n := 0; ctx.Err() == nil; n++ {
 				r := o.request(fmt.Sprintf("b%d-c%d-%d", seed, caller, n))
-				own := sendUntilAnswered(ctx, client, f.Callers(), r, random)
+				own := sendUntilAnswered(ctx, client, f.CallerAddresses(), r, random)
 				mu.Lock()
 				all = append(all, own...)
 				mu.Unlock()
--- a/bench/refusals/refusals.go
+++ b/bench/refusals/refusals.go
@@ -22,7 +22,7 @@
 	// Callers is how many callers send at once in the wave.
 	Callers int
 	// MaxQueued bounds the requests of the workspace that wait at one router.
-	Queued int
+	MaxQueued int
 	// Slots is the number of slots of each target, and Tokens the length of each
 	// answer, at 2 ms for each token.
 	Slots, Tokens int
@@ -70,7 +70,7 @@
 }
 
 func write(out, csv io.Writer, rows []table.Row) error {
-	if err := table.CSV(csv, rows); err != nil {
+	if err := table.WriteCSV(csv, rows); err != nil {
 		return err
 	}
 	return table.Write(out, rows)
@@ -84,10 +84,10 @@
 		Routers:     o.Routers,
 		Module:      module,
 		Pools: map[string]fleet.Pool{pool: {
-			Declared: config.Pool{Kind: config.KindEngine, Models: []string{model}},
-			Targets:  targets,
-			Slots:    o.Slots,
-			Step:     step,
+			Config:  config.Pool{Kind: config.KindEngine, Models: []string{model}},
+			Targets: targets,
+			Slots:   o.Slots,
+			Step:    step,
 		}},
 		Workspaces: map[string]config.Workspace{workspace: w},
 	})
--- a/bench/refusals/wave.go
+++ b/bench/refusals/wave.go
@@ -29,7 +29,7 @@
 
 // runWave lets a wave of callers fill a workspace's queues beyond their bound.
 func runWave(ctx context.Context, o Options) ([]table.Row, error) {
-	f, err := startFleet(ctx, o, waveTargets, o.Queued, "")
+	f, err := startFleet(ctx, o, waveTargets, o.MaxQueued, "")
 	if err != nil {
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 		callers.Go(func() {
 			random := rand.New(rand.NewPCG(seed, uint64(caller)))
 			r := o.request(fmt.Sprintf("r%d-c%d", seed, caller))
-			own := sendUntilAnswered(ctx, client, f.Callers(), r, random)
+			own := sendUntilAnswered(ctx, client, f.CallerAddresses(), r, random)
 			mu.Lock()
 			defer mu.Unlock()
 			all = append(all, own...)
--- a/bench/table/table.go
+++ b/bench/table/table.go
@@ -95,7 +95,7 @@
 
 // WriteCSV writes a header line and one line for each value. It does nothing if
 // out is nil.
-func CSV(out io.Writer, rows []Row) error {
+func WriteCSV(out io.Writer, rows []Row) error {
 	if out == nil || len(rows) == 0 {
 		return nil
 	}
--- a/bench/throughput/throughput.go
+++ b/bench/throughput/throughput.go
@@ -42,10 +42,10 @@
 		DataCentres: []string{"ikeja"},
 		Routers:     1,
 		Pools: map[string]fleet.Pool{pool: {
-			Declared: config.Pool{Kind: config.KindEngine, Models: []string{model}},
-			Targets:  targets,
-			Slots:    slots,
-			Step:     time.Millisecond,
+			Config:  config.Pool{Kind: config.KindEngine, Models: []string{model}},
+			Targets: targets,
+			Slots:   slots,
+			Step:    time.Millisecond,
 		}},
 		Workspaces: map[string]config.Workspace{workspace: fleet.Workspace(key, 1, pool)},
 	})
@@ -94,7 +94,7 @@
 	sendCtx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
 	run := load.Run{
-		Routers: f.Callers(),
+		Routers: f.CallerAddresses(),
 		Callers: callers,
 		Seed:    1,
 		Next: func(n int, _ *rand.Rand) load.Request {
--- a/bench/workload/send.go
+++ b/bench/workload/send.go
@@ -13,10 +13,10 @@
 // Pools returns the only pool of a deployment, for fleet.Options.
 func (d Deployment) Pools() map[string]fleet.Pool {
 	return map[string]fleet.Pool{Pool: {
-		Declared: config.Pool{Kind: config.KindEngine, Models: []string{Model}},
-		Targets:  d.Targets,
-		Slots:    d.Slots,
-		Step:     d.Step,
+		Config:  config.Pool{Kind: config.KindEngine, Models: []string{Model}},
+		Targets: d.Targets,
+		Slots:   d.Slots,
+		Step:    d.Step,
 	}}
 }
 
--- a/bench/workload/shapes.go
+++ b/bench/workload/shapes.go
@@ -211,7 +211,7 @@
 func WorkspaceKey(n int) string { return WorkspaceName(n) + "-key" }
 
 // DeclaredWorkspaces returns the configuration of the shape's workspaces.
-func (s Shape) Declared(d Deployment) map[string]config.Workspace {
+func (s Shape) DeclaredWorkspaces(d Deployment) map[string]config.Workspace {
 	workspaces := make(map[string]config.Workspace)
 	for n := range Workspaces {
 		w := fleet.Workspace(WorkspaceKey(n), s.Share(n), Pool)
