--- a/control/accounting.go
+++ b/control/accounting.go
@@ -18,7 +18,7 @@
 	// levelUnknownAfter is how long a workspace may go without a report before its level
 	// counts as unknown.
 	levelUnknownAfter = 3 * time.Second
-	// pushesPerExchange is how many times levels are sent in an exchange period, so that
+	// pushesPerExchange is how many times totals are sent in an exchange period, so that
 	// they lag little behind the reports.
 	pushesPerExchange = 2
 	// exchangePerNode is the contribution of each node of the fleet to the exchange period;
@@ -38,19 +38,22 @@
 
 // workspace is a scheduler's state of one workspace.
 type workspace struct {
-	name    string
-	share   float64
+	name  string
+	share float64
+	// hash selects its account group.
 	hash    uint64
 	account *account.Entry
 	// flows holds the workspace's flow in the queue of each shard here.
-	flows     map[ShardID]*sched.Flow[*queuedTicket]
+	flows map[ShardID]*sched.Flow[*queuedTicket]
+	// estimates holds the cost estimates of its requests by pool.
 	estimates map[string]*sched.Estimate
 	// waiting and running count its tickets and grants here.
 	waiting, running int
 	// lastWaitingAt is when its last ticket here left the queue.
 	lastWaitingAt Instant
-	reportedAt    Instant
-	// reportedWaiting is whether the last report said that tickets wait.
+	// reportedAt is when it was last reported on, and reportedWaiting whether that report
+	// said that tickets wait.
+	reportedAt      Instant
 	reportedWaiting bool
 	// accountingNode is the node that adds up its service, as of version accountingVersion
 	// of the view.
@@ -61,7 +64,8 @@
 // serviceExchange is the exchange of service counts with the rest of the fleet.
 type serviceExchange struct {
 	// active holds the workspaces to report on.
-	active       map[string]*workspace
+	active map[string]*workspace
+	// totals adds up the service of the workspaces that this node accounts for.
 	totals       *account.Totals
 	nextReportAt Instant
 	// nextPushAt is when changed totals are sent next.
--- a/control/cold.go
+++ b/control/cold.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// coldWindow is the sliding window over which grants of a cold target are counted. It
-	// exceeds the second that the limit applies to by the jitter between grant and arrival.
+	// coldWindow is the sliding window over which grants of a cold target are counted. The
+	// limit applies to the requests that arrive within one second; the window is longer to
+	// allow for the jitter between grant and arrival.
 	coldWindow = 1250 * time.Millisecond
 	// coldGrantFraction is the fraction of a cold target's limit that its scheduler grants. The
 	// rest is reserved for requests from routers that do not know yet that the target is cold.
--- a/control/commands.go
+++ b/control/commands.go
@@ -70,14 +70,14 @@
 type WatchTargets struct{ Targets []string }
 
 // QuarantineChanged tells the guard filter that a fingerprint became quarantined, or is no
-// longer.
+// longer quarantined.
 type QuarantineChanged struct {
 	Fingerprint uint64
 	Quarantined bool
 }
 
 // VersionSeen reports that a member announced a configuration version, or a listing of
-// targets, newer than the one in force here; the follower fetches it from that member.
+// targets, newer than the one in force here; package follower fetches it from that member.
 type VersionSeen struct {
 	From    NodeID
 	Version uint64
--- a/control/control.go
+++ b/control/control.go
@@ -32,9 +32,9 @@
 // cannot reach each other for more than 3 s is not compensated later.
 //
 // Each workspace has one service level for the whole fleet; see package account. A
-// workspace that had no waiting requests anywhere starts at the lowest level among the
+// workspace that had no waiting requests anywhere is raised to the lowest level among the
 // workspaces that wait in the shard. One that also waits elsewhere, or did within the last
-// 50 ms, is credited with its shortfall below them, up to 5 slot seconds divided by its
+// 50 ms, keeps its shortfall below them as a credit, up to 5 slot seconds divided by its
 // share. A workspace that was served only in another pool waits at most 3 s longer in a
 // shard because of that.
 //
@@ -130,7 +130,8 @@
 	// each known node, at least 60 ms and at most 1 s.
 	ExchangeEvery time.Duration
 	// LocalAfter is how long a ticket may go unanswered before this node grants it locally,
-	// from its own knowledge alone. Zero: it waits for another scheduler.
+	// from its own knowledge alone. Zero: the ticket waits until its scheduler answers or
+	// another node takes over the shard.
 	LocalAfter time.Duration
 	// IgnorePrefixes selects targets by load alone. By default a target that probably has
 	// the start of the prompt in its cache is preferred among equally loaded ones.
--- a/control/deferred.go
+++ b/control/deferred.go
@@ -15,9 +15,9 @@
 // already.
 
 const (
-	// timelyWaitFraction is the fraction of the longest wait with which an answer could
-	// still be in time that a request may wait. The rest is reserved for the round trip and
-	// for runs longer than the mean.
+	// timelyWaitFraction limits how long a request may wait, as a fraction of the longest
+	// wait after which its answer could still be in time. The rest is reserved for the
+	// round trip and for runs longer than the mean.
 	timelyWaitFraction = 0.7
 	// minAveragingTime and averagingRuns set the time over which the rate of grants to
 	// requests in time is averaged: long enough to include several runs, and short compared
@@ -28,9 +28,9 @@
 
 // deferral tracks the deferred requests of a shard.
 type deferral struct {
+	// waiting counts the deferred requests that wait, and served those that were granted.
 	waiting int
-	// served counts the deferred requests that were granted.
-	served int
+	served  int
 	// lastTimelyRate is the rate of grants to other requests, per second, as of
 	// lastTimelyAt.
 	lastTimelyRate float64
--- a/control/entry.go
+++ b/control/entry.go
@@ -26,7 +26,8 @@
 	runs     map[GrantID]*run
 	// latestRun maps a request to its latest run.
 	latestRun map[RequestID]*run
-	ended     map[endedKey]*endedRun
+	// ended holds the reports of ended runs that are not acknowledged yet.
+	ended map[endedKey]*endedRun
 	// workspaces counts the waiting requests here by workspace.
 	workspaces map[string]*workspaceBacklog
 	// waitingByPool holds the requests that wait here by pool, oldest first.
@@ -65,6 +66,7 @@
 // request is a request that waits for a grant.
 type request struct {
 	ev RequestArrived
+	// id is the id of its tickets at all shards.
 	id TicketID
 	// shards are those that may serve it, in the order in which they are asked.
 	shards []ShardID
@@ -90,7 +92,7 @@
 	}
 }
 
-// isEmpty reports whether no request and no unacknowledged report is left.
+// isEmpty reports whether no request, no run and no unacknowledged report is left.
 func (e *entry) isEmpty() bool {
 	return len(e.requests) == 0 && len(e.runs) == 0 && len(e.ended) == 0
 }
@@ -112,7 +114,7 @@
 		return
 	}
 	ev.Excluded = m.excludedTargets(ev)
-	shards := m.topo.candidates(ev, m.opts.DataCentre)
+	shards := m.topo.candidateShards(ev, m.opts.DataCentre)
 	if len(shards) == 0 {
 		m.refuseNoCandidate(ev)
 		return
@@ -254,11 +256,11 @@
 	m.armRequest(r)
 }
 
-// updateCandidates applies a new configuration version: the shards that may serve a waiting
-// request may have changed.
-func (m *Machine) updateCandidates() {
+// updateCandidateShards applies a new configuration version: the shards that may serve a
+// waiting request may have changed.
+func (m *Machine) updateCandidateShards() {
 	for _, r := range m.entry.sortedRequests() {
-		r.shards = m.topo.candidates(r.ev, m.opts.DataCentre)
+		r.shards = m.topo.candidateShards(r.ev, m.opts.DataCentre)
 		if len(r.shards) == 0 {
 			m.withdrawRequest(r)
 			m.refuseNoCandidate(r.ev)
--- a/control/evacuation_test.go
+++ b/control/evacuation_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestRequestIsRefusedAtOnceIfAllAreEvacuated guards against requests that wait until their deadlines
-// while all data centres are evacuated.
+// TestRequestIsRefusedAtOnceIfAllAreEvacuated guards against requests that wait until their
+// deadlines while all data centres are evacuated.
 func TestRequestIsRefusedAtOnceIfAllAreEvacuated(t *testing.T) {
 	f := newTokenFleet("e1")
 	for n := range uint64(8) {
--- a/control/events.go
+++ b/control/events.go
@@ -138,7 +138,7 @@
 	Queued  int
 	// Slots is the target's own limit; zero if it reports none.
 	Slots int
-	// Leaving reports that the target announced its shutdown.
+	// Leaving reports that the target announced that it is leaving.
 	Leaving bool
 	// StartID distinguishes the starts of the target; zero if the target reports none.
 	StartID uint64
--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -131,10 +131,10 @@
 // has to take over within seconds.
 func TestSchedulerFailureIsCompensated(t *testing.T) {
 	failures := map[string]func(*sim, NodeID){
-		"killed":  func(s *sim, id NodeID) { s.stopNode(id) },
-		"frozen":  func(s *sim, id NodeID) { s.freeze(id); s.after(6*time.Second, func() { s.unfreeze(id) }) },
-		"cut off": func(s *sim, id NodeID) { s.linkDown = func(a, b NodeID) bool { return (a == id) != (b == id) } },
-		"drained": func(s *sim, id NodeID) { s.step(s.nodes[id], DrainStarted{}) },
+		"killed":   func(s *sim, id NodeID) { s.stopNode(id) },
+		"frozen":   func(s *sim, id NodeID) { s.freeze(id); s.after(6*time.Second, func() { s.unfreeze(id) }) },
+		"isolated": func(s *sim, id NodeID) { s.linkDown = func(a, b NodeID) bool { return (a == id) != (b == id) } },
+		"drained":  func(s *sim, id NodeID) { s.step(s.nodes[id], DrainStarted{}) },
 	}
 	for name, fail := range failures {
 		t.Run(name, func(t *testing.T) {
@@ -163,13 +163,13 @@
 					t.Errorf("%s held %d requests at once", target.name, target.maxHeld)
 				}
 			}
-			if name == "cut off" {
+			if name == "isolated" {
 				s.checkServesIsolated(t, scheduler)
 			}
 			if name == "drained" && !s.nodes[scheduler].drained {
 				t.Errorf("the scheduler has not drained")
 			}
-			s.checkFaults(t)
+			s.checkInvariants(t)
 		})
 	}
 }
--- a/control/fairness_test.go
+++ b/control/fairness_test.go
@@ -9,10 +9,10 @@
 
 var testDataCentres = []string{"ikeja", "lekki", "yaba"}
 
-// checkFaults fails the test for each violated invariant.
-func (s *sim) checkFaults(t *testing.T) {
+// checkInvariants fails the test for each violated invariant.
+func (s *sim) checkInvariants(t *testing.T) {
 	t.Helper()
-	for _, f := range s.faults {
+	for _, f := range s.violations {
 		t.Error(f)
 	}
 }
@@ -156,7 +156,7 @@
 	if u := s.utilisation(start, busy); u < 0.99 {
 		t.Errorf("utilisation is %.4f", u)
 	}
-	s.checkFaults(t)
+	s.checkInvariants(t)
 }
 
 // TestOneEntryFillsEveryShard guards against slots of other data centres that stay idle
@@ -195,7 +195,7 @@
 			t.Errorf("%s held %d requests at once", target.name, target.maxHeld)
 		}
 	}
-	s.checkFaults(t)
+	s.checkInvariants(t)
 }
 
 // TestServiceInOtherDataCentreIsCharged guards against counting service by data centre
--- a/control/feeds_test.go
+++ b/control/feeds_test.go
@@ -6,9 +6,9 @@
 )
 
 // setFollowing makes a node follow the feeds, or stop.
-func (s *sim) setFollowing(n *simNode, wanted bool) {
-	n.follows = wanted
-	s.step(n, FeedState{Live: wanted && !n.platformDown})
+func (s *sim) setFollowing(n *simNode, follows bool) {
+	n.follows = follows
+	s.step(n, FeedState{Live: follows && !n.platformDown})
 }
 
 // applyFeedRole makes a node follow the feeds, or stop, as its new role says: after 100 ms
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -11,14 +11,14 @@
 	// probesPerHeartbeat is the number of nodes believed dead to which each heartbeat is
 	// sent.
 	probesPerHeartbeat = 2
-	// watchInterval is the period of checking for missed heartbeats.
-	watchInterval = 100 * time.Millisecond
+	// heartbeatCheckInterval is the period of checking for missed heartbeats.
+	heartbeatCheckInterval = 100 * time.Millisecond
 )
 
 // fleet is the state of the other nodes beyond member.View.
 type fleet struct {
-	nextHeartbeatAt Instant
-	nextWatchAt     Instant
+	nextHeartbeatAt      Instant
+	nextHeartbeatCheckAt Instant
 	// epochs holds the incarnation in each node's last heartbeat.
 	epochs map[NodeID]Incarnation
 	// assignedVersion is the version of the view by which the shards were last assigned.
@@ -35,20 +35,20 @@
 // acceptSender records that a message was received from a node. It returns false if the
 // message is of an incarnation that has ended.
 func (m *Machine) acceptSender(node NodeID, inc Incarnation) bool {
-	sign := m.view.Heard(m.now, string(node), uint64(inc))
-	if sign == member.SenderRestarted {
+	change := m.view.Heard(m.now, string(node), uint64(inc))
+	if change == member.SenderRestarted {
 		m.dropRestarted(node, inc)
 		m.reclaimNode(node, inc)
 		m.exchange.totals.Forget(string(node), uint64(inc))
 		m.resendTo(node)
 	}
-	if sign == member.SenderRestarted || sign == member.SenderBack {
+	if change == member.SenderRestarted || change == member.SenderBack {
 		m.send(node, m.heartbeat())
 		if m.view.Watches(string(node)) {
 			m.sendEvidence(node)
 		}
 	}
-	return sign != member.SenderStale
+	return change != member.SenderStale
 }
 
 func (m *Machine) heartbeat() Heartbeat {
@@ -133,10 +133,10 @@
 	if m.now >= m.fleet.nextHeartbeatAt {
 		m.sendHeartbeats()
 	}
-	if m.now < m.fleet.nextWatchAt {
+	if m.now < m.fleet.nextHeartbeatCheckAt {
 		return
 	}
-	m.fleet.nextWatchAt = m.now + watchInterval
+	m.fleet.nextHeartbeatCheckAt = m.now + heartbeatCheckInterval
 	for _, missed := range m.view.Tick(m.now) {
 		m.counters.NodesSuspected++
 		m.broadcast(SuspectNotice{Node: NodeID(missed.Name), Incarnation: Incarnation(missed.Incarnation)})
--- a/control/grants.go
+++ b/control/grants.go
@@ -19,9 +19,9 @@
 	// chargeStepDivisor makes that step grow with the run: it is the time used so far
 	// divided by this.
 	chargeStepDivisor = 4
-	// equalFillMargin is the difference in fill level below which targets count as equally
-	// loaded.
-	equalFillMargin = 0.125
+	// equalUtilisationMargin is the difference in utilisation below which targets count as
+	// equally loaded.
+	equalUtilisationMargin = 0.125
 )
 
 // grant is a grant that holds a slot of a target.
@@ -51,7 +51,8 @@
 	adopted bool
 	// engineRun is the modelled run at a target that counts in tokens; nil at others.
 	engineRun *sched.EngineRun
-	// placement records why the target was chosen, if it counts in tokens.
+	// placement holds the predictions for which the target was chosen, if it counts in
+	// tokens.
 	placement placement
 	timer     timer
 }
@@ -129,20 +130,20 @@
 // loaded ones it prefers one that probably has the prefix in its cache.
 func (m *Machine) chooseSlotTarget(c *class, prefix uint64) *target {
 	var best *target
-	bestFill := 0.0
+	bestUtilisation := 0.0
 	for _, t := range c.targets {
 		if !m.hasRoomFor(c, t) {
 			continue
 		}
-		if fill := t.window.Utilisation(m.now); best == nil || fill < bestFill {
-			best, bestFill = t, fill
+		if utilisation := t.window.Utilisation(m.now); best == nil || utilisation < bestUtilisation {
+			best, bestUtilisation = t, utilisation
 		}
 	}
 	if best == nil || prefix == 0 || m.opts.IgnorePrefixes || best.prefixes.has(prefix) {
 		return best
 	}
 	for _, t := range c.targets {
-		if t.prefixes.has(prefix) && m.hasRoomFor(c, t) && t.window.Utilisation(m.now) < bestFill+equalFillMargin {
+		if t.prefixes.has(prefix) && m.hasRoomFor(c, t) && t.window.Utilisation(m.now) < bestUtilisation+equalUtilisationMargin {
 			return t
 		}
 	}
@@ -188,7 +189,7 @@
 	m.sendGrant(g)
 }
 
-// typicalService returns the declared slot time of a run in a pool.
+// typicalService returns the declared slot time of a run in a pool; 1 s if none is declared.
 func (m *Machine) typicalService(pool string) time.Duration {
 	if ms := m.topo.decl.Pools[pool].TypicalMillis; ms > 0 {
 		return time.Duration(ms) * time.Millisecond
--- a/control/local.go
+++ b/control/local.go
@@ -25,8 +25,8 @@
 	updatedAt Instant
 }
 
-// take reports whether a request is within the node's part of the capacity, in units per
-// second, and consumes it.
+// take reports whether a request is within the node's part of the capacity, and takes its
+// amount from the bucket. The bucket fills at perSecond; both are in seconds of service.
 func (l *localLimit) take(now Instant, perSecond, amount float64) bool {
 	l.credit = min(l.credit+(now-l.updatedAt).Seconds()*perSecond, perSecond*localBurstTime.Seconds())
 	l.updatedAt = now
--- a/control/local_test.go
+++ b/control/local_test.go
@@ -37,9 +37,9 @@
 		after                  time.Duration
 		minGranted, maxGranted int
 	}{
-		{"the pool was not full", false, 0, requests, requests},
-		{"the pool was full", true, 0, 1, 3},
-		{"the pool was full long ago", true, 2 * overloadedFor, requests, requests},
+		{"the pool was not overloaded", false, 0, requests, requests},
+		{"the pool was overloaded", true, 0, 1, 3},
+		{"the pool was overloaded long ago", true, 2 * overloadedFor, requests, requests},
 	} {
 		f := newTokenFleet("e1", "e2", "e3", "e4", "e5", "e6")
 		f.machine.opts.LocalAfter = 100 * time.Millisecond
@@ -109,10 +109,10 @@
 // grant to others.
 func TestNoLocalGrantsBeyondShare(t *testing.T) {
 	for _, c := range []struct {
-		wantGranted string
+		name        string
 		excess      bool
 		after       time.Duration
-		want        bool
+		wantGranted bool
 	}{
 		{"beyond its share", true, 0, false},
 		{"refused within its share", false, 0, true},
@@ -137,8 +137,8 @@
 				granted[dispatch.Request] = true
 			}
 		}
-		if granted[exceeding] != c.want || !granted[other] {
-			t.Errorf("%s: granted %v, and %v to another workspace", c.wantGranted, granted[exceeding], granted[other])
+		if granted[exceeding] != c.wantGranted || !granted[other] {
+			t.Errorf("%s: granted %v, and %v to another workspace", c.name, granted[exceeding], granted[other])
 		}
 	}
 }
--- a/control/machine.go
+++ b/control/machine.go
@@ -33,6 +33,7 @@
 	// process and changes after the process was paused for long.
 	epoch Incarnation
 
+	// out holds the commands of the current step.
 	out []Command
 	// loopback holds the messages that this node sends to itself.
 	loopback []Message
--- a/control/messages.go
+++ b/control/messages.go
@@ -8,7 +8,8 @@
 )
 
 // Ticket asks the scheduler of a shard for a grant. It is small, as the request body stays
-// at the entry. The entry sends it again until it is answered.
+// at the entry. The entry sends it again until it is answered. Fields without a comment
+// have the same meaning as in RequestArrived.
 type Ticket struct {
 	ID          TicketID
 	Shard       ShardID
@@ -54,9 +55,11 @@
 
 // Refusal ends a ticket at the scheduler without a grant.
 type Refusal struct {
-	Ticket     TicketID
-	Shard      ShardID
-	Code       result.Code
+	Ticket TicketID
+	Shard  ShardID
+	Code   result.Code
+	// RetryAfter is the time after which the caller is asked to retry; zero if the entry is
+	// to estimate it.
 	RetryAfter time.Duration
 	// Excess reports that the request exceeded its workspace's share, and Ahead is the
 	// number of tickets that waited at the shard.
--- a/control/overload_test.go
+++ b/control/overload_test.go
@@ -69,7 +69,7 @@
 	}
 	next()
 	s.runUntil(end + p.deadline)
-	s.checkFaults(t)
+	s.checkInvariants(t)
 	return s.requests
 }
 
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestOverloadedPoolServesInTime guards against the same queue at 1.5 times the request rate:
-// what is served has to be served in time, and the other requests have to be refused while
-// their callers still have time to retry.
+// TestOverloadedPoolServesInTime guards against the same queue at 1.5 times that request rate,
+// which is more than the pool can serve: what is served has to be served in time, and the other
+// requests have to be refused while their callers still have time to retry.
 func TestOverloadedPoolServesInTime(t *testing.T) {
 	p := hookLoad()
 	p.perSecond *= 1.5
--- a/control/place.go
+++ b/control/place.go
@@ -106,7 +106,8 @@
 	// fetchFrom is the target whose cache provides the shared parts that this one lacks;
 	// nil if they are not to be fetched.
 	fetchFrom *target
-	cost      time.Duration
+	// cost is the start plus penalties; the placement with the lowest cost is chosen.
+	cost time.Duration
 }
 
 func (p placement) fetchName() string {
@@ -122,7 +123,8 @@
 	// reads is the number of prompt tokens that it would have to read, and sharedReads how
 	// many of these are in shared parts.
 	reads, sharedReads int
-	wait               time.Duration
+	// wait is the reading time of the unread prompts at the target.
+	wait time.Duration
 }
 
 // listCandidates evaluates targets for a ticket. The next call reuses the slice.
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -31,7 +31,7 @@
 		partitionSide: make(map[NodeID]int),
 	}
 	c.loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
-	c.duplication = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "doubling")
+	c.duplication = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "duplication")
 	c.opts.Policy = rapid.SampledFrom([]Policy{PolicyShardQueue, PolicyShardQueue, PolicyAlone}).Draw(t, "policy")
 	c.service = func(*simRequest) time.Duration { return time.Duration(50+c.rng.IntN(1500)) * time.Millisecond }
 	c.linkDown = func(from, to NodeID) bool { return c.partitionSide[from] != c.partitionSide[to] }
@@ -155,7 +155,7 @@
 // check fails the test if an invariant was violated, a request of a live node has not ended, or
 // a node still holds state of requests.
 func (c *faultSchedule) check() {
-	for _, f := range c.faults {
+	for _, f := range c.violations {
 		c.t.Fatal(f)
 	}
 	for _, r := range c.requests {
@@ -189,8 +189,8 @@
 			}
 		}
 	}
-	if err := c.leftoverRecords(n.machine); err != "" {
-		c.t.Fatalf("%s: %s", id, err)
+	if leftover := c.leftoverRecords(n.machine); leftover != "" {
+		c.t.Fatalf("%s: %s", id, leftover)
 	}
 }
 
--- a/control/rank.go
+++ b/control/rank.go
@@ -12,12 +12,13 @@
 	// refusedRetention is how long a refused request is recognised when it is retried.
 	// Callers retry within a third of the time that they have left.
 	refusedRetention = 10 * time.Second
-	// overloadRetryAfter is the mean retry time given to a request that is refused for its
-	// objective: about the time in which the waiting requests are served.
+	// overloadRetryAfter is the mean retry time given to a request that is refused because
+	// it cannot be answered in time: about the time in which the waiting requests are
+	// served.
 	overloadRetryAfter = time.Second
 )
 
-// rank is the precedence class of a request within a pool.
+// rank is the precedence of a request within a pool.
 type rank int
 
 const (
@@ -63,8 +64,8 @@
 	return t.engine.Utilisation() < spare.Slots && t.engine.Wait(m.now) <= scale(spare.Wait, m.maxWait(t.shard))
 }
 
-// classifyTicket derives from a ticket's tokens its work, its objective, its rank, and how
-// long it may wait.
+// classifyTicket sets the task, the objective and the rank of a ticket of a pool that counts
+// in tokens, and how long it may wait.
 func (m *Machine) classifyTicket(q *queuedTicket) {
 	q.task = engineTaskOf(q.ticket.Work)
 	if q.ticket.Objective > 0 {
--- a/control/runs.go
+++ b/control/runs.go
@@ -151,7 +151,7 @@
 	r.ev.Excluded = m.excludedTargets(r.ev)
 	r.tickets = nil
 	r.regions = m.topo.allowedRegions(r.ev)
-	r.shards = m.topo.candidates(r.ev, m.opts.DataCentre)
+	r.shards = m.topo.candidateShards(r.ev, m.opts.DataCentre)
 	if len(r.shards) == 0 {
 		m.removeWaiting(r)
 		m.refuseNoCandidate(r.ev)
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -10,8 +10,8 @@
 const (
 	// ticketLease is how long a waiting ticket is kept without being sent again.
 	ticketLease = 3*refreshEvery + time.Second
-	// quietNoticeDelay is how long a quiet ticket waits before its entry is told. It is
-	// well below resendEvery.
+	// quietNoticeDelay is how long a quiet ticket waits before its entry is told that it
+	// does. It is well below resendEvery.
 	quietNoticeDelay = 300 * time.Millisecond
 	// cancelledRetention is how long a withdrawn ticket is remembered, in case the ticket
 	// itself arrives later.
@@ -35,8 +35,10 @@
 	// byNode holds the grants by the entry node that received them.
 	byNode     map[NodeID]map[GrantID]*grant
 	workspaces map[string]*workspace
-	finished   expiringSet
-	lastSeq    uint64
+	// finished holds the GrantID of ended grants and the ticketKey of ended and withdrawn
+	// tickets, so that late messages about them have no effect.
+	finished expiringSet
+	lastSeq  uint64
 	// refusedFingerprints holds the fingerprints of requests refused for lack of capacity.
 	refusedFingerprints expiringSet
 	// candidateBuffer is reused by each placement; see Machine.listCandidates.
@@ -82,7 +84,7 @@
 	for _, s := range m.sched.sortedShards() {
 		m.declareTargets(s)
 	}
-	m.updateCandidates()
+	m.updateCandidateShards()
 	m.sendHeartbeats()
 }
 
--- a/control/shard.go
+++ b/control/shard.go
@@ -72,8 +72,8 @@
 	// answer should have begun; objective is zero if there is none.
 	task      sched.EngineTask
 	objective Instant
-	// rank is the ticket's precedence, and shareTaken the amount that it took of its
-	// workspace's share; zero once it is granted.
+	// rank is the ticket's precedence, and shareTaken the service, in seconds, that it took
+	// of its workspace's share; zero once it is granted.
 	rank       rank
 	shareTaken float64
 	// waitUntil is when waiting longer becomes useless; see Machine.latestUsefulStart and
--- a/control/share_test.go
+++ b/control/share_test.go
@@ -12,8 +12,8 @@
 func TestRefusedRequestsUseNoShare(t *testing.T) {
 	f := newTokenFleet("e1")
 	f.overloadPool()
-	// minWithinShare is the number of such requests that half of the pool serves in the time whose
-	// share a workspace may use at once.
+	// minWithinShare is the number of such requests that half of the pool serves in 1.5 s: the
+	// time for which a workspace may use its share at once.
 	const minWithinShare = 7
 	granted, waiting := 0, make(map[RequestID]bool)
 	for n := range uint64(14) {
--- a/control/sim_test.go
+++ b/control/sim_test.go
@@ -19,8 +19,9 @@
 	nodes   map[NodeID]*simNode
 	names   []NodeID
 	targets map[string]*simTarget
-	// delay is the time that a message takes if the network neither loses nor duplicates
-	// messages; loss and duplication are the probabilities of either.
+	// loss and duplication are the probabilities that a message is lost or duplicated. If
+	// both are zero, every message takes delay; otherwise a random time of up to 20 times
+	// delay.
 	delay             time.Duration
 	loss, duplication float64
 	// linkDown reports whether messages between two nodes are dropped.
@@ -32,8 +33,8 @@
 	requests  []*simRequest
 	// onEnd is called when a request has ended.
 	onEnd func(*simRequest)
-	// faults lists the violated invariants.
-	faults []string
+	// violations lists the violated invariants.
+	violations []string
 }
 
 // simEvent is a function to be called at a time.
--- a/control/simtarget_test.go
+++ b/control/simtarget_test.go
@@ -8,21 +8,21 @@
 func (s *sim) dispatch(n *simNode, c Dispatch) {
 	r := s.findRequest(n, c.Request)
 	if r == nil {
-		s.recordFault("dispatch of a request that this process did not receive: %v", c)
+		s.recordViolation("dispatch of a request that this process did not receive: %v", c)
 		return
 	}
 	r.dispatches++
 	if r.dispatches > 1 || r.done {
-		s.recordFault("request %d dispatched %d times, done %v", r.id, r.dispatches, r.done)
+		s.recordViolation("request %d dispatched %d times, done %v", r.id, r.dispatches, r.done)
 	}
 	r.grantedAt = s.now
 	run := &simRun{req: r, grant: c.Grant, node: n, inc: n.inc, target: s.targets[c.Target]}
 	s.after(s.delay, func() { s.runArrived(run) })
 }
 
-// recordFault records a violated invariant.
-func (s *sim) recordFault(format string, args ...any) {
-	s.faults = append(s.faults, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
+// recordViolation records a violated invariant.
+func (s *sim) recordViolation(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
 }
 
 // runArrived handles the arrival of a run at its target.
@@ -98,7 +98,7 @@
 // finishRequest records that a request has ended, which must happen only once.
 func (s *sim) finishRequest(r *simRequest, outcome string) {
 	if r.done {
-		s.recordFault("request %d ended twice: %s, then %s", r.id, r.outcome, outcome)
+		s.recordViolation("request %d ended twice: %s, then %s", r.id, r.outcome, outcome)
 	}
 	r.done = true
 	r.outcome = outcome
--- a/control/suspicion.go
+++ b/control/suspicion.go
@@ -32,7 +32,7 @@
 	// lastPolled is the last target whose load poll was answered, at lastPolledAt.
 	lastPolled   string
 	lastPolledAt Instant
-	// starts holds the state that load polls report of each target.
+	// starts maps a target's name to its start identity and the state of its polls.
 	starts map[string]*targetStart
 }
 
--- a/control/target.go
+++ b/control/target.go
@@ -51,8 +51,10 @@
 	// requests.
 	evacuated bool
 	// coldUntil is when the target's cold period ends; see coldLimit.
-	coldUntil    Instant
-	cold         coldLimit
+	coldUntil Instant
+	cold      coldLimit
+	// failures counts the current series of failures, which began at failingSince. The
+	// target gets no grants before backoffUntil.
 	failures     int
 	failingSince Instant
 	backoffUntil Instant
@@ -171,7 +173,7 @@
 }
 
 // targetFailed gives a target no grants for a while, longer after each failure. Afterwards
-// one run probes it.
+// one run probes it. poll reports that the failure was of a load poll.
 func (m *Machine) targetFailed(t *target, poll bool, cause string) {
 	if !t.isCurrent() {
 		return
@@ -262,7 +264,8 @@
 type prefixSet struct {
 	reported map[uint64]bool
 	recent   map[uint64]bool
-	order    []uint64
+	// order lists the recent ones, oldest first.
+	order []uint64
 }
 
 func (p *prefixSet) has(hash uint64) bool {
--- a/control/tickets.go
+++ b/control/tickets.go
@@ -47,7 +47,7 @@
 	shard  ShardID
 	to     NodeID
 	sentAt Instant
-	// firstAt is when the current series of unanswered sends began.
+	// firstAt is when the current series of unanswered sends began, and tries counts them.
 	firstAt Instant
 	tries   int
 	// quiet reports that the scheduler need not answer at once.
--- a/control/topology.go
+++ b/control/topology.go
@@ -121,7 +121,7 @@
 	return ShardID{Pool: target.Pool, DataCentre: target.DataCentre}
 }
 
-// shareOf returns the weight of a workspace; 1 if it is unknown.
+// shareOf returns the share of a workspace; 1 if it is unknown or none is declared.
 func (t *topology) shareOf(workspace string) float64 {
 	if ws, ok := t.decl.Workspaces[workspace]; ok && ws.Share > 0 {
 		return ws.Share
@@ -200,9 +200,9 @@
 	return t.mayRun(target, ev.Workspace, ev.Excluded) && t.allowedRegions(ev).Allows(t.decl.Targets[target].Region)
 }
 
-// candidates returns the shards of a pool that may serve a workspace: the one in the near
-// data centre first, then the others in an order that differs between requests.
-func (t *topology) candidates(ev RequestArrived, near string) []ShardID {
+// candidateShards returns the shards that may serve a request: the one in the near data
+// centre first, then the others in an order that differs between requests.
+func (t *topology) candidateShards(ev RequestArrived, near string) []ShardID {
 	var ids []ShardID
 	regions := t.allowedRegions(ev)
 	for _, id := range t.pools[ev.Pool] {
--- a/control/unread_test.go
+++ b/control/unread_test.go
@@ -45,7 +45,7 @@
 		t.Errorf("counted %d of 3 while the target is idle", got)
 	}
 	f.now += time.Second
-	const wholeShare = 1e6
+	const wholeShare = 1e6 // seconds of service, more than any share
 	if !f.machine.sched.shards[ShardID{Pool: "gen"}].shares.Take(f.now, "a", wholeShare) {
 		t.Fatal("the share was used up before")
 	}
