--- a/control/messages.go
+++ b/control/messages.go
@@ -8,8 +8,8 @@
 )
 
 // Ticket asks the scheduler of a shard for a grant. It is small, as the request body stays
-// at the entry. The entry sends it again until it is answered. Fields without a comment
-// have the same meaning as in RequestArrived.
+// at the entry. The entry sends it again until it is answered. CostHint, PrefixHash,
+// Fingerprint and Excluded have the same meaning as in RequestArrived.
 type Ticket struct {
 	ID          TicketID
 	Shard       ShardID
@@ -99,7 +99,8 @@
 	Target    string
 	Phase     RunPhase
 	Outcome   Outcome // set with PhaseEnded
-	// Service is the slot time used so far.
+	// Service is the slot time used so far; with PhaseBegan, the time from the grant's
+	// arrival at the entry until the answer began.
 	Service     time.Duration
 	Fingerprint uint64
 	// Work, Reads and Began describe a run to a scheduler that did not grant it: the
--- a/control/rank.go
+++ b/control/rank.go
@@ -42,7 +42,7 @@
 func (r rank) isExcess() bool { return r == rankExcess || r == rankReturning }
 
 // spareFor returns how much of a target a rank may use. Returning requests may use a part,
-// so that lightly loaded engines do not refuse them.
+// so that lightly loaded targets do not refuse them.
 func (m *Machine) spareFor(r rank) policy.SpareLimit {
 	switch r {
 	case rankExcess:
--- a/control/runs.go
+++ b/control/runs.go
@@ -251,7 +251,7 @@
 
 // reportRunInFull reports a run to a scheduler that may not know it, with all that the
 // scheduler needs to count it as if it had granted it. When only the slot was counted,
-// engines with half a second of prompts to read appeared idle and were overfilled.
+// targets with half a second of prompts to read appeared idle and were overfilled.
 func (m *Machine) reportRunInFull(r *run) {
 	report := r.report(m.now, PhaseRunning)
 	report.Work, report.Reads, report.Began = r.work, r.grant.Reads, r.began
--- a/control/shard.go
+++ b/control/shard.go
@@ -175,9 +175,9 @@
 	if known && (len(ws.Targets) > 0 || !slices.Contains(ws.Pools, s.id.Pool)) {
 		onlyWorkspace = t.Workspace
 	}
-	// A crashed engine ran some tens of requests. Keeping all of them on separate targets
-	// would leave the other engines idle; a request that crashes a second one is convicted
-	// anyway.
+	// A target that counts in tokens runs some tens of requests when it crashes. Keeping all
+	// of them on separate targets would leave the other targets idle; a request that crashes
+	// a second one is convicted anyway.
 	suspect := m.isSuspect(t.Fingerprint) && !m.countsTokens(s)
 	if onlyWorkspace != "" || len(t.Excluded) > 0 || suspect {
 		name = onlyWorkspace + "\x00" + strings.Join(t.Excluded, "\x00")
