--- a/control/runs.go
+++ b/control/runs.go
@@ -151,7 +151,7 @@
 	r.ev.Excluded = m.excludedTargets(r.ev)
 	r.tickets = nil
 	r.regions = m.topo.allowedRegions(r.ev)
-	r.shards = m.topo.candidates(r.ev, m.opts.DataCentre)
+	r.shards = m.topo.candidateShards(r.ev, m.opts.DataCentre)
 	if len(r.shards) == 0 {
 		m.removeWaiting(r)
 		m.refuseNoCandidate(r.ev)
@@ -251,7 +251,7 @@
 
 // reportRunInFull reports a run to a scheduler that may not know it, with all that the
 // scheduler needs to count it as if it had granted it. When only the slot was counted,
-// engines with half a second of prompts to read appeared idle and were overfilled.
+// targets with half a second of prompts to read appeared idle and were overfilled.
 func (m *Machine) reportRunInFull(r *run) {
 	report := r.report(m.now, PhaseRunning)
 	report.Work, report.Reads, report.Began = r.work, r.grant.Reads, r.began
