--- a/control/sched/engine.go
+++ b/control/sched/engine.go
@@ -42,7 +42,8 @@
 // time of all granted prompts that are not read yet. The first event of a run shows that
 // its prompt and all earlier ones have been read.
 type Engine struct {
-	slots  int
+	slots int
+	// memory is in tokens; zero means unbounded.
 	memory int64
 	// model is shared by the targets of the pool; slowdown is this target's reading time
 	// divided by that of the model.
@@ -64,7 +65,8 @@
 
 // EngineRun is one run at a target.
 type EngineRun struct {
-	reads  load
+	reads load
+	// memory is what the run occupies, in tokens.
 	memory int64
 	// grantedAt is the time of its grant.
 	grantedAt time.Duration
@@ -189,7 +191,8 @@
 
 // AdoptedRun describes a run that another scheduler granted.
 type AdoptedRun struct {
-	Task  EngineTask
+	Task EngineTask
+	// Reads is the number of prompt tokens that it had to read.
 	Reads int
 	// Age is the time since its grant.
 	Age time.Duration
@@ -290,7 +293,7 @@
 
 // UpdateKept takes the target's report of the prompt parts that it keeps: all of them if
 // whole is set, else those that changed. Parts that were granted within grantGrace are
-// left as they are, because they may not be read yet.
+// left as they are, because they may still be unread.
 func (e *Engine) UpdateKept(now time.Duration, whole bool, parts []EnginePart) {
 	if whole {
 		e.kept.forgetBefore(now - grantGrace)
--- a/control/sched/engine_test.go
+++ b/control/sched/engine_test.go
@@ -45,16 +45,16 @@
 func TestKeptPartsAreNotReadAgain(t *testing.T) {
 	e := newTestEngine(64, 10_000)
 	system := EnginePart{ID: 1, Tokens: 500}
-	thing := EnginePart{ID: 2, Tokens: 4000}
+	document := EnginePart{ID: 2, Tokens: 4000}
 	own := EnginePart{ID: 3, Tokens: 100}
-	prompt := task(4600, 10, system, thing, own)
-	if reads, again := e.Reads(prompt); reads != 4600 || again != 4500 {
-		t.Errorf("%d read, %d of them shared, while nothing is kept", reads, again)
+	prompt := task(4600, 10, system, document, own)
+	if reads, sharedReads := e.Reads(prompt); reads != 4600 || sharedReads != 4500 {
+		t.Errorf("%d read, %d of them shared, while nothing is kept", reads, sharedReads)
 	}
 	e.End(1, e.Start(0, prompt, 4600))
-	other := task(4600, 10, system, thing, EnginePart{ID: 9, Tokens: 100})
-	if reads, again := e.Reads(other); reads != 100 || again != 0 {
-		t.Errorf("%d read, %d of them shared, while the shared parts are kept", reads, again)
+	other := task(4600, 10, system, document, EnginePart{ID: 9, Tokens: 100})
+	if reads, sharedReads := e.Reads(other); reads != 100 || sharedReads != 0 {
+		t.Errorf("%d read, %d of them shared, while the shared parts are kept", reads, sharedReads)
 	}
 	large := task(9000, 10, EnginePart{ID: 5, Tokens: 9000})
 	e.End(3, e.Start(2, large, 9000))
@@ -114,16 +114,16 @@
 	for name, c := range map[string]struct {
 		fixed, token, pair float64
 		noise              func(int) float64
-		least              int
+		minPredicted       int
 	}{
-		"fast":              {0.033, 12e-6, 0.2e-9, steady, 100},
-		"slow, long dear":   {0.060, 29e-6, 1.3e-9, steady, 100},
-		"very slow":         {0.100, 200e-6, 0, steady, 100},
-		"no fixed part":     {0, 20e-6, 0.5e-9, steady, 100},
-		"slow and unsteady": {0.060, 29e-6, 1.3e-9, unsteady, 88},
+		"fast":                      {0.033, 12e-6, 0.2e-9, steady, 100},
+		"slow, long prompts costly": {0.060, 29e-6, 1.3e-9, steady, 100},
+		"very slow":                 {0.100, 200e-6, 0, steady, 100},
+		"no fixed part":             {0, 20e-6, 0.5e-9, steady, 100},
+		"slow and unsteady":         {0.060, 29e-6, 1.3e-9, unsteady, 88},
 	} {
 		e := newTestEngine(64, 0)
-		if predictedCount := countPredictedStarts(e, c.fixed, c.token, c.pair, c.noise); predictedCount < c.least {
+		if predictedCount := countPredictedStarts(e, c.fixed, c.token, c.pair, c.noise); predictedCount < c.minPredicted {
 			t.Errorf("%s: %d of the last 100 starts were predicted correctly", name, predictedCount)
 		}
 	}
@@ -155,27 +155,26 @@
 }
 
 // TestReportedPartsAreUsed checks that a target's report of what it keeps or has dropped
-// changes what it has to read, except for prompts that were granted within the last
-// moments.
+// changes what it has to read, except for prompts that were granted within grantGrace.
 func TestReportedPartsAreUsed(t *testing.T) {
 	e := newTestEngine(64, 100_000)
 	shared, own := EnginePart{ID: 2, Tokens: 4000}, EnginePart{ID: 3, Tokens: 100}
 	prompt := task(4100, 10, shared, own)
 	e.UpdateKept(0, true, []EnginePart{shared})
-	if reads, again := e.Reads(prompt); reads != 100 || again != 0 {
-		t.Errorf("%d read, %d shared, of a part that is kept", reads, again)
+	if reads, sharedReads := e.Reads(prompt); reads != 100 || sharedReads != 0 {
+		t.Errorf("%d read, %d shared, of a part that is kept", reads, sharedReads)
 	}
 	e.UpdateKept(time.Second, false, []EnginePart{{ID: 2, Tokens: 1000}})
-	if reads, again := e.Reads(prompt); reads != 3100 || again != 3000 {
-		t.Errorf("%d read, %d shared, with a quarter of the part kept", reads, again)
+	if reads, sharedReads := e.Reads(prompt); reads != 3100 || sharedReads != 3000 {
+		t.Errorf("%d read, %d shared, with a quarter of the part kept", reads, sharedReads)
 	}
 	e.Start(10*time.Second, prompt, 3100)
 	e.UpdateKept(11*time.Second, true, nil)
-	if _, again := e.Reads(prompt); again != 0 {
+	if _, sharedReads := e.Reads(prompt); sharedReads != 0 {
 		t.Error("a prompt that was granted just now counts as dropped")
 	}
 	e.UpdateKept(20*time.Second, true, nil)
-	if _, again := e.Reads(prompt); again != 4000 {
+	if _, sharedReads := e.Reads(prompt); sharedReads != 4000 {
 		t.Error("a part that the target dropped counts as kept")
 	}
 }
--- a/control/sched/gap.go
+++ b/control/sched/gap.go
@@ -3,8 +3,8 @@
 import "time"
 
 // maxGapRatio defines a gap: a workspace with refused requests has one if it was granted
-// less than this fraction of what the best served workspace was granted, and of its own
-// demand.
+// less than this fraction both of what the best served workspace was granted and of its
+// own demand.
 const maxGapRatio = 0.5
 
 // Gap describes a workspace that was granted much less than another one while its own
--- a/control/sched/kept.go
+++ b/control/sched/kept.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// grantGrace is how long after its grant a prompt may not be read, or not be reported as
-// kept: targets report some hundred milliseconds late.
+// grantGrace is how long after its grant a prompt may still be unread, or missing from the
+// target's reports: targets report some hundred milliseconds late.
 const grantGrace = 2 * time.Second
 
 // keptParts estimates which prompt parts a target keeps: the most recently used of those
--- a/control/sched/queue.go
+++ b/control/sched/queue.go
@@ -125,7 +125,7 @@
 }
 
 // PushWithCredit is Push for a workspace that may have credit because it waits
-// elsewhere: it is raised only to credit below the others.
+// elsewhere: it is raised only to the others' service minus credit.
 func (q *Queue[T]) PushWithCredit(now time.Duration, workspace, className string, total, credit float64, value T) (*Flow[T], *Item[T]) {
 	f := q.flows[workspace]
 	if f == nil {
--- a/control/sched/queue_test.go
+++ b/control/sched/queue_test.go
@@ -25,7 +25,7 @@
 
 func TestIdleWorkspaceGainsNoCredit(t *testing.T) {
 	q := NewQueue[int]()
-	q.Push(0, "sleeper", "", 0, 0)
+	q.Push(0, "idle", "", 0, 0)
 	serve(q, 0, 1)
 	for i := range 100 {
 		q.Push(0, "busy", "", q.total("busy"), i)
@@ -36,11 +36,11 @@
 	// The idle workspace is remembered with its old service. It must not be served more
 	// often than every second time.
 	for i := range 20 {
-		q.Push(2*time.Second, "sleeper", "", q.total("sleeper"), i)
+		q.Push(2*time.Second, "idle", "", q.total("idle"), i)
 	}
 	served := 0
 	for range 20 {
-		if w, _ := serve(q, 2*time.Second, 1); w == "sleeper" {
+		if w, _ := serve(q, 2*time.Second, 1); w == "idle" {
 			served++
 		}
 	}
@@ -152,8 +152,8 @@
 	}
 	serve(q, 0, 7)
 	pending = 6 // 7 are charged, of which 1 is received
-	woken, _ := q.Push(time.Second, "woken", "", 0, 0)
-	if key := woken.Key(); key != 1 {
+	activated, _ := q.Push(time.Second, "activated", "", 0, 0)
+	if key := activated.Key(); key != 1 {
 		t.Errorf("the workspace starts at %v, want the other's received service, 1", key)
 	}
 }
--- a/control/sched/reading.go
+++ b/control/sched/reading.go
@@ -66,7 +66,7 @@
 // least squares to the latest starts.
 //
 // With the pairs and the fixed part, 85 of 100 starts at low load were within a quarter
-// or 30 ms of the prediction; with a rate and one factor over it, 58 of 100 were.
+// or 30 ms of the prediction. With only a rate and a factor on it, 58 of 100 were.
 //
 // All targets of a pool share a model, so a target that was just added is predicted from
 // what the others do. ReadModel is not safe for concurrent use.
@@ -109,8 +109,8 @@
 // seconds returns the predicted reading time of a load at a target with slowdown 1.
 func (r *ReadModel) seconds(l load) float64 { return r.token*l.tokens + r.pair*l.pairs }
 
-// learn records that the first event came after took seconds of reading the given load
-// at a target with the given slowdown.
+// learn records one start at a target with the given slowdown: from when the target began
+// to read the given load, it took this many seconds until the first event.
 func (r *ReadModel) learn(l load, slowdown, took float64) {
 	if r.Frozen {
 		return
--- a/control/sched/shares.go
+++ b/control/sched/shares.go
@@ -10,8 +10,8 @@
 	// demandTimeConstant is the time constant of the demand average. A shorter one
 	// follows bursts sooner, but mistakes random variation for demand.
 	demandTimeConstant = 1500 * time.Millisecond
-	// shareBurstWindow is the time's worth of its share that a workspace may use at once
-	// after it asked for less.
+	// shareBurstWindow bounds the unused share that a workspace may save up and then use
+	// at once, as a time at the rate of its share.
 	shareBurstWindow = 1500 * time.Millisecond
 	// levelInterval is how often the level is recomputed.
 	levelInterval = 100 * time.Millisecond
@@ -48,14 +48,13 @@
 	demand float64
 	// granted decays like demand and sums what the workspace was granted.
 	granted float64
-	// served is granted plus any amount that the workspace counts as served in addition.
-	// Workspaces are compared by it.
+	// served is granted plus what raiseServed added. Workspaces are compared by it.
 	served float64
 	// size is the average amount of one of its requests. unread decays like granted and
 	// estimates the amount of the requests that routers refused unread.
 	size   float64
 	unread float64
-	// credit is the amount that the workspace may use at once.
+	// credit is the unused part of the share, which the workspace may use at once.
 	credit    float64
 	updatedAt time.Duration
 	// refusedAt is when a request was last refused for lack of capacity, if refused is
--- a/control/sched/window.go
+++ b/control/sched/window.go
@@ -11,7 +11,8 @@
 	settleTimeout = 500 * time.Millisecond
 	// maxReportLag is the longest delay of a load report that the window allows for.
 	maxReportLag = 2 * time.Second
-	// foreignTimeout is how long load of other schedulers counts without a new report.
+	// foreignTimeout is how long reported load that this scheduler did not grant counts
+	// without a new report.
 	foreignTimeout = 3 * time.Second
 	// minOverheadRatio is the fraction of a run's slot time that may be lost between
 	// runs before the window allows more grants than the target's slots.
--- a/control/sched/window_test.go
+++ b/control/sched/window_test.go
@@ -22,7 +22,7 @@
 			case 1:
 				if w.Held() > 0 {
 					service := time.Duration(rapid.IntRange(0, 2000).Draw(t, "service")) * time.Millisecond
-					w.Ended(now, service, time.Duration(rapid.IntRange(-10, 500).Draw(t, "loop"))*time.Millisecond)
+					w.Ended(now, service, time.Duration(rapid.IntRange(-10, 500).Draw(t, "overhead"))*time.Millisecond)
 				}
 			default:
 				if w.Free(now) > 0 {
