--- a/control/quarantine/tracker.go
+++ b/control/quarantine/tracker.go
@@ -48,7 +48,7 @@
 // interval is a time in which a target is known not to have crashed.
 type interval struct{ since, until Instant }
 
-func (s interval) contains(at Instant) bool { return at >= s.since && at <= s.until }
+func (i interval) contains(at Instant) bool { return at >= i.since && at <= i.until }
 
 // New returns an empty tracker.
 func New(options Options) *Tracker {
@@ -164,8 +164,8 @@
 	maps.DeleteFunc(t.confirmedAt, func(_ string, at Instant) bool {
 		return now-at > t.options.ConfirmWindow
 	})
-	maps.DeleteFunc(t.uptimes, func(_ string, s interval) bool {
-		return now-s.until > t.options.ConfirmWindow
+	maps.DeleteFunc(t.uptimes, func(_ string, uptime interval) bool {
+		return now-uptime.until > t.options.ConfirmWindow
 	})
 	t.completions.expire(now - t.options.EvidenceTTL - t.options.CompletionTTL)
 	var out Output
@@ -216,26 +216,26 @@
 
 // retract removes the crashes of a target within an interval, and notifies the other
 // routers if there was one.
-func (t *Tracker) retract(now Instant, target string, s interval, out *Output) {
-	t.uptimes[target] = s
-	if s.contains(t.confirmedAt[target]) {
+func (t *Tracker) retract(now Instant, target string, uptime interval, out *Output) {
+	t.uptimes[target] = uptime
+	if uptime.contains(t.confirmedAt[target]) {
 		delete(t.confirmedAt, target)
 	}
-	if !t.crashedWithin(target, s) {
+	if !t.crashedWithin(target, uptime) {
 		return
 	}
-	t.crashes = slices.DeleteFunc(t.crashes, func(c *crash) bool { return c.target == target && s.contains(c.at) })
+	t.crashes = slices.DeleteFunc(t.crashes, func(c *crash) bool { return c.target == target && uptime.contains(c.at) })
 	t.changed = true
-	out.Notices = append(out.Notices, Notice{Kind: NoticeRetraction, Target: target, Age: now - s.since})
+	out.Notices = append(out.Notices, Notice{Kind: NoticeRetraction, Target: target, Age: now - uptime.since})
 }
 
-func (t *Tracker) crashedWithin(target string, s interval) bool {
-	return slices.ContainsFunc(t.crashes, func(c *crash) bool { return c.target == target && s.contains(c.at) })
+func (t *Tracker) crashedWithin(target string, uptime interval) bool {
+	return slices.ContainsFunc(t.crashes, func(c *crash) bool { return c.target == target && uptime.contains(c.at) })
 }
 
 // addCrash adds fingerprints to a crash, and a notice to out if any of them was new.
 func (t *Tracker) addCrash(now, at Instant, target string, running []uint64, out *Output) {
-	if s, ok := t.uptimes[target]; ok && s.contains(at) {
+	if uptime, ok := t.uptimes[target]; ok && uptime.contains(at) {
 		return
 	}
 	var suspects []uint64
