--- a/control/account/account_test.go
+++ b/control/account/account_test.go
@@ -68,7 +68,8 @@
 			case 1:
 				current = 1 - current
 				if pause := rapid.IntRange(0, 2).Draw(t, "pause"); pause < 2 {
-					// After a short absence: a session delivers in order or not at all.
+					// After so short a pause no late report arrives: a session delivers in
+					// order or not at all.
 					now += time.Duration(pause) * reportTTL / 2
 					late = nil
 				} else {
@@ -171,9 +172,9 @@
 		totals.Report(time.Second, Source{name, 1}, "w", report)
 	}
 	sendReport(old, "old", true)
-	sendReport(restarted, "anew", false)
+	sendReport(restarted, "restarted", false)
 	for from, counts := range totals.Push(time.Second) {
-		e := map[string]*Entry{"old": old, "anew": restarted}[from.Node]
+		e := map[string]*Entry{"old": old, "restarted": restarted}[from.Node]
 		e.Learn(time.Second, counts[0].Level, counts[0].Own, counts[0].Elsewhere)
 	}
 	if restarted.Total() != 107 || !restarted.Known() {
--- a/control/account/totals.go
+++ b/control/account/totals.go
@@ -33,8 +33,8 @@
 	pending    float64
 	waiting    bool
 	reportedAt time.Duration
-	// stale is set if the level may include more of its service than own. A new report
-	// of own is needed before its growth counts or the level is sent to it.
+	// stale is set if the level may include more of its service than own. Its next
+	// report has to arrive before the growth of own counts or the level is sent to it.
 	stale bool
 }
 
