--- a/control/member/view.go
+++ b/control/member/view.go
@@ -51,8 +51,9 @@
 	hash              uint64
 	listed            bool
 	listedLeaving     bool
-	returned          bool
-	heardAt           time.Duration
+	// returned is set once ApplyList has returned it as new.
+	returned bool
+	heardAt  time.Duration
 	// watched is set if this node watches it, since watchedFrom.
 	watched              bool
 	watchedFrom          time.Duration
--- a/control/member/view_test.go
+++ b/control/member/view_test.go
@@ -100,20 +100,20 @@
 
 func TestOneWatcherAloneIsNotEnoughToSuspect(t *testing.T) {
 	v := newFleetView("n0", 40)
-	var far string // a node that n0 does not watch
+	var unwatched string // a node that n0 does not watch
 	for _, n := range v.Nodes() {
 		if !n.watched {
-			far = n.Name
+			unwatched = n.Name
 		}
 	}
 	at := 10 * time.Second
-	v.Suspected(at, far, "n1", 1)
-	v.Suspected(at, far, "n1", 1)
-	if !v.Alive(far) {
+	v.Suspected(at, unwatched, "n1", 1)
+	v.Suspected(at, unwatched, "n1", 1)
+	if !v.Alive(unwatched) {
 		t.Error("one watcher sufficed to suspect a node")
 	}
-	v.Suspected(at, far, "n2", 1)
-	if v.Alive(far) {
+	v.Suspected(at, unwatched, "n2", 1)
+	if v.Alive(unwatched) {
 		t.Error("two watchers did not suffice to suspect a node")
 	}
 }
