--- a/control/policy/tokens.go
+++ b/control/policy/tokens.go
@@ -9,9 +9,9 @@
 
 // Tokens is the policy for pools that count work in tokens.
 type Tokens struct {
-	// WaitPart is the fraction of the pool's shortest objective that reading a target's
-	// unread prompts may take. The rest is for the request's own prompt, and for the
-	// chunks of other prompts that targets read in between. In seconds per second.
+	// WaitPart is the fraction of the pool's shortest objective, in seconds per second,
+	// that reading a target's unread prompts may take. The rest is for the request's own
+	// prompt, and for the chunks of other prompts that targets read in between.
 	WaitPart float64 `toml:"wait_part"`
 	// KeeperPart is the factor by which the wait may be longer at a target that keeps
 	// the shared parts of a prompt: a longer queue there costs less than reading them
