--- a/control/loadtest/loadtest_test.go
+++ b/control/loadtest/loadtest_test.go
@@ -48,11 +48,11 @@
 	return sum
 }
 
-// crowdedResult is the result of the crowded load with the default policy.
-var crowdedResult = sync.OnceValue(func() Result { return simulateSeeds(crowded(), policy.Default()) })
+// hotWorkspaceResult is the result of hotWorkspacePattern with the default policy.
+var hotWorkspaceResult = sync.OnceValue(func() Result { return simulateSeeds(hotWorkspacePattern(), policy.Default()) })
 
-// calmResult is the result of the calm load with the default policy.
-var calmResult = sync.OnceValue(func() Result { return simulateSeeds(calm(), policy.Default()) })
+// lowLoadResult is the result of lowLoadPattern with the default policy.
+var lowLoadResult = sync.OnceValue(func() Result { return simulateSeeds(lowLoadPattern(), policy.Default()) })
 
 func (r *Result) add(other *Result) {
 	r.Requests += other.Requests
@@ -100,11 +100,12 @@
 	return lowest
 }
 
-// calm is a load that the engines can serve. crowded is 1.3 times the load of
-// smallMemory, with a workspace that sends eight times as much for ten seconds.
-func calm() Pattern { return smallMemory().scaled(0.6) }
+// lowLoadPattern is a load that the engines can serve.
+func lowLoadPattern() Pattern { return smallMemory().scaled(0.6) }
 
-func crowded() Pattern {
+// hotWorkspacePattern is 1.3 times the load of smallMemory, with a workspace that sends
+// eight times as much for ten seconds.
+func hotWorkspacePattern() Pattern {
 	p := smallMemory().scaled(1.3)
 	p.Name = "hot workspace"
 	p.HotFactor, p.HotFrom, p.HotTo = 8, 4*time.Second, 14*time.Second
@@ -114,7 +115,7 @@
 // TestSameSeedGivesSameResult checks that simulations are reproducible.
 func TestSameSeedGivesSameResult(t *testing.T) {
 	for seed := range uint64(3) {
-		one, two := Simulate(crowded(), policy.Default(), seed), Simulate(crowded(), policy.Default(), seed)
+		one, two := Simulate(hotWorkspacePattern(), policy.Default(), seed), Simulate(hotWorkspacePattern(), policy.Default(), seed)
 		if !reflect.DeepEqual(one, two) {
 			t.Errorf("seed %d:\n%+v\n%+v", seed, one, two)
 		}
@@ -127,13 +128,13 @@
 // instead of 70 in four simulations), and at low load more than twice as many (26
 // instead of 11).
 func TestColdStart(t *testing.T) {
-	highLoad := crowdedResult()
+	highLoad := hotWorkspaceResult()
 	if highLoad.EarlyLate > 85 {
-		t.Errorf("%d late of the first second", highLoad.EarlyLate)
+		t.Errorf("high load: %d late of the first second", highLoad.EarlyLate)
 	}
-	lowLoad := calmResult()
+	lowLoad := lowLoadResult()
 	if lowLoad.Late > 20 || lowLoad.InTimeRatio() < 0.98 {
-		t.Errorf("calm: %d late, %.3f in time", lowLoad.Late, lowLoad.InTimeRatio())
+		t.Errorf("low load: %d late, %.3f in time", lowLoad.Late, lowLoad.InTimeRatio())
 	}
 }
 
@@ -141,7 +142,7 @@
 // load 89 of 100 starts are predicted within a quarter or 30 ms, and 62 at high load,
 // where later grants delay earlier ones. Without learning, these are 86 and 57.
 func TestStartsArePredicted(t *testing.T) {
-	lowLoad, highLoad := calmResult(), crowdedResult()
+	lowLoad, highLoad := lowLoadResult(), hotWorkspaceResult()
 	if lowLoad.PredictedRatio() < 0.87 || highLoad.PredictedRatio() < 0.595 {
 		t.Errorf("%.3f of the starts were predicted at low load, %.3f at high load", lowLoad.PredictedRatio(), highLoad.PredictedRatio())
 	}
@@ -152,9 +153,9 @@
 // shared tokens that are read again by a third and has more requests in time. Placement
 // that ignores kept parts reads twice as many tokens again.
 func TestSharedPartsUnderEviction(t *testing.T) {
-	kept := crowdedResult()
-	withoutFetch := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoFetch = true }))
-	withoutKept := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoKept = true }))
+	kept := hotWorkspaceResult()
+	withoutFetch := simulateSeeds(hotWorkspacePattern(), policyWith(func(p *policy.Tokens) { p.NoFetch = true }))
+	withoutKept := simulateSeeds(hotWorkspacePattern(), policyWith(func(p *policy.Tokens) { p.NoKept = true }))
 	if float64(kept.TokensReread) > 0.7*float64(withoutFetch.TokensReread) || kept.InTimeRatio() < withoutFetch.InTimeRatio()+0.03 {
 		t.Errorf("%d tokens read again and %.3f in time, %d and %.3f without fetches",
 			kept.TokensReread, kept.InTimeRatio(), withoutFetch.TokensReread, withoutFetch.InTimeRatio())
@@ -168,19 +169,19 @@
 // TestHotWorkspace has one workspace send eight times as much. The worst served of the
 // others has 59 of 100 requests in time; without shares, 45.
 func TestHotWorkspace(t *testing.T) {
-	withShares := crowdedResult()
-	withoutShares := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoShares = true }))
+	withShares := hotWorkspaceResult()
+	withoutShares := simulateSeeds(hotWorkspacePattern(), policyWith(func(p *policy.Tokens) { p.NoShares = true }))
 	if withShares.worstInTimeRatio() < 0.55 || withShares.worstInTimeRatio() < withoutShares.worstInTimeRatio()+0.08 {
 		t.Errorf("worst served: %.3f in time, %.3f without shares", withShares.worstInTimeRatio(), withoutShares.worstInTimeRatio())
 	}
 }
 
 // TestReturningRequestsGoLast checks that requests which are sent again after a refusal
-// are served last, as they are late in any case. Served like new requests, they reduce
-// the requests in time by one in twenty of all (48 instead of 52 of 100).
+// are served last, as they are late in any case. If they are served like new requests,
+// about one request in twenty fewer is in time (48 instead of 52 of 100).
 func TestReturningRequestsGoLast(t *testing.T) {
-	servedLast := crowdedResult()
-	servedAlike := simulateSeeds(crowded(), policyWith(func(p *policy.Tokens) { p.NoReturning = true }))
+	servedLast := hotWorkspaceResult()
+	servedAlike := simulateSeeds(hotWorkspacePattern(), policyWith(func(p *policy.Tokens) { p.NoReturning = true }))
 	if servedLast.InTimeRatio() < servedAlike.InTimeRatio()+0.03 {
 		t.Errorf("%.3f in time, %.3f if returning requests are served like new ones", servedLast.InTimeRatio(), servedAlike.InTimeRatio())
 	}
@@ -189,11 +190,11 @@
 // TestPowerLoss has all routers lose their memory under load. Only requests that arrive
 // while they are down are lost: within one second, starts are in time again.
 func TestPowerLoss(t *testing.T) {
-	p := calm()
+	p := lowLoadPattern()
 	p.PowerLossAt, p.PowerLossFor = 8*time.Second, 700*time.Millisecond
-	played := simulateSeeds(p, policy.Default())
-	if played.ReturnLate > 5 || played.InTimeRatio() < 0.93 {
-		t.Errorf("%d late in the second after the routers return, %.3f in time", played.ReturnLate, played.InTimeRatio())
+	got := simulateSeeds(p, policy.Default())
+	if got.ReturnLate > 5 || got.InTimeRatio() < 0.93 {
+		t.Errorf("%d late in the second after the routers return, %.3f in time", got.ReturnLate, got.InTimeRatio())
 	}
 }
 
@@ -201,11 +202,11 @@
 // tenths of a second, as happens when many targets crash at once. Two workspaces ask for
 // more than the capacity, the first through all routers and the second through one.
 // Routers whose scheduler does not answer grant on their own knowledge.
-func stallPattern(lasts time.Duration) Pattern {
+func stallPattern(stallFor time.Duration) Pattern {
 	p := smallMemory().scaled(15)
 	p.Name = "stall of the scheduler"
 	p.Routers, p.Workspaces, p.SingleRouter = 24, 2, true
-	p.StallAt, p.StallFor = 4*time.Second, lasts
+	p.StallAt, p.StallFor = 4*time.Second, stallFor
 	p.Length = p.StallAt + stallWindow
 	return p
 }
@@ -214,13 +215,13 @@
 // seconds after the scheduler stalls, whether its callers use one router or all.
 func TestStallIsFair(t *testing.T) {
 	const promised = 0.5
-	for _, lasts := range []time.Duration{0, 400 * time.Millisecond} {
+	for _, stallFor := range []time.Duration{0, 400 * time.Millisecond} {
 		for seed := range uint64(2) {
-			got := Simulate(stallPattern(lasts), policy.Default(), seed+1).Workspaces
+			got := Simulate(stallPattern(stallFor), policy.Default(), seed+1).Workspaces
 			all, one := got[workspaceName(0)], got[workspaceName(1)]
-			t.Logf("stall of %s: %d tokens through all routers, %d through one; %d and %d requests in time", lasts, all.TokensAfterStall, one.TokensAfterStall, all.InTime, one.InTime)
+			t.Logf("stall of %s: %d tokens through all routers, %d through one; %d and %d requests in time", stallFor, all.TokensAfterStall, one.TokensAfterStall, all.InTime, one.InTime)
 			if float64(min(all.TokensAfterStall, one.TokensAfterStall)) < promised*float64(max(all.TokensAfterStall, one.TokensAfterStall)) {
-				t.Errorf("stall of %s, seed %d: %d tokens through all routers, %d through one", lasts, seed+1, all.TokensAfterStall, one.TokensAfterStall)
+				t.Errorf("stall of %s, seed %d: %d tokens through all routers, %d through one", stallFor, seed+1, all.TokensAfterStall, one.TokensAfterStall)
 			}
 		}
 	}
@@ -250,10 +251,10 @@
 			for _, served := range got {
 				best = max(best, served.TokensAfterStall)
 			}
-			crowded := got[workspaceName(1)].TokensAfterStall
-			t.Logf("%d workspaces: %d tokens through the crowded router, %d at most", workspaces, crowded, best)
-			if float64(crowded) < promised*float64(best) {
-				t.Errorf("%d workspaces, seed %d: %d tokens through the crowded router, %d at most", workspaces, seed+1, crowded, best)
+			crowdedTokens := got[workspaceName(1)].TokensAfterStall
+			t.Logf("%d workspaces: %d tokens through the crowded router, %d at most", workspaces, crowdedTokens, best)
+			if float64(crowdedTokens) < promised*float64(best) {
+				t.Errorf("%d workspaces, seed %d: %d tokens through the crowded router, %d at most", workspaces, seed+1, crowdedTokens, best)
 			}
 		}
 	}
@@ -262,12 +263,12 @@
 // crashPattern is a load beyond the capacity of the pool in which a quarter of the
 // engines crash for two seconds, and the router that schedules the pool processes no
 // events for some time from then on. The callers of the second workspace use one router.
-func crashPattern(stalls time.Duration) Pattern {
+func crashPattern(stallFor time.Duration) Pattern {
 	p := smallMemory().scaled(12)
 	p.Name = "crash"
 	p.Engines, p.PerSecond = 4*p.Engines, 4*p.PerSecond
 	p.Routers, p.Workspaces, p.SingleRouter = 24, 8, true
-	p.StallAt, p.StallFor = 4*time.Second, stalls
+	p.StallAt, p.StallFor = 4*time.Second, stallFor
 	p.CrashEvery, p.CrashFor = 4, 2*time.Second
 	p.Length = p.StallAt + stallWindow
 	return p
@@ -277,17 +278,17 @@
 // seconds after a crash of engines whose requests are all sent again at once.
 func TestCrashIsFair(t *testing.T) {
 	const promised = 0.5
-	for _, stalls := range []time.Duration{0, 400 * time.Millisecond} {
+	for _, stallFor := range []time.Duration{0, 400 * time.Millisecond} {
 		for seed := range uint64(2) {
-			played := Simulate(crashPattern(stalls), policy.Default(), seed+1)
-			least, most, again := math.MaxInt, 0, 0
-			for _, served := range played.Workspaces {
+			got := Simulate(crashPattern(stallFor), policy.Default(), seed+1)
+			least, most, resent := math.MaxInt, 0, 0
+			for _, served := range got.Workspaces {
 				least, most = min(least, served.TokensAfterStall), max(most, served.TokensAfterStall)
-				again += served.TokensResent
+				resent += served.TokensResent
 			}
-			t.Logf("stall of %s: %d to %d tokens per workspace, %d in total sent again; %d of %d in time", stalls, least, most, again, played.InTime, played.Requests)
+			t.Logf("stall of %s: %d to %d tokens per workspace, %d in total sent again; %d of %d in time", stallFor, least, most, resent, got.InTime, got.Requests)
 			if float64(least) < promised*float64(most) {
-				t.Errorf("stall of %s, seed %d: %d to %d tokens per workspace", stalls, seed+1, least, most)
+				t.Errorf("stall of %s, seed %d: %d to %d tokens per workspace", stallFor, seed+1, least, most)
 			}
 		}
 	}
--- a/control/loadtest/pattern.go
+++ b/control/loadtest/pattern.go
@@ -14,7 +14,7 @@
 	// Routers, Engines and Workspaces are the numbers of each.
 	Routers, Engines, Workspaces int
 	Engine                       EngineSpec
-	// SlowEvery makes every SlowEvery-th engine slower by SlowFactor; 0 means none.
+	// SlowEvery makes every SlowEvery-th engine SlowFactor times as slow; 0 means none.
 	SlowEvery  int
 	SlowFactor float64
 	// PerSecond and FetchedPerSecond are declared for the pool, in tokens per second.
@@ -44,7 +44,8 @@
 
 // Kind is one kind of request.
 type Kind struct {
-	Name      string
+	Name string
+	// PerSecond is the number of requests per second.
 	PerSecond float64
 	// Groups and Items are how many different parts there are on each of the two levels
 	// that requests share, and GroupTokens and ItemTokens their lengths.
@@ -118,10 +119,10 @@
 	}
 }
 
-// PredictedRatio returns the fraction of the starts that was predicted.
+// PredictedRatio returns the fraction of the starts that were predicted.
 func (r *Result) PredictedRatio() float64 { return float64(r.Predicted) / float64(max(1, r.Starts)) }
 
-// InTimeRatio returns the fraction of the requests that began in time.
+// InTimeRatio returns the fraction of the requests whose first event came in time.
 func (r *Result) InTimeRatio() float64 { return float64(r.InTime) / float64(max(1, r.Requests)) }
 
 // scheduleArrival schedules the next request of a kind.
