--- a/front/answer.go
+++ b/front/answer.go
@@ -74,7 +74,7 @@
 }
 
 // httpStatus returns the HTTP status of a refusal. Where callers rely on the status
-// alone (Dialect.StatusPromises), a status that promises that the request did not run
+// alone (Dialect.StatusTellsNotRun), a status that promises that the request did not run
 // is used if and only if the request did not run; requests that would be refused again
 // keep their own status.
 func (s *Server) httpStatus(refusal *result.Error) int {
--- a/front/arrivals.go
+++ b/front/arrivals.go
@@ -76,7 +76,7 @@
 	return b.register(&bodyReservation{owner: b, refusal: refusal}, now)
 }
 
-// register numbers a reservation and sets its expiry. The caller holds a.mu.
+// register numbers a reservation and sets its expiry. The caller holds b.mu.
 func (b *bodyReservations) register(reservation *bodyReservation, now time.Time) uint64 {
 	b.lastNumber++
 	reservation.number = b.lastNumber
@@ -87,7 +87,7 @@
 }
 
 // expire frees the bytes reserved for bodies that did not arrive in time. The
-// caller holds a.mu.
+// caller holds b.mu.
 func (b *bodyReservations) expire(now time.Time) {
 	for len(b.byExpiry) > 0 && (b.byExpiry[0].claimed || now.After(b.byExpiry[0].expiresAt)) {
 		first := b.byExpiry[0]
@@ -122,7 +122,7 @@
 	r.owner.shrinkLocked(r, bytes)
 }
 
-// shrinkLocked is shrinkTo for callers that hold a.mu.
+// shrinkLocked is shrinkTo for callers that hold b.mu.
 func (b *bodyReservations) shrinkLocked(reservation *bodyReservation, size int64) {
 	excess := reservation.bytes - size
 	if excess <= 0 {
--- a/front/arrivals_test.go
+++ b/front/arrivals_test.go
@@ -15,49 +15,49 @@
 
 func TestHeldBytesAreSharedAmongWorkspaces(t *testing.T) {
 	now := time.Unix(0, 0)
-	a := newBodyReservations(1000, time.Minute)
-	announce := func(workspace string, bytes int64, want bool) *bodyReservation {
+	b := newBodyReservations(1000, time.Minute)
+	reserve := func(workspace string, bytes int64, want bool) *bodyReservation {
 		t.Helper()
-		number, ok := a.reserve(workspace, bytes, now)
+		number, ok := b.reserve(workspace, bytes, now)
 		if ok != want {
-			t.Fatalf("%s, %d bytes: reserved %t with %d bytes held", workspace, bytes, ok, a.heldBytes())
+			t.Fatalf("%s, %d bytes: reserved %t with %d bytes held", workspace, bytes, ok, b.heldBytes())
 		}
 		if !ok {
 			return nil
 		}
-		return a.claim(number)
+		return b.claim(number)
 	}
-	first := announce("flood", 500, true)
-	announce("flood", 1, false) // a workspace may hold at most what is left free
-	small := announce("small", 250, true)
-	announce("small", 1, false)
-	announce("late", 125, true)
+	first := reserve("flood", 500, true)
+	reserve("flood", 1, false) // a workspace may hold at most what is left free
+	small := reserve("small", 250, true)
+	reserve("small", 1, false)
+	reserve("late", 125, true)
 	first.shrinkTo(300)
-	announce("flood", 100, false)
+	reserve("flood", 100, false)
 	small.shrinkTo(0)
-	announce("flood", 100, true)
+	reserve("flood", 100, true)
 	first.shrinkTo(0)
 	first.shrinkTo(0) // has no further effect
-	if a.heldBytes() != 225 {
-		t.Errorf("%d bytes held", a.heldBytes())
+	if b.heldBytes() != 225 {
+		t.Errorf("%d bytes held", b.heldBytes())
 	}
 }
 
 func TestReservationsExpire(t *testing.T) {
 	now := time.Unix(0, 0)
-	a := newBodyReservations(1000, time.Minute)
-	unclaimed, _ := a.reserve("w", 400, now)
-	claimed, _ := a.reserve("w", 100, now)
-	a.claim(claimed)
-	a.recordRefusal(result.New(result.KeyWrong, "Wrong."), now)
-	if _, ok := a.reserve("w", 400, now.Add(time.Minute)); ok {
+	b := newBodyReservations(1000, time.Minute)
+	unclaimed, _ := b.reserve("w", 400, now)
+	claimed, _ := b.reserve("w", 100, now)
+	b.claim(claimed)
+	b.recordRefusal(result.New(result.KeyWrong, "Wrong."), now)
+	if _, ok := b.reserve("w", 400, now.Add(time.Minute)); ok {
 		t.Error("bytes were reserved twice")
 	}
-	if _, ok := a.reserve("w", 400, now.Add(time.Minute+1)); !ok || a.heldBytes() != 500 {
-		t.Errorf("%d bytes held after the expiry", a.heldBytes())
+	if _, ok := b.reserve("w", 400, now.Add(time.Minute+1)); !ok || b.heldBytes() != 500 {
+		t.Errorf("%d bytes held after the expiry", b.heldBytes())
 	}
-	if a.claim(unclaimed) != nil || a.claim(claimed) != nil || len(a.pending) != 1 || len(a.byExpiry) != 1 {
-		t.Errorf("%d pending, %d in expiry order", len(a.pending), len(a.byExpiry))
+	if b.claim(unclaimed) != nil || b.claim(claimed) != nil || len(b.pending) != 1 || len(b.byExpiry) != 1 {
+		t.Errorf("%d pending, %d in expiry order", len(b.pending), len(b.byExpiry))
 	}
 }
 
--- a/front/conn.go
+++ b/front/conn.go
@@ -72,8 +72,9 @@
 	rejected
 )
 
-// callerConn is a caller's connection. Only its serving goroutine reads and
-// writes; raw, limitIdleWait and Conn.Close may be used by others too.
+// callerConn is a caller's connection. Only its serving goroutine reads and writes,
+// apart from writeEarlyRefusal; raw, limitIdleWait and Conn.Close may be used by
+// others too.
 type callerConn struct {
 	net.Conn
 	server *Server
--- a/front/endby.go
+++ b/front/endby.go
@@ -14,7 +14,7 @@
 // while the exchange was still running.
 var errRefusedAtDeadline = errors.New("front: the caller was already refused at its deadline")
 
-// Values of request.answerOwner: who answers the caller.
+// Values of request.answerOwner.
 const (
 	answerUnclaimed int32 = iota
 	answeredByExchange
@@ -22,7 +22,8 @@
 )
 
 // refuseAt implements pipeline.Exchange.EndBy: unless stop is called before the
-// deadline, the caller gets the error that newRefusal returns.
+// deadline, the caller gets the error that newRefusal returns. stop returns false if the
+// caller has been refused.
 func (r *request) refuseAt(deadline time.Time, newRefusal func() error) (stop func() bool) {
 	timer := time.AfterFunc(time.Until(deadline), func() {
 		r.refusalMu.Lock()
--- a/front/endby_test.go
+++ b/front/endby_test.go
@@ -16,11 +16,11 @@
 
 // refusedAtHandler returns a handler that answers after answerAfter and whose callers are
 // refused after refuseAfter. It sends to dropped whether the refusal came first.
-func refusedAtHandler(refuseAfter, answerAfter time.Duration, dropped chan<- bool) pipeline.Handler {
+func refusedAtHandler(refuseAfter, answerAfter time.Duration, refusedFirst chan<- bool) pipeline.Handler {
 	return func(_ context.Context, ex *pipeline.Exchange) error {
 		stop := ex.EndBy(ex.Arrived.Add(refuseAfter), func() error { return result.New(result.FirstByteTimeout, "Too late.") })
 		time.Sleep(answerAfter)
-		dropped <- !stop()
+		refusedFirst <- !stop()
 		ex.Status = http.StatusOK
 		ex.AnswerBody = []byte("answer")
 		return nil
@@ -31,8 +31,8 @@
 // end, is incomplete, or is followed by an answer.
 func TestRefusalAtDeadlineWhileExchangeRuns(t *testing.T) {
 	const refuseAfter, answerAfter = 50 * time.Millisecond, 600 * time.Millisecond
-	dropped := make(chan bool, 1)
-	f := start(t, Options{}, refusedAtHandler(refuseAfter, answerAfter, dropped))
+	refusedFirst := make(chan bool, 1)
+	f := start(t, Options{}, refusedAtHandler(refuseAfter, answerAfter, refusedFirst))
 	sent := time.Now()
 	conn, r := f.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
 	response := f.answer(r)
@@ -45,7 +45,7 @@
 	if f.Active() != 1 {
 		t.Errorf("%d exchanges are running", f.Active())
 	}
-	if !<-dropped {
+	if !<-refusedFirst {
 		t.Error("the exchange was not told that its caller had been refused")
 	}
 	if err := <-f.ends; !errors.Is(err, errRefusedAtDeadline) {
@@ -57,8 +57,8 @@
 // refusal are ready at the same time.
 func TestDeadlineRefusalRacesAnswer(t *testing.T) {
 	const callers, requestsEach, bothAfter = 16, 20, 10 * time.Millisecond
-	dropped := make(chan bool, callers*requestsEach)
-	f := start(t, Options{}, refusedAtHandler(bothAfter, bothAfter, dropped))
+	refusedFirst := make(chan bool, callers*requestsEach)
+	f := start(t, Options{}, refusedAtHandler(bothAfter, bothAfter, refusedFirst))
 	var refused, answered sync.Map
 	var all sync.WaitGroup
 	for range callers {
--- a/front/request.go
+++ b/front/request.go
@@ -20,15 +20,17 @@
 	reservation *bodyReservation
 	ex          *pipeline.Exchange
 	conn        *callerConn
-	gone        chan struct{}
-	isGone      bool // used by the watcher's goroutine only
+	// gone is closed when the caller has disconnected.
+	gone   chan struct{}
+	isGone bool // used by the watcher's goroutine only
 	// ctx is cancelled when the exchange ends or the caller disconnects.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// endServing cancels the exchange's Serving context, and with it ctx.
+	// endServing cancels the exchange's ServingContext, and with it ctx.
 	endServing context.CancelFunc
 	server     *Server
-	// answerOwner tells who answers the caller. refusalMu is held while the timer does.
+	// answerOwner says whether the exchange or its refusal timer answers the caller.
+	// refusalMu is held while the timer does.
 	answerOwner atomic.Int32
 	refusalMu   sync.Mutex
 	// err is why the answer is incomplete; nil if no failure is known.
--- a/front/serve_test.go
+++ b/front/serve_test.go
@@ -284,18 +284,18 @@
 	const callers, requestsEach = 16, 100
 	// Each answer is written while another request is served, and every exchange
 	// is checked again after its buffers have been reused.
-	late := make(chan func(), callers*requestsEach)
+	answers := make(chan func(), callers*requestsEach)
 	served := make(chan *pipeline.Exchange, callers*requestsEach)
 	f := start(t, Options{}, func(ctx context.Context, ex *pipeline.Exchange) error {
 		done := make(chan struct{})
-		late <- func() {
+		answers <- func() {
 			ex.Status = http.StatusOK
 			ex.AnswerHeader = map[string]string{"X-Echo": ex.Header["X-Name"]}
 			ex.AnswerBody = []byte(ex.Method + ex.Path + string(ex.Body))
 			close(done)
 		}
 		select {
-		case f := <-late:
+		case f := <-answers:
 			f()
 		case <-ctx.Done():
 		}
--- a/front/server.go
+++ b/front/server.go
@@ -35,10 +35,10 @@
 	DefaultForceGrace     = time.Second
 )
 
-// callerConnShare is the share of the process's descriptors that callers' connections
+// callerConnRatio is the fraction of the process's descriptors that callers' connections
 // may use before they are closed after their answers. As many again may be in use
 // for requests in progress and for connections to targets.
-const callerConnShare = 0.4
+const callerConnRatio = 0.4
 
 // maxHeaderCount limits the number of header lines of a request.
 const maxHeaderCount = 100
@@ -76,7 +76,7 @@
 	MaxKeptConns int
 	// Shed, if set, reports whether the next request is refused before any work is done
 	// for it. Its connection is closed, so that the caller's next connection may reach
-	// another router. kept tells that the connection has been answered on before.
+	// another router. kept is set if a request has been answered on the connection before.
 	Shed func(kept bool) bool
 	// OnShed, if set, is called for each such refusal with the host, the path and a
 	// function that returns headers by name. They are valid until OnShed returns.
@@ -99,7 +99,7 @@
 		ReadTimeout:    time.Duration(limits.ReadTimeout),
 		IdleTimeout:    time.Duration(limits.IdleTimeout),
 		WriteTimeout:   time.Duration(limits.StallTimeout),
-		MaxKeptConns:   int(callerConnShare * float64(limits.MaxDescriptors)),
+		MaxKeptConns:   int(callerConnRatio * float64(limits.MaxDescriptors)),
 	}
 }
 
