--- a/control/loadtest/pattern.go
+++ b/control/loadtest/pattern.go
@@ -20,7 +20,7 @@
 	// PerSecond and FetchedPerSecond are declared for the pool, in tokens per second.
 	PerSecond, FetchedPerSecond float64
 	Kinds                       []Kind
-	// The first workspace sends HotFactor times its load from HotFrom to HotTo.
+	// HotFactor multiplies the load of the first workspace from HotFrom to HotTo.
 	HotFactor      float64
 	HotFrom, HotTo time.Duration
 	// PowerLossAt is when all routers stop at once, for PowerLossFor; 0 means never.
--- a/control/sched/reading.go
+++ b/control/sched/reading.go
@@ -53,8 +53,8 @@
 	return load{max(0, l.tokens-other.tokens), max(0, l.pairs-other.pairs)}
 }
 
-// promptLoad returns the load of reading the last reads tokens of a prompt of prompt
-// tokens.
+// promptLoad returns the load of a prompt that is prompt tokens long and of which the
+// last reads tokens have to be read.
 func promptLoad(reads, prompt int) load {
 	r := float64(reads)
 	return load{tokens: r, pairs: r * max(r/2, float64(prompt)-r/2)}
