--- a/proctest/chaos_test.go
+++ b/proctest/chaos_test.go
@@ -16,34 +16,38 @@
 	standin "github.com/walnutcove/walnutcove/standin/platform"
 )
 
-// The flags of TestChaos. WALNUT_CHAOS_SEEDS ("3,17") and WALNUT_CHAOS_LENGTH
-// ("5m") say the same.
+// The flags of TestChaos. The environment variables WALNUT_CHAOS_SEEDS ("3,17")
+// and WALNUT_CHAOS_LENGTH ("5m") set their defaults.
 var (
-	chaosSeeds  = flag.String("chaos.seeds", environment("WALNUT_CHAOS_SEEDS", "1"), "seeds of the chaos runs, with commas")
-	chaosLength = flag.String("chaos.length", environment("WALNUT_CHAOS_LENGTH", "15s"), "length of each chaos run")
+	chaosSeeds  = flag.String("chaos.seeds", envOr("WALNUT_CHAOS_SEEDS", "1"), "seeds of the chaos runs, separated by commas")
+	chaosLength = flag.String("chaos.length", envOr("WALNUT_CHAOS_LENGTH", "15s"), "length of each chaos run")
 )
 
 const (
-	// chaosHold is the longest time that a pair of faults stands.
-	chaosHold = 1200 * time.Millisecond
-	// chaosCallers send requests all the time.
+	// maxChaosFaultTime limits how long a pair of faults stays in force.
+	maxChaosFaultTime = 1200 * time.Millisecond
+	// chaosCallers is the number of callers, which send requests all the time.
 	chaosCallers = 12
-	// chaosProgress is how many requests must be answered after each pair.
-	chaosProgress = 12
+	// chaosAnswersPerPair is how many requests must be answered after each pair
+	// of faults before the next pair.
+	chaosAnswersPerPair = 12
 )
 
-func environment(name, otherwise string) string {
+// envOr returns the value of an environment variable, or fallback if it is
+// unset or empty.
+func envOr(name, fallback string) string {
 	if value := os.Getenv(name); value != "" {
 		return value
 	}
-	return otherwise
+	return fallback
 }
 
-// TestChaos brings about random pairs of faults, one pair after another, under
-// callers that resend and operators that patch. In the end no request is lost,
-// doubled, crossed or falsely "not run", and every router is on the newest
-// version and never went back. The seed decides the faults; a failed test
-// prints it and the journal of what was done.
+// TestChaos injects random pairs of faults, one pair after another, while
+// callers resend requests and operators submit patches. In the end no request
+// may have been lost, run twice, answered with another request's answer or
+// falsely refused as "not run". Every router must be on the newest version and
+// must never have returned to an older one. The seed determines the faults; a
+// failed test prints the seed and a log of its actions.
 func TestChaos(t *testing.T) {
 	length, err := time.ParseDuration(*chaosLength)
 	if err != nil {
@@ -61,14 +65,14 @@
 	}
 }
 
-// chaos is one run.
+// chaos is one run of TestChaos.
 type chaos struct {
 	*fleet
 	random  *rand.Rand
 	watch   *versionWatch
 	crashes int
-	// down are the routers that a fault has ended, frozen the targets that one
-	// has stopped.
+	// down marks the routers that a fault has killed, frozen the targets that a
+	// fault has frozen.
 	down   [routerCount]bool
 	frozen map[string]bool
 }
@@ -82,32 +86,32 @@
 	c.note("seed %d", seed)
 	c.watch = c.watchVersions()
 	operators := c.startOperators()
-	l := c.startPersistent(chaosCallers, mixed("chaos"))
-	l.more(chaosProgress)
+	l := c.startRetryingLoad(chaosCallers, mixedRequests("chaos"))
+	l.awaitAnswered(chaosAnswersPerPair)
 	pairs := 0
 	for began := time.Now(); time.Since(began) < length; pairs++ {
-		c.pair()
-		l.more(chaosProgress)
+		c.injectPair()
+		l.awaitAnswered(chaosAnswersPerPair)
 	}
-	accepted := operators.end()
-	l.judge()
-	c.inForce(0, 1, 2)
-	c.watch.judge()
-	c.judgeSame()
-	c.judgeHistory(accepted)
+	accepted := operators.stop()
+	l.stopAndCheck()
+	c.checkVersionInForce(0, 1, 2)
+	c.watch.stopAndCheck()
+	c.checkSameVersion()
+	c.checkHistory(accepted)
 	t.Logf("seed %d: %d pairs of faults, %d versions", seed, pairs, len(accepted))
 }
 
-// pair brings two faults about, the second while the first stands, lets both
-// stand for a while and ends them.
-func (c *chaos) pair() {
-	faults := c.faults()
+// injectPair injects two faults, the second while the first is in force, keeps
+// both for a while and ends them.
+func (c *chaos) injectPair() {
+	faults := c.randomFaults()
 	first := c.random.IntN(len(faults))
 	second := c.random.IntN(len(faults))
 	for _, n := range []int{first, second} {
 		c.note("fault: %s", faults[n].name)
-		faults[n].bring()
-		time.Sleep(time.Duration(c.random.Int64N(int64(chaosHold / 2))))
+		faults[n].inject()
+		time.Sleep(time.Duration(c.random.Int64N(int64(maxChaosFaultTime / 2))))
 	}
 	c.recover()
 }
@@ -115,7 +119,7 @@
 // recover ends every fault and starts the routers that are down.
 func (c *chaos) recover() {
 	c.heal()
-	c.everyTarget(func(name string) { c.targetFaults(name, engine.Faults{}) })
+	c.forEachTarget(func(name string) { c.setTargetFaults(name, engine.Faults{}) })
 	for n := range routerCount {
 		if c.down[n] {
 			c.down[n] = false
@@ -124,74 +128,78 @@
 	}
 }
 
-// fault is something that the run can bring about.
+// fault is a fault that a run can inject.
 type fault struct {
-	name  string
-	bring func()
+	name   string
+	inject func()
 }
 
-// faults are what can be brought about, with their parts chosen at random.
-func (c *chaos) faults() []fault {
+// randomFaults returns all kinds of faults, each for a randomly chosen router,
+// target or direction.
+func (c *chaos) randomFaults() []fault {
 	router := c.random.IntN(routerCount)
 	other := (router + 1 + c.random.IntN(routerCount-1)) % routerCount
-	target := c.anyTarget()
+	target := c.randomTarget()
 	direction := []processes.Direction{processes.Forth, processes.Back}[c.random.IntN(2)]
 	return []fault{
 		{"kill " + routerName(router), func() { c.kill(router) }},
 		{"freeze " + routerName(router), func() { c.must(c.routers[router].Freeze()) }},
 		{"isolate " + routerName(router), func() { c.isolate(router) }},
-		{"hold " + direction.String() + " on " + c.peers[router][other].Name(), func() { c.holdPeers(router, other, direction) }},
-		{"cut the platform from " + routerName(router), func() { c.platformWays[router].Cut() }},
-		{"outage", func() { c.platformFaults(standin.Faults{Outage: c.anyOutage()}) }},
-		{"lost replies", func() { c.platformFaults(standin.Faults{LoseReplies: 10}) }},
-		{"late replies", func() { c.platformFaults(standin.Faults{ReplyDelayMillis: 1500}) }},
-		{"cut " + target, func() { c.targetWays[target].Cut() }},
-		{"hold " + direction.String() + " to " + target, func() { c.holdWay(c.targetWays[target], direction) }},
-		{target + " refuses", func() { c.disturb(target, engine.Faults{Refuse: true}) }},
-		{target + " breaks answers", func() { c.disturb(target, engine.Faults{BreakAfterTokens: 3}) }},
-		{target + " is slow", func() { c.disturb(target, engine.Faults{SlowFactor: 10}) }},
-		{target + " hangs", func() { c.disturb(target, engine.Faults{HangAfterTokens: 2, Times: 3}) }},
+		{"hold " + direction.String() + " on " + c.peerProxies[router][other].Name(), func() { c.holdPeers(router, other, direction) }},
+		{"cut the platform off from " + routerName(router), func() { c.platformProxies[router].Cut() }},
+		{"outage", func() { c.setPlatformFaults(standin.Faults{Outage: c.randomOutage()}) }},
+		{"lost replies", func() { c.setPlatformFaults(standin.Faults{LoseReplies: 10}) }},
+		{"late replies", func() { c.setPlatformFaults(standin.Faults{ReplyDelayMillis: 1500}) }},
+		{"cut " + target, func() { c.targetProxies[target].Cut() }},
+		{"hold " + direction.String() + " to " + target, func() { c.holdProxy(c.targetProxies[target], direction) }},
+		{target + " refuses", func() { c.trySetTargetFaults(target, engine.Faults{Refuse: true}) }},
+		{target + " breaks answers", func() { c.trySetTargetFaults(target, engine.Faults{BreakAfterTokens: 3}) }},
+		{target + " is slow", func() { c.trySetTargetFaults(target, engine.Faults{SlowFactor: 10}) }},
+		{target + " hangs", func() { c.trySetTargetFaults(target, engine.Faults{HangAfterTokens: 2, Times: 3}) }},
 		{target + " crashes", func() { c.crash(target) }},
-		{target + " leaves", func() { c.disturb(target, engine.Faults{Leaving: true}) }},
+		{target + " leaves", func() { c.trySetTargetFaults(target, engine.Faults{Leaving: true}) }},
 		{"freeze " + target, func() { c.freezeTarget(target) }},
 	}
 }
 
-func (c *chaos) anyTarget() string {
+func (c *chaos) randomTarget() string {
 	names := []string{"engine-1", "engine-2", "service-1", "service-2"}
 	return names[c.random.IntN(len(names))]
 }
 
-func (c *chaos) anyOutage() standin.Outage {
+func (c *chaos) randomOutage() standin.Outage {
 	outages := []standin.Outage{standin.OutageRefuse, standin.OutageDrop, standin.OutageHang, standin.OutageFreeze}
 	return outages[c.random.IntN(len(outages))]
 }
 
-// kill ends a router that still runs.
+// kill kills a router unless it is down.
 func (c *chaos) kill(router int) {
 	if c.down[router] {
 		return
 	}
 	c.down[router] = true
 	c.routers[router].Kill()
-	c.watch.judgeLog(router)
+	c.watch.checkLog(router)
 }
 
-// holdPeers holds one direction between two routers, whoever opened the session.
+// holdPeers holds back the data of one direction between two routers,
+// whichever of them opened the session.
 func (c *chaos) holdPeers(from, to int, direction processes.Direction) {
 	opposite := map[processes.Direction]processes.Direction{processes.Forth: processes.Back, processes.Back: processes.Forth}
-	c.holdWay(c.peers[from][to], direction)
-	c.holdWay(c.peers[to][from], opposite[direction])
+	c.holdProxy(c.peerProxies[from][to], direction)
+	c.holdProxy(c.peerProxies[to][from], opposite[direction])
 }
 
-// holdWay holds a direction of a way that is not held yet.
-func (c *chaos) holdWay(w *way, direction processes.Direction) {
-	if !w.IsDisturbed() {
-		w.hold(direction)
+// holdProxy holds back the data of one direction of a proxy, unless the proxy
+// holds back or delays data already.
+func (c *chaos) holdProxy(p *proxy, direction processes.Direction) {
+	if !p.IsDisturbed() {
+		p.hold(direction)
 	}
 }
 
-// crash lets a request crash a target. Its caller is not part of the load.
+// crash sends a request that crashes a target. Its result is not among those of
+// the load, and is not checked.
 func (c *chaos) crash(target string) {
 	c.crashes++
 	mark := fmt.Sprintf("crash-%d", c.crashes)
@@ -199,18 +207,19 @@
 	if c.declared[target].Pool == servicePool {
 		kind = load.Service
 	}
-	if !c.disturb(target, engine.Faults{Poison: mark, DowntimeMillis: 300}) {
+	if !c.trySetTargetFaults(target, engine.Faults{Poison: mark, DowntimeMillis: 300}) {
 		return
 	}
-	c.send(c.random.IntN(routerCount), request(kind, "school", mark, 3))
+	c.sendAsync(c.random.IntN(routerCount), request(kind, "school", mark, 3))
 }
 
-// disturb sets the faults of a target. A frozen one can take none.
-func (c *chaos) disturb(target string, faults engine.Faults) bool {
+// trySetTargetFaults sets the faults of a target unless the target is frozen: a
+// frozen one cannot receive them. It reports whether it set them.
+func (c *chaos) trySetTargetFaults(target string, faults engine.Faults) bool {
 	if c.frozen[target] {
 		return false
 	}
-	c.targetFaults(target, faults)
+	c.setTargetFaults(target, faults)
 	return true
 }
 
@@ -219,7 +228,7 @@
 	c.must(c.targets[target].Freeze())
 }
 
-// heal also thaws the targets.
+// heal thaws the targets and ends the faults of the fleet.
 func (c *chaos) heal() {
 	for name, target := range c.targets {
 		c.must(target.Thaw())
--- a/proctest/fair_test.go
+++ b/proctest/fair_test.go
@@ -15,26 +15,29 @@
 const (
 	fairSlots  = 4
 	fairTokens = 20
-	// fairPhase is the length of the intervals over which the gap is judged.
-	fairPhase = 5 * time.Second
-	// partitionPhase is the length of the partition.
-	partitionPhase = 3 * time.Second
-	// settlePhase is left out after the start and after the partition.
-	settlePhase = 1500 * time.Millisecond
-	// gapMargin widens the bound of the gap, for a busy machine.
+	// gapInterval is the length of the intervals over which the gap is checked.
+	gapInterval = 5 * time.Second
+	// partitionTime is the length of the partition.
+	partitionTime = 3 * time.Second
+	// settleTime is left out of the checks after the start and after the
+	// partition.
+	settleTime = 1500 * time.Millisecond
+	// gapMargin is the factor by which the bound of the gap is widened, for a
+	// busy machine.
 	gapMargin = 1.5
-	// starvedPart is the least part of its fair share that a workspace must
-	// get while routers are cut off from one another.
-	starvedPart = 0.25
+	// minPartWhilePartitioned is the least part of its fair share that a
+	// workspace must get while routers are cut off from one another.
+	minPartWhilePartitioned = 0.25
 )
 
 var fairShares = map[string]float64{"flood": 1, "calm": 1, "far": 1, "large": 4}
 
-// TestFairAcrossAPartition floods the fleet with one workspace through one
-// router, while three others wait at the other routers all the time, in two
-// data centres. Before a partition and after it the gap in service stays within
-// its bound; in every second, also during the partition, every workspace is
-// served.
+// TestFairAcrossAPartition guards against a workspace that is starved by
+// another one, also while routers cannot reach each other. One workspace floods
+// the fleet through one router, while three others have requests waiting at the
+// other routers all the time, in two data centres. Before and after a partition
+// the gap in service must stay within its bound; every workspace must be served
+// in every second, also during the partition.
 func TestFairAcrossAPartition(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{
@@ -52,19 +55,19 @@
 	start("far", 24, 1)
 	start("large", 24, 1, 2)
 	for _, tr := range loads {
-		tr.more(f, 10)
+		tr.awaitAnswered(f, 10)
 	}
-	time.Sleep(settlePhase)
-	whole := phaseFrom(fairPhase)
-	time.Sleep(fairPhase)
-	cut := phaseFrom(partitionPhase)
+	time.Sleep(settleTime)
+	beforePartition := intervalFromNow(gapInterval)
+	time.Sleep(gapInterval)
+	duringPartition := intervalFromNow(partitionTime)
 	f.isolate(1)
-	time.Sleep(partitionPhase)
+	time.Sleep(partitionTime)
 	f.rejoin(1)
 	f.awaitSettled()
-	time.Sleep(settlePhase)
-	rejoined := phaseFrom(fairPhase)
-	time.Sleep(fairPhase)
+	time.Sleep(settleTime)
+	afterPartition := intervalFromNow(gapInterval)
+	time.Sleep(gapInterval)
 	var all []load.Result
 	for _, tr := range loads {
 		tr.cancel()
@@ -74,12 +77,12 @@
 		all = append(all, tr.results.list()...)
 	}
 	runs := f.runs(all)
-	f.judgeGap("before the partition", runs, whole)
-	f.judgeServed("before the partition", runs, whole, 0)
-	f.judgeServed("during the partition", runs, cut, starvedPart)
-	f.judgeServed("after the partition", runs, rejoined, 0)
-	f.judgeGap("after the partition", runs, rejoined)
-	f.judge(all)
+	f.checkGap("before the partition", runs, beforePartition)
+	f.checkServed("before the partition", runs, beforePartition, 0)
+	f.checkServed("during the partition", runs, duringPartition, minPartWhilePartitioned)
+	f.checkServed("after the partition", runs, afterPartition, 0)
+	f.checkGap("after the partition", runs, afterPartition)
+	f.checkResults(all)
 }
 
 func streamsOf(workspace string) func(int, *rand.Rand) load.Request {
@@ -88,22 +91,23 @@
 	}
 }
 
-// phase is an interval.
-type phase struct{ from, to time.Time }
+// interval is a span of time.
+type interval struct{ from, to time.Time }
 
-func phaseFrom(length time.Duration) phase {
+func intervalFromNow(length time.Duration) interval {
 	now := time.Now()
-	return phase{now, now.Add(length)}
+	return interval{now, now.Add(length)}
 }
 
-// targetRun is one run on a target by the target's journal.
+// targetRun is one run on a target, as recorded in the target's journal.
 type targetRun struct {
 	workspace string
-	phase
+	interval
 }
 
-// runs pairs the beginnings and ends of runs. The callers' results tell whose
-// each request was; one that no caller knows (its head never came) is left out.
+// runs pairs the starts and ends of runs in the journals. The callers' results
+// give the workspace of each request; a request that no caller knows, because
+// the head of its answer never came, is left out.
 func (f *fleet) runs(all []load.Result) []targetRun {
 	f.t.Helper()
 	workspaces := make(map[string]string)
@@ -122,14 +126,15 @@
 		case e.Event == journal.Started || e.Event == journal.Resumed:
 			began[key] = e.Wall
 		case e.Event == journal.Ended && !began[key].IsZero() && workspaces[e.RequestID] != "":
-			runs = append(runs, targetRun{workspaces[e.RequestID], phase{began[key], e.Wall}})
+			runs = append(runs, targetRun{workspaces[e.RequestID], interval{began[key], e.Wall}})
 		}
 	}
 	return runs
 }
 
-// service sums the slot time that each workspace received in an interval.
-func service(runs []targetRun, within phase) map[string]time.Duration {
+// slotTimeByWorkspace sums the slot time that each workspace received in an
+// interval.
+func slotTimeByWorkspace(runs []targetRun, within interval) map[string]time.Duration {
 	received := make(map[string]time.Duration)
 	for _, r := range runs {
 		from, to := r.from, r.to
@@ -146,11 +151,11 @@
 	return received
 }
 
-// judgeGap fails if the largest difference of service divided by share is over
-// the bound that package control states, widened by gapMargin.
-func (f *fleet) judgeGap(when string, runs []targetRun, within phase) {
+// checkGap fails if the largest difference of service divided by share exceeds
+// the bound that package control states, multiplied by gapMargin.
+func (f *fleet) checkGap(when string, runs []targetRun, within interval) {
 	f.t.Helper()
-	received := service(runs, within)
+	received := slotTimeByWorkspace(runs, within)
 	least, most := math.Inf(1), 0.0
 	for name, share := range fairShares {
 		normalised := received[name].Seconds() / share
@@ -163,29 +168,29 @@
 	}
 }
 
-// gapBound is the bound of the gap between two workspaces of share 1; see the
-// comment of package control.
+// gapBound returns the bound of the gap between two workspaces of share 1, in
+// slot seconds; see the comment of package control.
 func (f *fleet) gapBound() float64 {
-	const messageTime = 0.01 // seconds; generous on loopback
+	const messageSeconds = 0.01 // generous on loopback
 	slots := float64(f.options.engines * f.options.engineSlots)
-	longest := 2 * fairTokens * f.options.step.Seconds()
-	exchange := time.Duration(f.routers[0].Settings.Scheduling.ExchangeEvery).Seconds()
-	return 2*slots*longest + slots*(exchange+exchange/5+messageTime)
+	longestRunSeconds := 2 * fairTokens * f.options.tokenTime.Seconds()
+	exchangeSeconds := time.Duration(f.routers[0].Settings.Scheduling.ExchangeEvery).Seconds()
+	return 2*slots*longestRunSeconds + slots*(exchangeSeconds+exchangeSeconds/5+messageSeconds)
 }
 
-// judgeServed fails if a workspace was not served in any second of an interval,
-// or received less than a part of its fair share of the interval.
-func (f *fleet) judgeServed(when string, runs []targetRun, within phase, part float64) {
+// checkServed fails if a workspace was not served for a whole second of an
+// interval, or received less than minPart of its fair share of the interval.
+func (f *fleet) checkServed(when string, runs []targetRun, within interval, minPart float64) {
 	f.t.Helper()
 	for from := within.from; from.Add(time.Second).Before(within.to); from = from.Add(time.Second) {
-		received := service(runs, phase{from, from.Add(time.Second)})
+		received := slotTimeByWorkspace(runs, interval{from, from.Add(time.Second)})
 		for name := range fairShares {
 			if received[name] == 0 {
 				f.t.Errorf("%s %s was not served for a second", when, name)
 			}
 		}
 	}
-	received := service(runs, within)
+	received := slotTimeByWorkspace(runs, within)
 	f.t.Logf("%s: received %v", when, received)
 	shares, total := 0.0, 0.0
 	for name, share := range fairShares {
@@ -194,8 +199,8 @@
 	}
 	for name, share := range fairShares {
 		fair := total * share / shares
-		if received[name].Seconds() < part*fair {
-			f.t.Errorf("%s %s received %s, under %.2f of its fair %.2f s", when, name, received[name], part, fair)
+		if received[name].Seconds() < minPart*fair {
+			f.t.Errorf("%s %s received %s, under %.2f of its fair %.2f s", when, name, received[name], minPart, fair)
 		}
 	}
 }
--- a/proctest/fleet_test.go
+++ b/proctest/fleet_test.go
@@ -22,82 +22,85 @@
 	model       = "walnut-small"
 	servicePath = "/svc/deploy"
 
-	// testTimeout bounds every wait for something that must come.
+	// testTimeout limits every wait for an event that must come.
 	testTimeout = 30 * time.Second
-	// pollPause is the pause between two looks at a condition.
+	// pollPause is the pause between two checks of a condition.
 	pollPause = 10 * time.Millisecond
 )
 
-// options say what a fleet consists of. Zero values take the stated defaults.
+// options describe the processes of a fleet. Zero values take the stated
+// defaults.
 type options struct {
-	// engines and services are the names' counts. Defaults 2 and 1.
+	// engines and services are the numbers of targets. Default 2 and 1.
 	engines  int
 	services int
 	// engineSlots and serviceSlots default to 8 and 4.
 	engineSlots  int
 	serviceSlots int
-	// step is the engines' time for a token. Default 2 ms.
-	step time.Duration
+	// tokenTime is how long an engine takes for a token. Default 2 ms.
+	tokenTime time.Duration
 	// notResuming declares that the engines cannot resume a stream.
 	notResuming bool
-	// workspaces by name with their shares. Default bakery 2, school 1.
+	// workspaces holds the share of each workspace. Default bakery 2, school 1.
 	workspaces map[string]float64
-	// maxQueued bounds each workspace's queue at a router. Default 256.
+	// maxQueued limits each workspace's queue at a router. Default 256.
 	maxQueued int
-	// dataCentres are those of the routers in turn; engine n is in that of
+	// dataCentres holds the data centre of each router; engine n is in that of
 	// router n. Default: all in one.
 	dataCentres [routerCount]string
-	// edit changes the routers' settings.
+	// edit, if not nil, changes the settings of each router.
 	edit func(*settings.Settings)
 }
 
 const routerCount = 3
 
-// fleetsAtOnce bounds the fleets that run side by side, so that parallel tests
-// do not take the machine from one another.
-const fleetsAtOnce = 3
+// maxParallelFleets limits the fleets that run at the same time, so that
+// parallel tests do not starve one another of processor time.
+const maxParallelFleets = 3
 
-var fleetSlots = make(chan struct{}, fleetsAtOnce)
+var fleetSlots = make(chan struct{}, maxParallelFleets)
 
-// fleet is three routers, the platform and targets, every one a process, with
-// a proxy on every way between two routers, from each router to the platform,
-// and to each target.
+// fleet is three routers, the platform and targets, each a process. There is a
+// proxy on the connections from each router to each other router, from each
+// router to the platform, and to each target.
 type fleet struct {
 	t        testing.TB
 	options  options
 	routerIP string
-	ip       string
+	proxyIP  string
 	platform *processes.StandIn
 	routers  []*processes.Router
 	targets  map[string]*processes.StandIn
 	declared map[string]config.Target
 
-	// peers[a][b] is the way by which router a reaches router b.
-	peers [routerCount][routerCount]*way
-	// platformWays[a] is router a's way to the platform.
-	platformWays [routerCount]*way
-	// targetWays are the ways of all routers to a target.
-	targetWays map[string]*way
+	// peerProxies[a][b] is the proxy through which router a reaches router b.
+	peerProxies [routerCount][routerCount]*proxy
+	// platformProxies[a] is the proxy through which router a reaches the
+	// platform.
+	platformProxies [routerCount]*proxy
+	// targetProxies holds the proxy through which all routers reach a target.
+	targetProxies map[string]*proxy
 
 	mu      sync.Mutex
 	version config.Version
-	journal []string
+	notes   []string
 }
 
 // startFleet starts a fleet and waits until every router is on version 1 and
-// one router schedules each pool. On a failed test the routers' output is shown.
+// one router schedules each shard. If the test fails, it shows the routers'
+// output.
 func startFleet(t testing.TB, o options) *fleet {
 	t.Helper()
 	fleetSlots <- struct{}{}
 	t.Cleanup(func() { <-fleetSlots })
 	f := &fleet{
-		t:          t,
-		options:    withDefaults(o),
-		targets:    make(map[string]*processes.StandIn),
-		declared:   make(map[string]config.Target),
-		targetWays: make(map[string]*way),
+		t:             t,
+		options:       withDefaults(o),
+		targets:       make(map[string]*processes.StandIn),
+		declared:      make(map[string]config.Target),
+		targetProxies: make(map[string]*proxy),
 	}
-	f.routerIP, f.ip = processes.NewIPs()
+	f.routerIP, f.proxyIP = processes.NewIPs()
 	t.Cleanup(f.close)
 	views := f.startPlatform()
 	f.startTargets()
@@ -112,7 +115,7 @@
 	setDefault(&o.services, 1)
 	setDefault(&o.engineSlots, 8)
 	setDefault(&o.serviceSlots, 4)
-	setDefault(&o.step, 2*time.Millisecond)
+	setDefault(&o.tokenTime, 2*time.Millisecond)
 	if o.dataCentres[0] == "" {
 		o.dataCentres = [routerCount]string{"ikeja", "ikeja", "ikeja"}
 	}
@@ -122,9 +125,9 @@
 	return o
 }
 
-func setDefault[T ~int | ~int64](value *T, standard T) {
+func setDefault[T ~int | ~int64](value *T, defaultValue T) {
 	if *value == 0 {
-		*value = standard
+		*value = defaultValue
 	}
 }
 
@@ -144,18 +147,20 @@
 	}
 }
 
-// note adds a line to the test's own journal, shown if the test fails.
+// note adds a line to the log of the test's actions, shown if the test fails.
 func (f *fleet) note(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	line := time.Now().Format("15:04:05.000 ") + fmt.Sprintf(format, args...)
-	f.journal = append(f.journal, line)
+	f.notes = append(f.notes, line)
 }
 
+// report shows the log of the test's actions and the end of each router's
+// output.
 func (f *fleet) report() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, line := range f.journal {
+	for _, line := range f.notes {
 		f.t.Log(line)
 	}
 	for _, r := range f.routers {
@@ -182,14 +187,14 @@
 	for n := range f.options.engines {
 		name := fmt.Sprintf("engine-%d", n+1)
 		e, err := processes.StartEngine(binaries, name, processes.EngineOptions{
-			Listen: f.ip + ":0", Slots: f.options.engineSlots, Step: f.options.step, Resumes: !f.options.notResuming,
+			Listen: f.proxyIP + ":0", Slots: f.options.engineSlots, Step: f.options.tokenTime, Resumes: !f.options.notResuming,
 		})
 		f.must(err)
 		f.addTarget(name, e, config.Target{DataCentre: f.options.dataCentres[n%routerCount], Pool: enginePool, Slots: f.options.engineSlots, Resumes: !f.options.notResuming})
 	}
 	for n := range f.options.services {
 		name := fmt.Sprintf("service-%d", n+1)
-		s, err := processes.StartService(binaries, name, f.options.serviceSlots, f.ip+":0")
+		s, err := processes.StartService(binaries, name, f.options.serviceSlots, f.proxyIP+":0")
 		f.must(err)
 		f.addTarget(name, s, config.Target{DataCentre: f.options.dataCentres[n%routerCount], Pool: servicePool, Slots: f.options.serviceSlots})
 	}
@@ -197,19 +202,21 @@
 
 func (f *fleet) addTarget(name string, started *processes.StandIn, declared config.Target) {
 	f.targets[name] = started
-	f.targetWays[name] = newWay(f.t, name, f.ip, started.Address)
-	declared.Address = f.targetWays[name].Address()
+	f.targetProxies[name] = newProxy(f.t, name, f.proxyIP, started.Address)
+	declared.Address = f.targetProxies[name].Address()
 	f.declared[name] = declared
 }
 
+// routerName returns the name of router n, counted from 0.
 func routerName(n int) string { return fmt.Sprintf("vm-%d", n+1) }
 
-// startRouters starts the routers. Router a's view of the list of VMs leads
-// to every other router through the proxy of that pair.
+// startRouters starts the routers. The list of VMs that the platform gives to
+// router a holds, for every other router, the address of the proxy between a
+// and it.
 func (f *fleet) startRouters(views []string) {
 	f.t.Helper()
 	dir := f.t.TempDir()
-	listen, err := freeListens(f.routerIP)
+	listen, err := freeListenAddresses(f.routerIP)
 	f.must(err)
 	var vms []store.VM
 	for n := range routerCount {
@@ -220,29 +227,29 @@
 		addresses := make(map[string]string)
 		for b := range routerCount {
 			if a != b {
-				f.peers[a][b] = newWay(f.t, routerName(a)+" to "+routerName(b), f.ip, listen[b].Peers)
-				addresses[routerName(b)] = f.peers[a][b].Address()
+				f.peerProxies[a][b] = newProxy(f.t, routerName(a)+" to "+routerName(b), f.proxyIP, listen[b].Peers)
+				addresses[routerName(b)] = f.peerProxies[a][b].Address()
 			}
 		}
 		f.post("http://"+views[a]+"/_view", addresses, nil)
-		f.platformWays[a] = newWay(f.t, routerName(a)+" to platform", f.ip, views[a])
+		f.platformProxies[a] = newProxy(f.t, routerName(a)+" to platform", f.proxyIP, views[a])
 		r, err := processes.StartRouter(binaries, dir, f.settings(a, listen[a]))
 		f.must(err)
 		f.routers = append(f.routers, r)
 	}
 }
 
-// freeListens picks addresses for the routers.
-func freeListens(ip string) ([routerCount]settings.Listen, error) {
+// freeListenAddresses picks the listen addresses of the routers.
+func freeListenAddresses(ip string) ([routerCount]settings.Listen, error) {
 	var listens [routerCount]settings.Listen
-	const each = 3
-	addresses, err := processes.FreeAddresses(ip, each*routerCount)
+	const portsPerRouter = 3
+	addresses, err := processes.FreeAddresses(ip, portsPerRouter*routerCount)
 	if err != nil {
 		return listens, err
 	}
 	for n := range routerCount {
-		own := addresses[each*n:]
-		listens[n] = settings.Listen{Callers: own[0], Operators: own[1], Peers: own[2]}
+		ports := addresses[portsPerRouter*n:]
+		listens[n] = settings.Listen{Callers: ports[0], Operators: ports[1], Peers: ports[2]}
 	}
 	return listens, nil
 }
@@ -252,7 +259,7 @@
 	s.Node.Name = routerName(n)
 	s.Node.DataCentre = f.options.dataCentres[n]
 	s.Listen = listen
-	s.Platform.Address = f.platformWays[n].Address()
+	s.Platform.Address = f.platformProxies[n].Address()
 	s.Platform.Timeout = settings.Duration(time.Second)
 	s.Platform.PollEvery = settings.Duration(300 * time.Millisecond)
 	s.Platform.VMListEvery = settings.Duration(300 * time.Millisecond)
@@ -263,9 +270,10 @@
 	return s
 }
 
-// key is a workspace's key.
+// key returns the key of a workspace.
 func key(workspace string) string { return workspace + "-key" }
 
+// declare submits the first version, with all workspaces, pools and targets.
 func (f *fleet) declare() {
 	f.t.Helper()
 	workspaces := make(map[string]config.Workspace)
@@ -289,8 +297,8 @@
 	f.awaitVersion(0, 1, 2)
 }
 
-// mustPatch submits changes at a router against the newest version known to
-// the test, and notes the version.
+// mustPatch submits changes at a router, based on the newest version known to
+// the test, and records the accepted version.
 func (f *fleet) mustPatch(router int, changes any) config.Version {
 	f.t.Helper()
 	encoded, err := json.Marshal(changes)
@@ -300,7 +308,7 @@
 	f.mu.Unlock()
 	patch := config.Patch{ID: config.NewPatchID(), Base: base, Author: "proctest", Changes: encoded}
 	var accepted operator.PatchAccepted
-	f.post(f.operators(router)+operator.PathPatches, patch, &accepted)
+	f.post(f.operatorsAddress(router)+operator.PathPatches, patch, &accepted)
 	f.mu.Lock()
 	f.version = accepted.Version
 	f.mu.Unlock()
@@ -308,12 +316,14 @@
 	return accepted.Version
 }
 
-func (f *fleet) operators(n int) string {
+// operatorsAddress returns the URL of a router's operator API.
+func (f *fleet) operatorsAddress(n int) string {
 	return "http://" + f.routers[n].Settings.Listen.Operators
 }
 
-// callers returns the routers' addresses for callers; all if none is named.
-func (f *fleet) callers(routers ...int) []string {
+// callersAddresses returns the addresses at which the given routers serve
+// callers; those of all routers if none is given.
+func (f *fleet) callersAddresses(routers ...int) []string {
 	if len(routers) == 0 {
 		routers = []int{0, 1, 2}
 	}
@@ -325,20 +335,21 @@
 }
 
 // eventually waits until a condition holds.
-func (f *fleet) eventually(what string, holds func() bool) {
+func (f *fleet) eventually(what string, condition func() bool) {
 	f.t.Helper()
-	if !waitFor(testTimeout, holds) {
-		f.t.Fatalf("it never came that %s", what)
+	if !waitFor(testTimeout, condition) {
+		f.t.Fatalf("timed out waiting until %s", what)
 	}
 }
 
-func waitFor(limit time.Duration, holds func() bool) bool {
-	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(pollPause) {
-		if holds() {
+// waitFor waits until a condition holds, and reports whether it did in time.
+func waitFor(timeout time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(pollPause) {
+		if condition() {
 			return true
 		}
 	}
-	return holds()
+	return condition()
 }
 
 func (f *fleet) must(err error) {
--- a/proctest/http_test.go
+++ b/proctest/http_test.go
@@ -7,10 +7,10 @@
 	"net/http"
 )
 
-// control is the client for everything but callers' requests.
-var control = &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+// httpClient is the client for all requests but those of the load.
+var httpClient = &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// statusError is an answer that is not a success.
+// statusError reports an answer whose status is not a success.
 type statusError struct {
 	url    string
 	status int
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	answer, err := control.Post(url, "application/json", bytes.NewReader(body))
+	answer, err := httpClient.Post(url, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 }
 
 func get(url string, reply any) error {
-	answer, err := control.Get(url)
+	answer, err := httpClient.Get(url)
 	if err != nil {
 		return err
 	}
--- a/proctest/judge_test.go
+++ b/proctest/judge_test.go
@@ -13,7 +13,8 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// entries returns the journals of all targets, each in its own order.
+// entries returns the journal entries of the named targets, or of all targets if
+// none is named. The entries of each target are in the order of its journal.
 func (f *fleet) entries(names ...string) []journal.Entry {
 	f.t.Helper()
 	if len(names) == 0 {
@@ -30,9 +31,9 @@
 	return all
 }
 
-// awaitQuiet waits until no target runs or queues anything, so that what a
-// late request may still start has started.
-func (f *fleet) awaitQuiet() {
+// awaitIdleTargets waits until no target runs or queues anything, so that every
+// run that a late request may cause has started.
+func (f *fleet) awaitIdleTargets() {
 	f.t.Helper()
 	for name, process := range f.targets {
 		f.eventually(name+" is idle", func() bool {
@@ -43,19 +44,19 @@
 	}
 }
 
-// started says whether an entry is a run's beginning.
-func started(e journal.Entry) bool { return e.Event == journal.Started }
+// isStart reports whether an entry records the start of a run.
+func isStart(e journal.Entry) bool { return e.Event == journal.Started }
 
-// results collects what callers saw. It is safe for concurrent use.
+// results collects the results that callers saw. It is safe for concurrent use.
 type results struct {
 	mu  sync.Mutex
 	all []load.Result
 }
 
-func (r *results) add(one load.Result) {
+func (r *results) add(result load.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all = append(r.all, one)
+	r.all = append(r.all, result)
 }
 
 func (r *results) list() []load.Result {
@@ -64,27 +65,27 @@
 	return append([]load.Result(nil), r.all...)
 }
 
-func (r *results) count(holds func(load.Result) bool) int {
+func (r *results) count(matches func(load.Result) bool) int {
 	n := 0
-	for _, one := range r.list() {
-		if holds(one) {
+	for _, result := range r.list() {
+		if matches(result) {
 			n++
 		}
 	}
 	return n
 }
 
-func (r *results) verdicts(v load.Verdict) int {
-	return r.count(func(one load.Result) bool { return one.Verdict == v })
+func (r *results) countVerdict(verdict load.Verdict) int {
+	return r.count(func(result load.Result) bool { return result.Verdict == verdict })
 }
 
-// String counts the verdicts, and the refusals by code.
+// String returns the number of results by verdict, and of refusals by code.
 func (r *results) String() string {
 	counts := make(map[string]int)
-	for _, one := range r.list() {
-		name := one.Verdict.String()
-		if one.Verdict == load.Refused {
-			name = fmt.Sprintf("refused %d ran=%s", one.Code, one.Ran)
+	for _, result := range r.list() {
+		name := result.Verdict.String()
+		if result.Verdict == load.Refused {
+			name = fmt.Sprintf("refused %d ran=%s", result.Code, result.Ran)
 		}
 		counts[name]++
 	}
@@ -93,15 +94,16 @@
 
 const ranNo = "no"
 
+// notRun reports whether a request was refused as not run.
 func notRun(r load.Result) bool { return r.Verdict == load.Refused && r.Ran == ranNo }
 
-// judgeNotRun fails for every request that was refused as not run and that a
-// target started. It returns how many were refused so.
-func (f *fleet) judgeNotRun(all []load.Result) int {
+// checkNotRun fails for every request that was refused as not run although a
+// target started it. It returns the number of requests refused as not run.
+func (f *fleet) checkNotRun(all []load.Result) int {
 	f.t.Helper()
 	starts := make(map[string]string)
 	for _, e := range f.entries() {
-		if started(e) {
+		if isStart(e) {
 			starts[e.RequestID] = e.Target
 		}
 	}
@@ -112,22 +114,22 @@
 		}
 		refused++
 		if r.RequestID == "" {
-			f.t.Errorf("a refusal with code %d of %s names no request", r.Code, r.Request.Mark)
+			f.t.Errorf("a refusal with code %d of %s has no request ID", r.Code, r.Request.Mark)
 		}
 		if ran, found := starts[r.RequestID]; found {
-			f.t.Errorf("request %s (%s) was told %d, not run, but %s started it", r.RequestID, r.Request.Mark, r.Code, ran)
+			f.t.Errorf("request %s (%s) was refused with code %d as not run, but %s started it", r.RequestID, r.Request.Mark, r.Code, ran)
 		}
 	}
 	return refused
 }
 
-// judgeOnce fails for every Idempotency-Key that was started more than once,
-// over all targets. It returns the starts by key.
-func (f *fleet) judgeOnce() map[string]int {
+// checkAtMostOnce fails for every Idempotency-Key whose request was started more
+// than once, over all targets. It returns the number of starts by key.
+func (f *fleet) checkAtMostOnce() map[string]int {
 	f.t.Helper()
 	starts := make(map[string]int)
 	for _, e := range f.entries() {
-		if started(e) && e.IdempotencyKey != "" {
+		if isStart(e) && e.IdempotencyKey != "" {
 			starts[e.IdempotencyKey]++
 		}
 	}
@@ -139,9 +141,9 @@
 	return starts
 }
 
-// judgeWhole fails for every answer that looked whole and was not, or was
-// another request's.
-func (f *fleet) judgeWhole(all []load.Result) {
+// checkAnswers fails for every answer that looked complete and was not, or that
+// belonged to another request.
+func (f *fleet) checkAnswers(all []load.Result) {
 	f.t.Helper()
 	for _, r := range all {
 		if r.Verdict == load.Wrong {
@@ -150,24 +152,26 @@
 	}
 }
 
-// judge is every judge that holds for any load.
-func (f *fleet) judge(all []load.Result) {
+// checkResults makes all checks that hold for any load, once the targets are
+// idle.
+func (f *fleet) checkResults(all []load.Result) {
 	f.t.Helper()
-	f.awaitQuiet()
-	f.judgeNotRun(all)
-	f.judgeOnce()
-	f.judgeWhole(all)
+	f.awaitIdleTargets()
+	f.checkNotRun(all)
+	f.checkAtMostOnce()
+	f.checkAnswers(all)
 }
 
-// mixed makes a third of each kind of request; service calls are
-// non-idempotent. Marks begin with prefix.
-func mixed(prefix string) func(int, *rand.Rand) load.Request {
+// mixedRequests returns a generator of requests, a third of each kind; service
+// calls are non-idempotent. The marks of the requests begin with prefix.
+func mixedRequests(prefix string) func(int, *rand.Rand) load.Request {
 	return func(n int, random *rand.Rand) load.Request {
 		return request(load.Kind(n%3), []string{"bakery", "school"}[random.IntN(2)], fmt.Sprintf("%s-%d", prefix, n), 1+random.IntN(20))
 	}
 }
 
-// request makes one request that takes a target some tokens of work.
+// request makes one request, which takes a target the time of a number of
+// tokens.
 func request(kind load.Kind, workspace, mark string, tokens int) load.Request {
 	r := load.Request{
 		Kind:      kind,
@@ -185,20 +189,21 @@
 	return r
 }
 
-// traffic is a load that runs until stop.
+// traffic is a load that runs until it is stopped.
 type traffic struct {
 	results *results
 	cancel  context.CancelFunc
 	done    chan struct{}
 }
 
-// startTraffic lets callers send through the routers named (all if none) until
-// stop. A refused caller pauses shortly.
+// startTraffic starts callers that send through the given routers, or through
+// all if none is given, until the traffic is stopped. A caller pauses for
+// pollPause after a request that was not answered.
 func (f *fleet) startTraffic(callers int, next func(int, *rand.Rand) load.Request, routers ...int) *traffic {
 	ctx, cancel := context.WithCancel(context.Background())
 	tr := &traffic{results: &results{}, cancel: cancel, done: make(chan struct{})}
 	run := load.Run{
-		Routers: f.callers(routers...),
+		Routers: f.callersAddresses(routers...),
 		Callers: callers,
 		Seed:    1,
 		Next:    next,
@@ -224,21 +229,21 @@
 	<-tr.done
 }
 
-// more waits until so many more requests were answered.
-func (tr *traffic) more(f *fleet, answers int) {
+// awaitAnswered waits until a number of further requests were answered.
+func (tr *traffic) awaitAnswered(f *fleet, answers int) {
 	f.t.Helper()
-	want := tr.results.verdicts(load.Answered) + answers
-	answered := func() bool { return tr.results.verdicts(load.Answered) >= want }
+	want := tr.results.countVerdict(load.Answered) + answers
+	answered := func() bool { return tr.results.countVerdict(load.Answered) >= want }
 	if !waitFor(testTimeout, answered) {
-		f.t.Fatalf("%d of %d requests were answered; all results: %v", tr.results.verdicts(load.Answered), want, tr.results)
+		f.t.Fatalf("%d of %d requests were answered; all results: %v", tr.results.countVerdict(load.Answered), want, tr.results)
 	}
 }
 
-// until waits until so many more results hold something.
-func (tr *traffic) until(f *fleet, what string, count int, holds func(load.Result) bool) {
+// awaitResults waits until a number of further results match.
+func (tr *traffic) awaitResults(f *fleet, what string, count int, matches func(load.Result) bool) {
 	f.t.Helper()
-	want := tr.results.count(holds) + count
+	want := tr.results.count(matches) + count
 	f.eventually(fmt.Sprintf("%d more results are %s", count, what), func() bool {
-		return tr.results.count(holds) >= want
+		return tr.results.count(matches) >= want
 	})
 }
--- a/proctest/leaving_test.go
+++ b/proctest/leaving_test.go
@@ -11,110 +11,117 @@
 	standin "github.com/walnutcove/walnutcove/standin/platform"
 )
 
-// leaveWithin is how long a leaving target may still get new work.
-const leaveWithin = 3 * time.Second
+// maxLeaveDelay is how long a leaving target may still get new requests.
+const maxLeaveDelay = 3 * time.Second
 
-// watchLeaving is how long after that the target is watched for new work.
-const watchLeaving = 1500 * time.Millisecond
+// leaveWatchTime is how long after maxLeaveDelay the target is watched for new
+// requests.
+const leaveWatchTime = 1500 * time.Millisecond
 
-// leavingFleet is a fleet with two engines under load, of which engine-1 leaves.
-func leavingFleet(t *testing.T) (*fleet, *traffic) {
+// startLeavingFleet starts a fleet with two engines under load, of which
+// engine-1 is to leave.
+func startLeavingFleet(t *testing.T) (*fleet, *traffic) {
 	f := startFleet(t, options{})
-	tr := f.startTraffic(12, mixed("leaving"))
-	tr.more(f, 50)
+	tr := f.startTraffic(12, mixedRequests("leaving"))
+	tr.awaitAnswered(f, 50)
 	f.eventually("engine-1 has work", func() bool { return f.startsAfter("engine-1", time.Time{}) > 10 })
 	return f, tr
 }
 
-// startsAfter counts what a target started or received after a time.
+// startsAfter counts the requests that a target received or started after a
+// time.
 func (f *fleet) startsAfter(target string, after time.Time) int {
 	f.t.Helper()
 	count := 0
 	for _, e := range f.entries(target) {
-		if (started(e) || e.Event == journal.Received) && e.Wall.After(after) {
+		if (isStart(e) || e.Event == journal.Received) && e.Wall.After(after) {
 			count++
 		}
 	}
 	return count
 }
 
-// judgeLeft watches a target that was told to leave at a time, while the other
-// engine goes on serving. It may get nothing after leaveWithin.
-func (f *fleet) judgeLeft(target string, left time.Time, tr *traffic) {
+// checkLeft watches a target that began to leave at a given time, while the
+// other engine goes on serving. The target may get nothing later than
+// maxLeaveDelay after that time.
+func (f *fleet) checkLeft(target string, left time.Time, tr *traffic) {
 	f.t.Helper()
-	deadline := left.Add(leaveWithin)
-	time.Sleep(time.Until(deadline.Add(watchLeaving)))
+	deadline := left.Add(maxLeaveDelay)
+	time.Sleep(time.Until(deadline.Add(leaveWatchTime)))
 	if late := f.startsAfter(target, deadline); late > 0 {
-		f.t.Errorf("%s got %d new requests later than %s after it began to leave", target, late, leaveWithin)
+		f.t.Errorf("%s got %d new requests later than %s after it began to leave", target, late, maxLeaveDelay)
 	}
 	if other := f.startsAfter("engine-2", deadline); other == 0 {
-		f.t.Error("the other engine got nothing either: the test shows nothing")
+		f.t.Error("the other engine got no requests either, so the test proves nothing")
 	}
 	tr.stop()
 	f.t.Logf("%v", tr.results)
-	f.judge(tr.results.list())
-	if broken := tr.results.verdicts(load.Broken); broken > 0 {
+	f.checkResults(tr.results.list())
+	if broken := tr.results.countVerdict(load.Broken); broken > 0 {
 		f.t.Errorf("%d requests were cut", broken)
 	}
 }
 
-// leave declares engine-1 leaving.
-func leave() any {
+// leavingPatch returns the changes that declare engine-1 leaving.
+func leavingPatch() any {
 	return json.RawMessage(`{"targets":{"engine-1":{"leaving":true}}}`)
 }
 
-// TestLeavingByDeclaration declares a target leaving.
+// TestLeavingByDeclaration guards against requests to a target that operators
+// declared leaving.
 func TestLeavingByDeclaration(t *testing.T) {
 	t.Parallel()
-	f, tr := leavingFleet(t)
-	f.mustPatch(0, leave())
-	f.judgeLeft("engine-1", time.Now(), tr)
+	f, tr := startLeavingFleet(t)
+	f.mustPatch(0, leavingPatch())
+	f.checkLeft("engine-1", time.Now(), tr)
 }
 
-// TestLeavingByLoadReport lets the target announce itself that it leaves.
+// TestLeavingByLoadReport guards against requests to a target that announces in
+// its load reports that it leaves.
 func TestLeavingByLoadReport(t *testing.T) {
 	t.Parallel()
-	f, tr := leavingFleet(t)
-	f.targetFaults("engine-1", engine.Faults{Leaving: true})
-	f.judgeLeft("engine-1", time.Now(), tr)
+	f, tr := startLeavingFleet(t)
+	f.setTargetFaults("engine-1", engine.Faults{Leaving: true})
+	f.checkLeft("engine-1", time.Now(), tr)
 }
 
-// TestLeavingByLoadReportAlone cuts the scheduling router from the other
-// routers and from the platform, and lets the target announce that it leaves.
+// TestLeavingByLoadReportAlone lets the target announce that it leaves while the
+// scheduling router is cut off from the other routers and from the platform.
 func TestLeavingByLoadReportAlone(t *testing.T) {
 	t.Parallel()
-	f, tr := leavingFleet(t)
+	f, tr := startLeavingFleet(t)
 	scheduler := max(f.scheduler(enginePool, 0, 1, 2), 0)
 	f.isolate(scheduler)
-	f.platformWays[scheduler].Cut()
-	tr.more(f, 50)
-	f.targetFaults("engine-1", engine.Faults{Leaving: true})
-	f.judgeLeft("engine-1", time.Now(), tr)
+	f.platformProxies[scheduler].Cut()
+	tr.awaitAnswered(f, 50)
+	f.setTargetFaults("engine-1", engine.Faults{Leaving: true})
+	f.checkLeft("engine-1", time.Now(), tr)
 }
 
-// TestLeavingByDeclarationWhileCutOff cuts the scheduling router from the other
-// routers, and declares the target leaving at another. The scheduler has only
-// the store to learn it from.
+// TestLeavingByDeclarationWhileCutOff cuts the scheduling router off from the
+// other routers, and declares the target leaving at another router. The
+// scheduler can learn it only from the store.
 func TestLeavingByDeclarationWhileCutOff(t *testing.T) {
 	t.Parallel()
-	f, tr := leavingFleet(t)
+	f, tr := startLeavingFleet(t)
 	scheduler := max(f.scheduler(enginePool, 0, 1, 2), 0)
 	f.isolate(scheduler)
-	tr.more(f, 50)
-	f.mustPatch(others(scheduler)[0], leave())
-	f.judgeLeft("engine-1", time.Now(), tr)
+	tr.awaitAnswered(f, 50)
+	f.mustPatch(otherRouters(scheduler)[0], leavingPatch())
+	f.checkLeft("engine-1", time.Now(), tr)
 }
 
-// TestLeavingByDeclarationWhileTheStoreIsOut takes the store away right after
-// the version was accepted. The routers have only one another to learn it from.
+// TestLeavingByDeclarationWhileTheStoreIsOut makes the store fail right after
+// the version was accepted. The other routers can learn it only from their
+// peers.
 func TestLeavingByDeclarationWhileTheStoreIsOut(t *testing.T) {
 	t.Parallel()
-	f, tr := leavingFleet(t)
-	for _, n := range others(0) {
-		f.platformWays[n].Cut()
+	f, tr := startLeavingFleet(t)
+	for _, n := range otherRouters(0) {
+		f.platformProxies[n].Cut()
 	}
-	f.mustPatch(0, leave())
+	f.mustPatch(0, leavingPatch())
 	left := time.Now()
-	f.platformFaults(standin.Faults{Outage: standin.OutageDrop})
-	f.judgeLeft("engine-1", left, tr)
+	f.setPlatformFaults(standin.Faults{Outage: standin.OutageDrop})
+	f.checkLeft("engine-1", left, tr)
 }
--- a/proctest/proxy_test.go
+++ b/proctest/proxy_test.go
@@ -6,30 +6,30 @@
 	"github.com/walnutcove/walnutcove/processes"
 )
 
-// way is one proxied way between two processes.
-type way struct {
+// proxy is a fault-injecting proxy between two processes.
+type proxy struct {
 	*processes.Way
 	t testing.TB
 }
 
-// newWay starts a proxy before upstream, on a port of ip.
-func newWay(t testing.TB, name, ip, upstream string) *way {
+// newProxy starts a proxy in front of upstream, on a port of ip.
+func newProxy(t testing.TB, name, ip, upstream string) *proxy {
 	t.Helper()
 	started, err := processes.NewWay(name, ip, upstream)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(started.Close)
-	return &way{Way: started, t: t}
+	return &proxy{Way: started, t: t}
 }
 
-// heal takes connections again, on the same address, and ends every hold.
-func (w *way) heal() {
-	w.t.Helper()
-	if err := w.Heal(); err != nil {
-		w.t.Fatal(err)
+// heal accepts connections again, on the same address, and passes all data on.
+func (p *proxy) heal() {
+	p.t.Helper()
+	if err := p.Heal(); err != nil {
+		p.t.Fatal(err)
 	}
 }
 
-// hold lets nothing through in one direction; connections stay open.
-func (w *way) hold(direction processes.Direction) { w.Hold(direction) }
+// hold holds back all data in one direction; connections stay open.
+func (p *proxy) hold(direction processes.Direction) { p.Hold(direction) }
--- a/proctest/resend_test.go
+++ b/proctest/resend_test.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// resendLimit bounds how long a caller goes on with one request.
-	resendLimit = 60 * time.Second
-	// resendAfter is how long a caller waits for a router that says nothing,
-	// for example because it is frozen, before it turns to another.
-	resendAfter = 4 * time.Second
+	// maxResendTime limits how long a caller resends one request.
+	maxResendTime = 60 * time.Second
+	// attemptTimeout is how long a caller waits for a router that does not
+	// answer, for example because it is frozen, before it tries another one.
+	attemptTimeout = 4 * time.Second
 )
 
-// mayResend says whether a caller should send a request again: it broke, no
-// router was reached, or the refusal says so. A request that may have run and
-// is non-idempotent is sent again with its key, which must be safe.
-func mayResend(r load.Result) bool {
+// shouldResend reports whether a caller should send a request again: if the
+// answer broke off, no router was reached, or the refusal permits it. A
+// non-idempotent request that may have run is sent again with its key, which
+// must be safe.
+func shouldResend(r load.Result) bool {
 	switch r.Verdict {
 	case load.Broken, load.Unreachable:
 		return true
@@ -32,35 +33,37 @@
 	}
 }
 
-// persist sends a request until it is answered, each time to another router,
-// and returns what became of it at last.
-func (f *fleet) persist(client *load.Client, r load.Request, first int, seen *results) load.Result {
-	routers := f.callers()
-	deadline := time.Now().Add(resendLimit)
+// sendUntilAnswered sends a request until it is answered, each time to the next
+// router, records each attempt in seen, and returns the last result.
+func (f *fleet) sendUntilAnswered(client *load.Client, r load.Request, first int, seen *results) load.Result {
+	routers := f.callersAddresses()
+	deadline := time.Now().Add(maxResendTime)
 	for try := 0; ; try++ {
 		got := client.Send(routers[(first+try)%len(routers)], r)
 		seen.add(got)
-		if !mayResend(got) || time.Now().After(deadline) {
+		if !shouldResend(got) || time.Now().After(deadline) {
 			return got
 		}
 		time.Sleep(pollPause)
 	}
 }
 
-// persistentLoad is callers that each persist with one request after another.
-type persistentLoad struct {
+// retryingLoad is a set of callers that each send one request after another,
+// and resend each until it is answered.
+type retryingLoad struct {
 	f *fleet
-	// sent is every sending, last is what became of each request at last.
-	sent results
-	last results
-	stop chan struct{}
-	once sync.Once
-	done sync.WaitGroup
+	// attempts holds the result of every attempt, outcomes the last result of
+	// each request.
+	attempts results
+	outcomes results
+	stop     chan struct{}
+	once     sync.Once
+	done     sync.WaitGroup
 }
 
-// startPersistent lets callers persist with requests until stopped.
-func (f *fleet) startPersistent(callers int, next func(int, *rand.Rand) load.Request) *persistentLoad {
-	l := &persistentLoad{f: f, stop: make(chan struct{})}
+// startRetryingLoad starts callers, which go on until the load is finished.
+func (f *fleet) startRetryingLoad(callers int, next func(int, *rand.Rand) load.Request) *retryingLoad {
+	l := &retryingLoad{f: f, stop: make(chan struct{})}
 	for caller := range callers {
 		l.done.Add(1)
 		go func() {
@@ -68,12 +71,12 @@
 			l.call(caller, callers, next)
 		}()
 	}
-	f.t.Cleanup(l.end)
+	f.t.Cleanup(l.finish)
 	return l
 }
 
-func (l *persistentLoad) call(caller, callers int, next func(int, *rand.Rand) load.Request) {
-	client := load.NewClient(resendAfter)
+func (l *retryingLoad) call(caller, callers int, next func(int, *rand.Rand) load.Request) {
+	client := load.NewClient(attemptTimeout)
 	defer client.Close()
 	random := rand.New(rand.NewPCG(uint64(caller), 1))
 	for n := caller; ; n += callers {
@@ -81,49 +84,50 @@
 		case <-l.stop:
 			return
 		default:
-			l.last.add(l.f.persist(client, next(n, random), random.IntN(routerCount), &l.sent))
+			l.outcomes.add(l.f.sendUntilAnswered(client, next(n, random), random.IntN(routerCount), &l.attempts))
 		}
 	}
 }
 
-// end lets every caller come to the end of its request.
-func (l *persistentLoad) end() {
+// finish stops the callers and waits until each has finished its request.
+func (l *retryingLoad) finish() {
 	l.once.Do(func() { close(l.stop) })
 	l.done.Wait()
 }
 
-// more waits until so many more requests were answered.
-func (l *persistentLoad) more(answers int) {
+// awaitAnswered waits until a number of further requests were answered.
+func (l *retryingLoad) awaitAnswered(answers int) {
 	l.f.t.Helper()
-	want := l.last.verdicts(load.Answered) + answers
-	if !waitFor(testTimeout, func() bool { return l.last.verdicts(load.Answered) >= want }) {
-		l.f.t.Fatalf("%d of %d requests were answered; all sendings: %v", l.last.verdicts(load.Answered), want, &l.sent)
+	want := l.outcomes.countVerdict(load.Answered) + answers
+	if !waitFor(testTimeout, func() bool { return l.outcomes.countVerdict(load.Answered) >= want }) {
+		l.f.t.Fatalf("%d of %d requests were answered; all attempts: %v", l.outcomes.countVerdict(load.Answered), want, &l.attempts)
 	}
 }
 
-// judge ends the load and judges it: no request lost (an idempotent one must
-// have been answered in the end, a non-idempotent one may have been told that
-// it may have run), none doubled, none crossed, none falsely "not run".
-func (l *persistentLoad) judge() {
+// stopAndCheck finishes the load and checks its results. No request may be lost:
+// an idempotent one must have been answered in the end, a non-idempotent one may
+// instead have been refused because it may have run. None may have run twice,
+// got another request's answer, or been falsely refused as "not run".
+func (l *retryingLoad) stopAndCheck() {
 	l.f.t.Helper()
-	l.end()
-	for _, r := range l.last.list() {
+	l.finish()
+	for _, r := range l.outcomes.list() {
 		toldUnknown := r.Request.IdempotencyKey != "" && r.Verdict == load.Refused && r.Code == int(result.RecordUnknown)
 		if r.Verdict != load.Answered && !toldUnknown {
 			l.f.t.Errorf("request %s was lost: %s, code %d: %s", r.Request.Mark, r.Verdict, r.Code, r.Detail)
 		}
 	}
-	l.f.judge(l.sent.list())
-	l.f.judgeAnsweredRan(l.last.list())
-	l.f.t.Logf("sendings: %v", &l.sent)
-	l.f.t.Logf("at last: %v", &l.last)
+	l.f.checkResults(l.attempts.list())
+	l.f.checkAnsweredRan(l.outcomes.list())
+	l.f.t.Logf("attempts: %v", &l.attempts)
+	l.f.t.Logf("outcomes: %v", &l.outcomes)
 }
 
-// judgeAnsweredRan fails for every non-idempotent request that was answered
-// and that no target started.
-func (f *fleet) judgeAnsweredRan(all []load.Result) {
+// checkAnsweredRan fails for every non-idempotent request that was answered
+// although no target started it.
+func (f *fleet) checkAnsweredRan(all []load.Result) {
 	f.t.Helper()
-	starts := f.judgeOnce()
+	starts := f.checkAtMostOnce()
 	for _, r := range all {
 		key := r.Request.IdempotencyKey
 		if r.Verdict == load.Answered && key != "" && starts[key] != 1 {
@@ -132,8 +136,9 @@
 	}
 }
 
-// services makes non-idempotent requests only.
-func services(prefix string, tokens int) func(int, *rand.Rand) load.Request {
+// serviceRequests returns a generator of service calls, which are
+// non-idempotent.
+func serviceRequests(prefix string, tokens int) func(int, *rand.Rand) load.Request {
 	return func(n int, _ *rand.Rand) load.Request {
 		return request(load.Service, "bakery", fmt.Sprintf("%s-%d", prefix, n), tokens)
 	}
--- a/proctest/state_test.go
+++ b/proctest/state_test.go
@@ -7,16 +7,17 @@
 	"github.com/walnutcove/walnutcove/operator"
 )
 
-// versionAt is the version in force at a router, and whether it is ready.
+// versionAt returns the version in force at a router, and whether the router is
+// ready.
 func (f *fleet) versionAt(n int) (config.Version, bool) {
 	var readiness operator.Readiness
-	if err := get(f.operators(n)+operator.PathReadyz, &readiness); err != nil {
+	if err := get(f.operatorsAddress(n)+operator.PathReadyz, &readiness); err != nil {
 		return 0, false
 	}
 	return readiness.Version, readiness.Ready
 }
 
-// awaitVersion waits until routers are on the newest version of the test.
+// awaitVersion waits until routers are on the newest version known to the test.
 func (f *fleet) awaitVersion(routers ...int) {
 	f.t.Helper()
 	f.mu.Lock()
@@ -30,13 +31,13 @@
 	}
 }
 
-// scheduler returns the router that alone schedules a pool of a fleet in one
-// data centre, or -1.
+// scheduler returns the only one of the given routers that schedules a pool, in
+// a fleet with one data centre. It returns -1 if none or several do.
 func (f *fleet) scheduler(pool string, routers ...int) int {
 	found := -1
 	for _, n := range routers {
 		var status operator.Status
-		if err := get(f.operators(n)+operator.PathStatus, &status); err != nil {
+		if err := get(f.operatorsAddress(n)+operator.PathStatus, &status); err != nil {
 			return -1
 		}
 		for _, shard := range status.Shards {
@@ -52,8 +53,8 @@
 	return found
 }
 
-// awaitSettled waits until exactly one router schedules each shard, so that the
-// routers know of one another.
+// awaitSettled waits until exactly one router schedules each shard, which means
+// that the routers know of one another.
 func (f *fleet) awaitSettled() {
 	f.t.Helper()
 	shards := make(map[string]bool)
@@ -61,7 +62,7 @@
 		shards[target.Pool+"/"+target.DataCentre] = true
 	}
 	f.eventually("one router schedules each shard", func() bool {
-		schedulers := f.schedulers()
+		schedulers := f.schedulersByShard()
 		for _, count := range schedulers {
 			if count != 1 {
 				return false
@@ -71,12 +72,12 @@
 	})
 }
 
-// schedulers counts the routers that schedule each shard.
-func (f *fleet) schedulers() map[string]int {
+// schedulersByShard counts the routers that schedule each shard.
+func (f *fleet) schedulersByShard() map[string]int {
 	counts := make(map[string]int)
 	for n := range routerCount {
 		var status operator.Status
-		if err := get(f.operators(n)+operator.PathStatus, &status); err != nil {
+		if err := get(f.operatorsAddress(n)+operator.PathStatus, &status); err != nil {
 			return nil
 		}
 		for _, shard := range status.Shards {
--- a/proctest/version_test.go
+++ b/proctest/version_test.go
@@ -10,14 +10,16 @@
 	standin "github.com/walnutcove/walnutcove/standin/platform"
 )
 
-// inForceWithin is how soon an accepted version must be in force everywhere.
-const inForceWithin = 7 * time.Second
+// maxVersionDelay is how long an accepted version may take to come into force at
+// every router.
+const maxVersionDelay = 7 * time.Second
 
-// watchPause is the pause between two looks at the routers' versions.
-const watchPause = 20 * time.Millisecond
+// versionPollPause is the pause between two queries of a router's version.
+const versionPollPause = 20 * time.Millisecond
 
 // TestVersionWhenOperatorsRace lets three operators at three routers send
-// patches against the same version, round after round: one wins each.
+// patches based on the same version, round after round. Exactly one patch of
+// each round must be accepted, and the others refused as a version conflict.
 func TestVersionWhenOperatorsRace(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{})
@@ -37,7 +39,7 @@
 			switch {
 			case err == nil:
 				won++
-			case codeOf(err) != result.VersionConflict:
+			case resultCode(err) != result.VersionConflict:
 				t.Errorf("a losing patch was answered: %v", err)
 			}
 		}
@@ -45,19 +47,20 @@
 			t.Errorf("%d patches against version %d were accepted", won, base)
 		}
 	}
-	f.inForce(0, 1, 2)
-	w.judge()
-	f.judgeSame()
+	f.checkVersionInForce(0, 1, 2)
+	w.stopAndCheck()
+	f.checkSameVersion()
 }
 
-// TestVersionWhenRepliesAreLost loses the store's reply to each accepted
-// version. The operator sends the same patch again; it makes one version.
+// TestVersionWhenRepliesAreLost loses the store's replies to the write of each
+// version, so that the operator sends the same patch again. Each patch must make
+// exactly one version.
 func TestVersionWhenRepliesAreLost(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{})
 	w := f.watchVersions()
 	for n := range 6 {
-		f.platformFaults(standin.Faults{LoseReplies: 1 + n%2, LoseTablePrefix: "config_"})
+		f.setPlatformFaults(standin.Faults{LoseReplies: 1 + n%2, LoseTablePrefix: "config_"})
 		base := f.newest()
 		patch := newPatch(base, float64(10+n))
 		var accepted config.Version
@@ -69,118 +72,120 @@
 		if accepted != base+1 {
 			t.Errorf("a patch against version %d was accepted as %d", base, accepted)
 		}
-		f.platformFaults(standin.Faults{})
+		f.setPlatformFaults(standin.Faults{})
 	}
-	f.inForce(0, 1, 2)
-	w.judge()
-	f.judgeSame()
+	f.checkVersionInForce(0, 1, 2)
+	w.stopAndCheck()
+	f.checkSameVersion()
 }
 
-// TestVersionSpreadsWhileTheStoreIsOut cuts two routers from the store before a
-// version is accepted at the third, and then takes the store away for all. A
-// router that restarts meanwhile with empty memory gets the version from its
-// peers too.
+// TestVersionSpreadsWhileTheStoreIsOut cuts two routers off from the store before
+// a version is accepted at the third router, and then makes the store fail for
+// all. The routers must get the version from their peers, and so must a router
+// that restarts with empty memory during the outage.
 func TestVersionSpreadsWhileTheStoreIsOut(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{})
 	w := f.watchVersions()
-	f.platformWays[1].Cut()
-	f.platformWays[2].Cut()
+	f.platformProxies[1].Cut()
+	f.platformProxies[2].Cut()
 	_, err := f.patch(0, newPatch(f.newest(), 5))
 	f.must(err)
-	f.platformFaults(standin.Faults{Outage: standin.OutageDrop})
-	f.inForce(0, 1, 2)
+	f.setPlatformFaults(standin.Faults{Outage: standin.OutageDrop})
+	f.checkVersionInForce(0, 1, 2)
 	f.note("kill %s", routerName(1))
 	f.routers[1].Kill()
-	w.judgeLog(1)
+	w.checkLog(1)
 	f.restart(1)
-	f.inForce(0, 1, 2)
-	got := <-f.send(1, request(load.Whole, "bakery", "after-restart", 3))
+	f.checkVersionInForce(0, 1, 2)
+	got := <-f.sendAsync(1, request(load.Whole, "bakery", "after-restart", 3))
 	if got.Verdict != load.Answered {
 		t.Errorf("the restarted router answered: %s, code %d %s", got.Verdict, got.Code, got.Detail)
 	}
-	w.judge()
+	w.stopAndCheck()
 }
 
-// TestVersionAcrossAPartition cuts a router from the others and the store while
-// versions are accepted. It keeps its version and serves by it; restarted while
-// it is cut off, it serves nobody; rejoined, it is on the newest.
+// TestVersionAcrossAPartition cuts a router off from the others and from the
+// store while versions are accepted. The router must keep its version and serve
+// by it. Restarted while cut off, it must refuse every request as not run.
+// Reconnected, it must get to the newest version.
 func TestVersionAcrossAPartition(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{})
 	w := f.watchVersions()
 	before := f.newest()
 	f.isolate(2)
-	f.platformWays[2].Cut()
+	f.platformProxies[2].Cut()
 	for n := range 3 {
 		_, err := f.patch(n%2, newPatch(f.newest(), float64(20+n)))
 		f.must(err)
 	}
-	f.inForce(0, 1)
+	f.checkVersionInForce(0, 1)
 	if got, ready := f.versionAt(2); got != before || !ready {
 		t.Errorf("the router that is cut off is on version %d, ready %v", got, ready)
 	}
-	got := <-f.send(2, request(load.Whole, "bakery", "cut-off", 3))
+	got := <-f.sendAsync(2, request(load.Whole, "bakery", "cut-off", 3))
 	if got.Verdict != load.Answered {
 		t.Errorf("the router that is cut off answered: %s, code %d %s", got.Verdict, got.Code, got.Detail)
 	}
-	f.rejoin(2) // the store stays cut off, so that only the peers can tell
-	f.inForce(0, 1, 2)
-	f.platformWays[2].heal()
+	f.rejoin(2) // still cut off from the store, so it can learn only from peers
+	f.checkVersionInForce(0, 1, 2)
+	f.platformProxies[2].heal()
 
 	f.isolate(2)
-	f.platformWays[2].Cut()
+	f.platformProxies[2].Cut()
 	f.routers[2].Kill()
-	w.judgeLog(2)
+	w.checkLog(2)
 	f.restart(2)
-	got = <-f.send(2, request(load.Whole, "bakery", "empty", 3))
-	if !hasCode(result.NotReady)(got) || got.Ran != ranNo {
+	got = <-f.sendAsync(2, request(load.Whole, "bakery", "empty", 3))
+	if !refusedWith(result.NotReady)(got) || got.Ran != ranNo {
 		t.Errorf("a router without a version answered: %s, code %d %s", got.Verdict, got.Code, got.Detail)
 	}
 	f.rejoin(2)
-	f.platformWays[2].heal()
-	f.inForce(0, 1, 2)
-	w.judge()
-	f.judgeSame()
+	f.platformProxies[2].heal()
+	f.checkVersionInForce(0, 1, 2)
+	w.stopAndCheck()
+	f.checkSameVersion()
 }
 
-// TestVersionUnderManyFaults lets operators patch at all routers without a
-// pause while replies are lost, the store fails, routers are cut off, killed
-// and restarted. Every version that an operator was told of stands in the
-// history, under its own number, and no router ever goes back.
+// TestVersionUnderManyFaults lets operators submit patches at all routers
+// continuously while replies are lost, the store fails, and routers are cut off,
+// frozen, killed and restarted. Every version that an operator was told of must
+// be in the history under its own number, and no router may ever return to an
+// older version.
 func TestVersionUnderManyFaults(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{})
 	w := f.watchVersions()
 	operators := f.startOperators()
 	faults := []func(){
-		func() { f.platformFaults(standin.Faults{LoseReplies: 5, LoseTablePrefix: "config_"}) },
+		func() { f.setPlatformFaults(standin.Faults{LoseReplies: 5, LoseTablePrefix: "config_"}) },
 		func() { f.isolate(0) },
-		func() { f.platformFaults(standin.Faults{Outage: standin.OutageFreeze}) },
-		func() { f.platformWays[1].Cut() },
-		func() { f.routers[2].Kill(); w.judgeLog(2); f.restart(2) },
-		func() { f.platformFaults(standin.Faults{ReplyDelayMillis: 1200}) },
+		func() { f.setPlatformFaults(standin.Faults{Outage: standin.OutageFreeze}) },
+		func() { f.platformProxies[1].Cut() },
+		func() { f.routers[2].Kill(); w.checkLog(2); f.restart(2) },
+		func() { f.setPlatformFaults(standin.Faults{ReplyDelayMillis: 1200}) },
 		func() { f.must(f.routers[1].Freeze()) },
-		func() { f.isolate(2); f.platformWays[2].Cut() },
+		func() { f.isolate(2); f.platformProxies[2].Cut() },
 	}
 	for n, fault := range faults {
 		f.note("fault %d", n)
 		fault()
-		f.holdShortly()
+		f.pauseBriefly()
 		if n%2 == 0 {
-			continue // so that two faults stand together
+			continue // two faults are in force together
 		}
 		f.heal()
-		operators.more(f, 5)
+		operators.awaitAccepted(f, 5)
 	}
 	f.heal()
-	accepted := operators.end()
-	f.inForce(0, 1, 2)
-	w.judge()
-	f.judgeSame()
-	f.judgeHistory(accepted)
-	if len(operators.twice) > 0 {
-		t.Errorf("versions %v were given to two patches", operators.twice)
+	accepted := operators.stop()
+	f.checkVersionInForce(0, 1, 2)
+	w.stopAndCheck()
+	f.checkSameVersion()
+	f.checkHistory(accepted)
+	if len(operators.duplicates) > 0 {
+		t.Errorf("versions %v were given to two patches", operators.duplicates)
 	}
 	t.Logf("%d versions accepted", len(accepted))
 }
--- a/proctest/versionwatch_test.go
+++ b/proctest/versionwatch_test.go
@@ -15,16 +15,16 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// newPatch sets the share of a workspace.
+// newPatch returns a patch that sets the share of a workspace.
 func newPatch(base config.Version, share float64) config.Patch {
 	changes := fmt.Sprintf(`{"workspaces":{"school":{"share":%g}}}`, share)
 	return config.Patch{ID: config.NewPatchID(), Base: base, Author: "proctest", Changes: json.RawMessage(changes)}
 }
 
-// patch sends a patch to a router and notes the accepted version.
+// patch sends a patch to a router and records the accepted version.
 func (f *fleet) patch(router int, patch config.Patch) (config.Version, error) {
 	var accepted operator.PatchAccepted
-	if err := post(f.operators(router)+operator.PathPatches, patch, &accepted); err != nil {
+	if err := post(f.operatorsAddress(router)+operator.PathPatches, patch, &accepted); err != nil {
 		return 0, err
 	}
 	f.mu.Lock()
@@ -34,15 +34,16 @@
 	return accepted.Version, nil
 }
 
-// newest is the newest version that the test was told of.
+// newest returns the newest version that the test was told of.
 func (f *fleet) newest() config.Version {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.version
 }
 
-// codeOf is the numbered result of an operators' refusal; zero if it has none.
-func codeOf(err error) result.Code {
+// resultCode returns the result code of a refusal by the operator API, or 0 if
+// the error has none.
+func resultCode(err error) result.Code {
 	var status *statusError
 	if !errors.As(err, &status) {
 		return 0
@@ -54,9 +55,9 @@
 	return result.Code(body.Code)
 }
 
-// inForce requires that routers are on the newest version within
-// inForceWithin of now.
-func (f *fleet) inForce(routers ...int) {
+// checkVersionInForce fails unless routers reach the newest version within
+// maxVersionDelay from now.
+func (f *fleet) checkVersionInForce(routers ...int) {
 	f.t.Helper()
 	version, since := f.newest(), time.Now()
 	for _, n := range routers {
@@ -64,20 +65,21 @@
 			got, _ := f.versionAt(n)
 			return got >= version
 		}
-		if !waitFor(inForceWithin-time.Since(since), reached) {
+		if !waitFor(maxVersionDelay-time.Since(since), reached) {
 			got, _ := f.versionAt(n)
-			f.t.Errorf("%s is on version %d, not %d, after %s", routerName(n), got, version, inForceWithin)
+			f.t.Errorf("%s is on version %d, not %d, after %s", routerName(n), got, version, maxVersionDelay)
 		}
 	}
 }
 
-// judgeSame fails unless every router gives the same newest version.
-func (f *fleet) judgeSame() {
+// checkSameVersion fails unless every router reports the same newest version and
+// digest.
+func (f *fleet) checkSameVersion() {
 	f.t.Helper()
 	var first config.Snapshot
 	for n := range routerCount {
 		var snapshot config.Snapshot
-		f.must(get(f.operators(n)+operator.PathConfig, &snapshot))
+		f.must(get(f.operatorsAddress(n)+operator.PathConfig, &snapshot))
 		if n == 0 {
 			first.Version, first.Digest = snapshot.Version, snapshot.Digest
 		}
@@ -88,52 +90,52 @@
 	}
 }
 
-// judgeHistory fails unless every accepted patch stands in the history under
-// its version.
-func (f *fleet) judgeHistory(accepted map[config.Version]string) {
+// checkHistory fails unless every accepted patch is in the history under its
+// version.
+func (f *fleet) checkHistory(accepted map[config.Version]string) {
 	f.t.Helper()
-	stands := f.history()
+	patches := f.history()
 	for version, id := range accepted {
-		if stands[version] != id {
-			f.t.Errorf("version %d was accepted for patch %s; the history has %q", version, id, stands[version])
+		if patches[version] != id {
+			f.t.Errorf("version %d was accepted for patch %s; the history has %q", version, id, patches[version])
 		}
 	}
 }
 
-// history reads the patch of every version, page by page.
+// history reads the patch ID of every version, page by page.
 func (f *fleet) history() map[config.Version]string {
 	f.t.Helper()
-	stands := make(map[config.Version]string)
+	patches := make(map[config.Version]string)
 	for before := f.newest() + 1; before > 1; {
 		var page operator.HistoryAnswer
-		f.must(get(fmt.Sprintf("%s%s?limit=200&before=%d", f.operators(0), operator.PathHistory, before), &page))
+		f.must(get(fmt.Sprintf("%s%s?limit=200&before=%d", f.operatorsAddress(0), operator.PathHistory, before), &page))
 		if len(page.Versions) == 0 {
 			break
 		}
 		for _, entry := range page.Versions {
-			stands[entry.Version] = entry.PatchID
+			patches[entry.Version] = entry.PatchID
 			before = min(before, entry.Version)
 		}
 	}
-	return stands
+	return patches
 }
 
-// versionWatch looks at the version in force at every router all the time.
+// versionWatch polls the version in force at every router.
 type versionWatch struct {
 	f      *fleet
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 }
 
-// watchVersions fails the test as soon as a router that is ready is on an
-// older version than it was before.
+// watchVersions starts a watch that fails the test if a router that is ready is
+// on an older version than it was before.
 func (f *fleet) watchVersions() *versionWatch {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &versionWatch{f: f, cancel: cancel}
 	for n := range routerCount {
 		w.done.Go(func() { w.watch(ctx, n) })
 	}
-	f.t.Cleanup(w.end)
+	f.t.Cleanup(w.stop)
 	return w
 }
 
@@ -145,30 +147,31 @@
 			w.f.t.Errorf("%s went back from version %d to %d", routerName(n), highest, got)
 		}
 		highest = max(highest, got)
-		time.Sleep(watchPause)
+		time.Sleep(versionPollPause)
 	}
 }
 
-func (w *versionWatch) end() {
+func (w *versionWatch) stop() {
 	w.cancel()
 	w.done.Wait()
 }
 
-// judge ends the watch and judges the routers' own logs as well.
-func (w *versionWatch) judge() {
+// stopAndCheck ends the watch and also checks the routers' own logs.
+func (w *versionWatch) stopAndCheck() {
 	w.f.t.Helper()
-	w.end()
+	w.stop()
 	for n := range routerCount {
-		w.judgeLog(n)
+		w.checkLog(n)
 	}
 }
 
-// versionLine is printed by a router for each version that it puts in force.
+// versionLine matches the line that a router prints for each version that it
+// puts in force.
 var versionLine = regexp.MustCompile(`config: Version in force\." .*version=(\d+) patch=`)
 
-// judgeLog fails unless the versions that a router's process put in force rise.
-// It must be called before a restart as well.
-func (w *versionWatch) judgeLog(n int) {
+// checkLog fails unless the versions that a router's process put in force
+// increase. It must also be called before a restart, which discards the output.
+func (w *versionWatch) checkLog(n int) {
 	w.f.t.Helper()
 	last := -1
 	for _, found := range versionLine.FindAllStringSubmatch(w.f.routers[n].Output(), -1) {
@@ -184,14 +187,14 @@
 	}
 }
 
-// operators patch at one router each, almost without a pause.
+// operators submit patches at one router each, with hardly a pause.
 type operators struct {
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
-	mu       sync.Mutex
-	accepted map[config.Version]string
-	twice    []config.Version
+	mu         sync.Mutex
+	accepted   map[config.Version]string
+	duplicates []config.Version
 }
 
 func (f *fleet) startOperators() *operators {
@@ -200,21 +203,22 @@
 	for n := range routerCount {
 		o.done.Go(func() { o.patch(ctx, f, n) })
 	}
-	f.t.Cleanup(func() { o.end() })
+	f.t.Cleanup(func() { o.stop() })
 	return o
 }
 
-// patch sends a patch until its outcome is known, then the next.
+// patch sends each patch until its outcome is known, and then the next one. An
+// attempt that fails is repeated at the next router.
 func (o *operators) patch(ctx context.Context, f *fleet, router int) {
 	for n := 1; ctx.Err() == nil; n++ {
 		patch := newPatch(f.newest(), float64(n))
 		for try := 0; ctx.Err() == nil && try < 20; try++ {
 			version, err := f.patch((router+try)%routerCount, patch)
 			if err == nil {
-				o.note(version, patch.ID)
+				o.record(version, patch.ID)
 				break
 			}
-			if codeOf(err) == result.VersionConflict {
+			if resultCode(err) == result.VersionConflict {
 				o.catchUp(f, err)
 				break
 			}
@@ -224,7 +228,7 @@
 	}
 }
 
-// catchUp learns of the newest version from a conflict.
+// catchUp takes the newest version from a conflict.
 func (o *operators) catchUp(f *fleet, conflict error) {
 	var status *statusError
 	var body operator.ErrorBody
@@ -235,17 +239,17 @@
 	}
 }
 
-func (o *operators) note(version config.Version, id string) {
+func (o *operators) record(version config.Version, id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if other, found := o.accepted[version]; found && other != id {
-		o.twice = append(o.twice, version)
+		o.duplicates = append(o.duplicates, version)
 	}
 	o.accepted[version] = id
 }
 
-// more waits until so many more versions were accepted.
-func (o *operators) more(f *fleet, versions int) {
+// awaitAccepted waits until a number of further versions were accepted.
+func (o *operators) awaitAccepted(f *fleet, versions int) {
 	f.t.Helper()
 	count := func() int {
 		o.mu.Lock()
@@ -256,8 +260,9 @@
 	f.eventually(fmt.Sprintf("%d more versions are accepted", versions), func() bool { return count() >= want })
 }
 
-// end stops the operators and returns the patches by accepted version.
-func (o *operators) end() map[config.Version]string {
+// stop ends the operators and returns the ID of the patch of each accepted
+// version.
+func (o *operators) stop() map[config.Version]string {
 	o.cancel()
 	o.done.Wait()
 	return o.accepted
--- a/proctest/whole_test.go
+++ b/proctest/whole_test.go
@@ -14,7 +14,8 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// longStreams makes streams that take the engines a quarter of a second.
+// longStreams returns a generator of streams that take the engines about a
+// quarter of a second at 10 ms a token.
 func longStreams(prefix string) func(int, *rand.Rand) load.Request {
 	return func(n int, random *rand.Rand) load.Request {
 		workspace := []string{"bakery", "school"}[random.IntN(2)]
@@ -22,81 +23,82 @@
 	}
 }
 
-// TestWholeWhenRoutersDie kills one router after another in the middle of
-// streams. Its callers see broken streams, never clean ends, and are answered
-// by the other routers.
-func TestWholeWhenRoutersDie(t *testing.T) {
+// TestAnswersCompleteWhenRoutersDie kills one router after another in the middle
+// of streams. Its callers must see broken streams, never streams that end
+// cleanly too early, and must be answered by the other routers.
+func TestAnswersCompleteWhenRoutersDie(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, options{step: 10 * time.Millisecond})
-	l := f.startPersistent(12, longStreams("dies"))
-	l.more(12)
+	f := startFleet(t, options{tokenTime: 10 * time.Millisecond})
+	l := f.startRetryingLoad(12, longStreams("dies"))
+	l.awaitAnswered(12)
 	for n := range routerCount {
-		broken := l.sent.verdicts(load.Broken)
+		broken := l.attempts.countVerdict(load.Broken)
 		f.note("kill %s", routerName(n))
 		f.routers[n].Kill()
-		f.eventually("callers saw broken streams", func() bool { return l.sent.verdicts(load.Broken) > broken })
-		l.more(12)
+		f.eventually("callers saw broken streams", func() bool { return l.attempts.countVerdict(load.Broken) > broken })
+		l.awaitAnswered(12)
 		f.restart(n)
 		f.awaitVersion(n)
-		l.more(12)
+		l.awaitAnswered(12)
 	}
-	l.judge()
+	l.stopAndCheck()
 }
 
-// TestWholeWhenTheSchedulerFreezes freezes the scheduling router under load,
-// for longer than its absence takes to be noticed, and thaws it.
-func TestWholeWhenTheSchedulerFreezes(t *testing.T) {
+// TestAnswersCompleteWhenTheSchedulerFreezes freezes the scheduling router under
+// load until another router has taken over, and thaws it.
+func TestAnswersCompleteWhenTheSchedulerFreezes(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{})
-	l := f.startPersistent(12, mixed("freeze"))
-	l.more(30)
+	l := f.startRetryingLoad(12, mixedRequests("freeze"))
+	l.awaitAnswered(30)
 	frozen := f.scheduler(enginePool, 0, 1, 2)
 	if frozen < 0 {
 		t.Fatal("no single scheduler")
 	}
 	f.note("freeze %s, which schedules", routerName(frozen))
 	f.must(f.routers[frozen].Freeze())
-	others := others(frozen)
+	others := otherRouters(frozen)
 	f.eventually("another router schedules", func() bool { return f.scheduler(enginePool, others...) >= 0 })
-	l.moreAt(30, f.callers(others...)...)
+	l.awaitAnsweredAt(30, f.callersAddresses(others...)...)
 	f.note("thaw %s", routerName(frozen))
 	f.must(f.routers[frozen].Thaw())
 	f.eventually("one router schedules again", func() bool { return f.scheduler(enginePool, 0, 1, 2) >= 0 })
-	l.more(30)
-	l.judge()
+	l.awaitAnswered(30)
+	l.stopAndCheck()
 }
 
-// TestWholeWhenTheSchedulerDies kills the scheduling router under load.
-func TestWholeWhenTheSchedulerDies(t *testing.T) {
+// TestAnswersCompleteWhenTheSchedulerDies kills the scheduling router under
+// load, twice.
+func TestAnswersCompleteWhenTheSchedulerDies(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{})
-	l := f.startPersistent(12, mixed("scheduler"))
+	l := f.startRetryingLoad(12, mixedRequests("scheduler"))
 	for range 2 {
-		l.more(30)
-		victim := f.scheduler(enginePool, 0, 1, 2)
-		f.note("kill %s, which schedules", routerName(max(victim, 0)))
-		f.routers[max(victim, 0)].Kill()
-		l.more(30)
-		f.restart(max(victim, 0))
-		f.awaitVersion(max(victim, 0))
+		l.awaitAnswered(30)
+		killed := f.scheduler(enginePool, 0, 1, 2)
+		f.note("kill %s, which schedules", routerName(max(killed, 0)))
+		f.routers[max(killed, 0)].Kill()
+		l.awaitAnswered(30)
+		f.restart(max(killed, 0))
+		f.awaitVersion(max(killed, 0))
 		f.eventually("one router schedules", func() bool { return f.scheduler(enginePool, 0, 1, 2) >= 0 })
 	}
-	l.judge()
+	l.stopAndCheck()
 }
 
-// TestWholeWhenAStreamBreaks breaks streams at a target that can resume: the
-// caller gets the whole answer, by a resumed run.
-func TestWholeWhenAStreamBreaks(t *testing.T) {
+// TestAnswersCompleteWhenAStreamBreaks breaks streams at targets that can
+// resume. The caller must get the complete answer through a resumed run.
+func TestAnswersCompleteWhenAStreamBreaks(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{})
 	all := &results{}
 	for n := range 10 {
-		f.everyEngine(func(name string) { f.targetFaults(name, engine.Faults{BreakAfterTokens: 7, Times: 1}) })
-		all.add(<-f.send(n%routerCount, request(load.Stream, "bakery", fmt.Sprintf("resumed-%d", n), 20)))
+		f.forEachEngine(func(name string) { f.setTargetFaults(name, engine.Faults{BreakAfterTokens: 7, Times: 1}) })
+		all.add(<-f.sendAsync(n%routerCount, request(load.Stream, "bakery", fmt.Sprintf("resumed-%d", n), 20)))
 	}
 	t.Logf("%v", all)
-	if answered := all.verdicts(load.Answered); answered != 10 {
-		t.Errorf("%d of 10 broken streams were answered whole", answered)
+	if answered := all.countVerdict(load.Answered); answered != 10 {
+		t.Errorf("%d of 10 broken streams were answered completely", answered)
 	}
 	resumed := 0
 	for _, e := range f.entries() {
@@ -107,27 +109,28 @@
 	if resumed == 0 {
 		t.Error("no target resumed a stream")
 	}
-	f.judge(all.list())
+	f.checkResults(all.list())
 }
 
-// TestWholeWhenAStreamCannotBeResumed breaks streams at targets that cannot
-// resume. The caller sees a break.
-func TestWholeWhenAStreamCannotBeResumed(t *testing.T) {
+// TestBrokenStreamThatCannotBeResumedEndsBroken breaks a stream at targets that
+// cannot resume. The caller must see a broken stream.
+func TestBrokenStreamThatCannotBeResumedEndsBroken(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{notResuming: true})
-	f.everyEngine(func(name string) { f.targetFaults(name, engine.Faults{BreakAfterTokens: 7}) })
-	got := <-f.send(0, request(load.Stream, "bakery", "unresumed", 50))
+	f.forEachEngine(func(name string) { f.setTargetFaults(name, engine.Faults{BreakAfterTokens: 7}) })
+	got := <-f.sendAsync(0, request(load.Stream, "bakery", "unresumed", 50))
 	if got.Verdict != load.Broken {
 		t.Errorf("the caller of a stream that broke saw: %s, code %d %s", got.Verdict, got.Code, got.Detail)
 	}
-	f.judge([]load.Result{got})
+	f.checkResults([]load.Result{got})
 }
 
-// TestWholeWhenTheWayToTheTargetIsCut cuts the way to a target that can resume,
-// for good, while its stream reaches the caller. The caller sees a break.
-func TestWholeWhenTheWayToTheTargetIsCut(t *testing.T) {
+// TestStreamEndsBrokenWhenItsTargetIsCutOff cuts all connections to the targets,
+// which can resume, while a stream reaches the caller, and does not restore
+// them. The caller must see a broken stream.
+func TestStreamEndsBrokenWhenItsTargetIsCutOff(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, options{step: 20 * time.Millisecond})
+	f := startFleet(t, options{tokenTime: 20 * time.Millisecond})
 	stream := f.openStream(0, request(load.Stream, "bakery", "cut", 100))
 	defer stream.Close()
 	part := make([]byte, 16)
@@ -139,16 +142,16 @@
 	}
 }
 
-// openStream sends a request and returns the body of its answer, once its
-// head has come.
+// openStream sends a request and returns the body of its answer once the head
+// of the answer has come.
 func (f *fleet) openStream(router int, r load.Request) io.ReadCloser {
 	f.t.Helper()
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"mark:%s"}]}`,
 		model, r.MaxTokens, r.Mark)
-	call, err := http.NewRequest(http.MethodPost, "http://"+f.callers(router)[0]+engine.PathChat, strings.NewReader(body))
+	call, err := http.NewRequest(http.MethodPost, "http://"+f.callersAddresses(router)[0]+engine.PathChat, strings.NewReader(body))
 	f.must(err)
 	call.Header.Set("Authorization", "Bearer "+r.Key)
-	answer, err := control.Do(call)
+	answer, err := httpClient.Do(call)
 	f.must(err)
 	if answer.StatusCode != http.StatusOK {
 		f.t.Fatalf("the stream was answered %s", answer.Status)
@@ -156,39 +159,41 @@
 	return answer.Body
 }
 
-// TestWholeBesideCallersThatGoAway lets impatient callers go away in the middle
-// of their answers. Everybody else's answers stay whole and their own.
-func TestWholeBesideCallersThatGoAway(t *testing.T) {
+// TestAnswersCompleteBesideCallersThatLeave lets impatient callers close their
+// connections in the middle of answers. All other callers must still get the
+// complete answers to their own requests.
+func TestAnswersCompleteBesideCallersThatLeave(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{})
-	l := f.startPersistent(12, mixed("patient"))
+	l := f.startRetryingLoad(12, mixedRequests("patient"))
 	impatient := load.NewClient(8 * time.Millisecond)
 	defer impatient.Close()
-	left := &results{}
+	impatientResults := &results{}
 	for n := range 150 {
-		left.add(impatient.Send(f.callers()[n%routerCount], request(load.Stream, "school", fmt.Sprintf("leaves-%d", n), 20)))
+		impatientResults.add(impatient.Send(f.callersAddresses()[n%routerCount], request(load.Stream, "school", fmt.Sprintf("leaves-%d", n), 20)))
 	}
-	if left.verdicts(load.Broken) == 0 {
-		t.Error("no caller went away")
+	if impatientResults.countVerdict(load.Broken) == 0 {
+		t.Error("no caller left early")
 	}
-	t.Logf("impatient: %v", left)
-	l.more(10)
-	l.judge()
+	t.Logf("impatient: %v", impatientResults)
+	l.awaitAnswered(10)
+	l.stopAndCheck()
 }
 
-// others are the routers but one.
-func others(but int) []int {
-	var names []int
+// otherRouters returns all routers but one.
+func otherRouters(excluded int) []int {
+	var routers []int
 	for n := range routerCount {
-		if n != but {
-			names = append(names, n)
+		if n != excluded {
+			routers = append(routers, n)
 		}
 	}
-	return names
+	return routers
 }
 
-// moreAt waits until so many more requests were answered by some routers.
-func (l *persistentLoad) moreAt(answers int, routers ...string) {
+// awaitAnsweredAt waits until a number of further requests were answered by the
+// routers with the given addresses.
+func (l *retryingLoad) awaitAnsweredAt(answers int, routers ...string) {
 	l.f.t.Helper()
 	at := func(r load.Result) bool {
 		for _, address := range routers {
@@ -198,8 +203,8 @@
 		}
 		return false
 	}
-	want := l.sent.count(at) + answers
+	want := l.attempts.count(at) + answers
 	l.f.eventually(fmt.Sprintf("%d more requests are answered at %v", answers, routers), func() bool {
-		return l.sent.count(at) >= want
+		return l.attempts.count(at) >= want
 	})
 }
