--- a/managedtest/answernotice_test.go
+++ b/managedtest/answernotice_test.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// noticeTime is how long a router may take from an answer that says something of its
-	// target until nothing that is against it reaches the target.
-	noticeTime = 500 * time.Millisecond
-	// loadTime is how long the load goes on after the targets have changed.
+	// maxNoticeDelay is how long after an answer in which a target announces something a
+	// router may still send the target requests that contradict it.
+	maxNoticeDelay = 500 * time.Millisecond
+	// loadTime is how long the load continues after the targets have changed.
 	loadTime = 4 * time.Second
-	// sendersEach is how many requests are under way at each router.
-	sendersEach = 3
+	// sendersPerRouter is how many requests are in progress at each router.
+	sendersPerRouter = 3
 )
 
-// sendLog notes the answers that each router passed on.
+// sendLog records the answers that each router passed on.
 type sendLog struct {
 	mu sync.Mutex
-	// router maps the id of a request to the index of the router that it was sent to.
+	// router maps a request's ID to the index of the router that it was sent to.
 	router map[string]int
-	// leaving maps a router to when it first passed on an answer that says that its target
-	// leaves.
-	leaving map[int]time.Time
-	// byStatus counts the answers, and notWhole those that ended early.
-	byStatus map[int]int
-	notWhole int
-	// byCode counts the refusals by result code, and firstOf holds the first request of each.
-	byCode  map[string]int
-	firstOf map[string]string
+	// heardLeaving maps a router to the time at which it first passed on an answer that says
+	// that its target leaves.
+	heardLeaving map[int]time.Time
+	// byStatus counts the answers by status, and incomplete those that ended early.
+	byStatus   map[int]int
+	incomplete int
+	// byCode counts the refusals by result code, and firstByCode holds the ID of the first
+	// refused request of each code.
+	byCode      map[string]int
+	firstByCode map[string]string
 }
 
 func (l *sendLog) add(router int, got managed.Answer) {
@@ -44,28 +45,29 @@
 	l.router[got.ID] = router
 	l.byStatus[got.Status]++
 	if !got.Whole {
-		l.notWhole++
+		l.incomplete++
 	}
 	if got.Status != http.StatusOK {
 		code := got.Header.Get(headerCode)
 		if l.byCode[code] == 0 {
-			l.firstOf[code] = got.ID
+			l.firstByCode[code] = got.ID
 		}
 		l.byCode[code]++
 	}
-	if _, known := l.leaving[router]; !known && got.Header.Get(wire.HeaderLeaving) != "" {
-		l.leaving[router] = time.Now()
+	if _, known := l.heardLeaving[router]; !known && got.Header.Get(wire.HeaderLeaving) != "" {
+		l.heardLeaving[router] = time.Now()
 	}
 }
 
-// headerCode names the result code of a refusal.
+// headerCode is the header that carries the result code of a refusal.
 const headerCode = "Walnut-Code"
 
-// explain logs the refusals by result code, and what the routers logged of the first of each.
-func (f *fleet) explain(log *sendLog) {
+// logRefusals logs the refusals by result code, and the routers' log lines about the first
+// request of each code.
+func (f *fleet) logRefusals(log *sendLog) {
 	f.t.Helper()
 	for code, count := range log.byCode {
-		id := log.firstOf[code]
+		id := log.firstByCode[code]
 		f.t.Logf("code %q: %d requests, the first of them %s at router %d", code, count, id, log.router[id])
 		for n, routerLog := range f.logs {
 			for _, line := range routerLog.linesWith("request=" + id + " ") {
@@ -80,29 +82,29 @@
 	}
 }
 
-// load sends requests through all routers, changes the targets a little later, and returns what
-// came of the requests.
-func (f *fleet) load(change func()) *sendLog {
+// runLoad sends requests through all routers, calls change a little later, and returns a log of
+// the answers.
+func (f *fleet) runLoad(change func()) *sendLog {
 	log := &sendLog{
-		router:   make(map[string]int),
-		leaving:  make(map[int]time.Time),
-		byStatus: make(map[int]int),
-		byCode:   make(map[string]int),
-		firstOf:  make(map[string]string),
+		router:       make(map[string]int),
+		heardLeaving: make(map[int]time.Time),
+		byStatus:     make(map[int]int),
+		byCode:       make(map[string]int),
+		firstByCode:  make(map[string]string),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var senders sync.WaitGroup
 	for n := range f.routers {
-		for range sendersEach {
+		for range sendersPerRouter {
 			senders.Go(func() {
 				for ctx.Err() == nil {
-					log.add(n, f.sendWith(context.Background(), f.routers[n], pathSafe, key))
+					log.add(n, f.sendWith(context.Background(), f.routers[n], pathIdempotent, key))
 				}
 			})
 		}
 	}
-	time.Sleep(noticeTime)
+	time.Sleep(maxNoticeDelay)
 	change()
 	time.Sleep(loadTime)
 	cancel()
@@ -110,111 +112,113 @@
 	return log
 }
 
-// wide is a target that has room for all senders.
-func wide(id string) managed.ReplicaOptions {
-	options := ops(id)
-	options.Slots = 4 * sendersEach
+// opsReplicaForAllSenders describes a replica with more slots than there are senders.
+func opsReplicaForAllSenders(id string) managed.ReplicaOptions {
+	options := opsReplica(id)
+	options.Slots = 4 * sendersPerRouter
 	return options
 }
 
-// TestNothingIsSentAfterAnAnswerSaysLeaving: a router that has passed on an answer in which a
-// target says that it leaves sends it nothing more, though the target's entry does not change.
+// TestNothingIsSentAfterAnAnswerSaysLeaving guards against a router that sends further requests
+// to a target after it passed on an answer in which the target says that it leaves. The target's
+// entry in the store does not change.
 func TestNothingIsSentAfterAnAnswerSaysLeaving(t *testing.T) {
 	for name, fault := range map[string]managed.Fault{"store serves": managed.Healthy, "store refuses": managed.Refusing} {
 		t.Run(name, func(t *testing.T) {
-			f := startFleet(t, 3, wide("stays"), wide("leaves"))
-			log := f.load(func() {
+			f := startFleet(t, 3, opsReplicaForAllSenders("stays"), opsReplicaForAllSenders("leaves"))
+			log := f.runLoad(func() {
 				f.store.SetFault(fault)
 				f.replicas[1].SayLeaving()
 			})
-			if len(log.leaving) == 0 {
+			if len(log.heardLeaving) == 0 {
 				t.Fatal("no answer said that its target leaves")
 			}
 			late := 0
 			for _, arrival := range f.journal.Arrivals("leaves") {
 				router := log.router[arrival.ID]
-				heard, known := log.leaving[router]
-				if known && arrival.At.After(heard.Add(noticeTime)) {
+				heard, known := log.heardLeaving[router]
+				if known && arrival.At.After(heard.Add(maxNoticeDelay)) {
 					late++
 				}
 			}
 			if late > 0 {
 				t.Errorf("%d requests reached the target after their router had passed on that it leaves", late)
 			}
-			if others := len(log.router) - log.byStatus[http.StatusOK]; others > 0 || log.notWhole > 0 {
-				t.Errorf("%d of %d requests were not answered while a target with room stayed: %v", others, len(log.router), log.byStatus)
-				f.explain(log)
+			if unanswered := len(log.router) - log.byStatus[http.StatusOK]; unanswered > 0 || log.incomplete > 0 {
+				t.Errorf("%d of %d requests were not answered while a target with room stayed: %v", unanswered, len(log.router), log.byStatus)
+				f.logRefusals(log)
 			}
 		})
 	}
 }
 
-// TestRetryAfterOfATargetIsKept: a target that turns requests of a router away and asks it to
-// come back later gets nothing from that router until then.
-func TestRetryAfterOfATargetIsKept(t *testing.T) {
+// TestRetryAfterOfATargetIsHonoured guards against a router that sends requests to a target
+// before the time that the target asked it to wait when it refused a request.
+func TestRetryAfterOfATargetIsHonoured(t *testing.T) {
 	const retryAfter = 3 * time.Second
 	for _, every := range []int{1, 4, 8} {
 		t.Run("one in "+strconv.Itoa(every), func(t *testing.T) {
-			f := startFleet(t, 3, wide("serves"), wide("sheds"))
-			log := f.load(func() {
+			f := startFleet(t, 3, opsReplicaForAllSenders("serves"), opsReplicaForAllSenders("sheds"))
+			log := f.runLoad(func() {
 				f.replicas[1].SetFaults(managed.ReplicaFaults{RefuseEvery: every, RetryAfter: retryAfter})
 			})
-			worst := 0
+			maxTooEarly := 0
 			arrivals := f.journal.Arrivals("sheds")
 			for _, refused := range arrivals {
 				if refused.RetryAfter == 0 {
 					continue
 				}
-				inTime := 0
+				tooEarly := 0
 				for _, other := range arrivals {
 					since := other.At.Sub(refused.At)
-					if log.router[other.ID] == log.router[refused.ID] && since > noticeTime && since < retryAfter {
-						inTime++
+					if log.router[other.ID] == log.router[refused.ID] && since > maxNoticeDelay && since < retryAfter {
+						tooEarly++
 					}
 				}
-				worst = max(worst, inTime)
+				maxTooEarly = max(maxTooEarly, tooEarly)
 			}
-			if worst > 0 {
-				t.Errorf("%d requests of one router reached the target within the time that it had asked for", worst)
+			if maxTooEarly > 0 {
+				t.Errorf("%d requests of one router reached the target before the end of its Retry-After", maxTooEarly)
 			}
-			if others := len(log.router) - log.byStatus[http.StatusOK]; others > 0 {
-				t.Errorf("%d of %d requests were not answered while another target had room: %v", others, len(log.router), log.byStatus)
-				f.explain(log)
+			if unanswered := len(log.router) - log.byStatus[http.StatusOK]; unanswered > 0 {
+				t.Errorf("%d of %d requests were not answered while another target had room: %v", unanswered, len(log.router), log.byStatus)
+				f.logRefusals(log)
 			}
 		})
 	}
 }
 
-// TestAllTargetsAskForLater: once all targets have asked a router to come back later, its
-// callers are refused at once and told when to come back, and the targets get nothing.
-func TestAllTargetsAskForLater(t *testing.T) {
+// TestRequestsAreRefusedWhileAllTargetsAskForLater requires that, once all targets have refused
+// a router with a Retry-After, its callers are refused immediately with a Retry-After, and the
+// targets get no requests.
+func TestRequestsAreRefusedWhileAllTargetsAskForLater(t *testing.T) {
 	const retryAfter = 3 * time.Second
 	faults := managed.ReplicaFaults{Refuse: true, RetryAfter: retryAfter}
-	f := startFleet(t, 1, wide("a"), wide("b"))
+	f := startFleet(t, 1, opsReplicaForAllSenders("a"), opsReplicaForAllSenders("b"))
 	refusing := time.Now()
-	log := f.load(func() {
+	log := f.runLoad(func() {
 		refusing = time.Now()
 		for _, r := range f.replicas {
 			r.SetFaults(faults)
 		}
 	})
 	for _, id := range []string{"a", "b"} {
-		within := 0
+		tooEarly := 0
 		for _, arrival := range f.journal.Arrivals(id) {
-			if since := arrival.At.Sub(refusing); since > noticeTime && since < retryAfter {
-				within++
+			if since := arrival.At.Sub(refusing); since > maxNoticeDelay && since < retryAfter {
+				tooEarly++
 			}
 		}
-		if within > 0 {
-			t.Errorf("%d requests reached %s within the time that it had asked for", within, id)
+		if tooEarly > 0 {
+			t.Errorf("%d requests reached %s before the end of its Retry-After", tooEarly, id)
 		}
 	}
 	if log.byStatus[http.StatusServiceUnavailable] == 0 {
 		t.Errorf("no request was refused: %v", log.byStatus)
 	}
 	sent := time.Now()
-	got := f.send(f.routers[0], pathSafe)
-	if took := time.Since(sent); got.Status != http.StatusServiceUnavailable || took > noticeTime {
+	got := f.send(f.routers[0], pathIdempotent)
+	if took := time.Since(sent); got.Status != http.StatusServiceUnavailable || took > maxNoticeDelay {
 		t.Errorf("status %d after %s", got.Status, took)
 	}
 	seconds, err := strconv.ParseFloat(got.Header.Get("Retry-After"), 64)
--- a/managedtest/cold_test.go
+++ b/managedtest/cold_test.go
@@ -10,6 +10,8 @@
 	"github.com/walnutcove/walnutcove/standin/managed"
 )
 
+// How long the replica in these tests is cold, how many requests per second it tolerates then,
+// and the overshoot factor and the slack in requests that the routers' settings allow.
 const (
 	coldTime      = 3 * time.Second
 	coldPerSecond = 10
@@ -23,14 +25,14 @@
 // a cold replica tolerates, after its first start and after a restart under the same id, and
 // against refused requests while a warm replica has free slots.
 func TestColdReplicaIsLimited(t *testing.T) {
-	f := startFleet(t, 3, ops("warm"))
-	f.configure(func(c *wire.Config) {
+	f := startFleet(t, 3, opsReplica("warm"))
+	f.publishConfig(func(c *wire.Config) {
 		c.Services[0].ColdSeconds, c.Services[0].ColdPerSecond = coldTime.Seconds(), coldPerSecond
 	})
 	f.waitJoined()
 	time.Sleep(2 * time.Second)
 
-	cold := ops("cold")
+	cold := opsReplica("cold")
 	cold.ColdTime = coldTime
 	for range 2 {
 		start := time.Now()
@@ -50,7 +52,7 @@
 			t.Errorf("%d requests were refused while the warm replica had free slots", refused)
 		}
 		r.Close()
-		time.Sleep(soon)
+		time.Sleep(maxUpdateDelay)
 	}
 }
 
--- a/managedtest/endintime_test.go
+++ b/managedtest/endintime_test.go
@@ -13,57 +13,57 @@
 )
 
 const (
-	// shortLimit is the sooner of a request's two limits, and longLimit the later one.
+	// shortLimit is the earlier of a request's two time limits, longLimit the later one.
 	shortLimit = time.Second
 	longLimit  = 6 * time.Second
-	// endMargin is how much later than its limit a request may end.
+	// endMargin is how long after its limit a request may end.
 	endMargin = 250 * time.Millisecond
-	// hangTime is how long a target keeps an answer back.
-	hangTime = 3 * time.Second
+	// stallTime is how long a target delays an answer.
+	stallTime = 3 * time.Second
 )
 
-// hang is a way in which an answer does not come.
-type hang struct {
+// stall is a fault that keeps an answer from coming.
+type stall struct {
 	name   string
 	faults managed.ReplicaFaults
-	// silent says that nothing comes back on the way from the targets.
-	silent bool
+	// holdAnswers holds back all data from the targets.
+	holdAnswers bool
 }
 
-var hangs = []hang{
-	{name: "slow target", faults: managed.ReplicaFaults{Slower: hangTime}},
-	{name: "silent way", silent: true},
-	{name: "half an answer", faults: managed.ReplicaFaults{HangsMidway: hangTime}},
+var stalls = []stall{
+	{name: "slow target", faults: managed.ReplicaFaults{Slower: stallTime}},
+	{name: "answers held back", holdAnswers: true},
+	{name: "partial answer", faults: managed.ReplicaFaults{HangsMidway: stallTime}},
 }
 
-// hangingFleet is two routers before targets that do not answer in time.
-func hangingFleet(t *testing.T, h hang) (f *fleet, ways []*processes.Way) {
+// startStallingFleet starts two routers with targets that do not answer in time.
+func startStallingFleet(t *testing.T, s stall) (f *fleet, proxies []*processes.Way) {
 	_, ip := processes.NewIPs()
-	behindWay := func(options managed.ReplicaOptions) managed.ReplicaOptions {
-		options.ReplicaFaults = h.faults
+	behindProxy := func(options managed.ReplicaOptions) managed.ReplicaOptions {
+		options.ReplicaFaults = s.faults
 		options.Advertise = func(listens string) (string, error) {
-			way, err := processes.NewWay(options.ID, ip, listens)
+			proxy, err := processes.NewWay(options.ID, ip, listens)
 			if err != nil {
 				return "", err
 			}
-			t.Cleanup(way.Close)
-			ways = append(ways, way)
-			return way.Address(), nil
+			t.Cleanup(proxy.Close)
+			proxies = append(proxies, proxy)
+			return proxy.Address(), nil
 		}
 		return options
 	}
-	f = startFleet(t, 2, behindWay(wide("o1")), behindWay(wide("o2")), behindWay(gen("g1")), behindWay(gen("g2")))
-	if h.silent {
-		for _, way := range ways {
-			way.Hold(processes.Back)
+	f = startFleet(t, 2, behindProxy(opsReplicaForAllSenders("o1")), behindProxy(opsReplicaForAllSenders("o2")), behindProxy(genReplica("g1")), behindProxy(genReplica("g2")))
+	if s.holdAnswers {
+		for _, proxy := range proxies {
+			proxy.Hold(processes.Back)
 		}
 	}
-	return f, ways
+	return f, proxies
 }
 
 // TestEveryRequestEndsInTime guards against requests that wait for their targets beyond their
-// callers' deadline or their route's limit, which non-idempotent ones did for as long as the
-// target took.
+// caller's deadline or their route's limit. Non-idempotent requests once waited for as long as
+// the target took.
 func TestEveryRequestEndsInTime(t *testing.T) {
 	limits := []struct {
 		name            string
@@ -72,32 +72,32 @@
 		{"deadline of the caller", shortLimit, longLimit},
 		{"limit of the route", longLimit, shortLimit},
 	}
-	for _, h := range hangs {
+	for _, s := range stalls {
 		for _, limit := range limits {
-			t.Run(h.name+", "+limit.name, func(t *testing.T) {
+			t.Run(s.name+", "+limit.name, func(t *testing.T) {
 				t.Parallel()
-				f, _ := hangingFleet(t, h)
-				f.configure(func(c *wire.Config) {
+				f, _ := startStallingFleet(t, s)
+				f.publishConfig(func(c *wire.Config) {
 					for n := range c.Routes {
 						c.Routes[n].Timeout = float64(limit.route.Milliseconds())
 					}
 				})
 				f.awaitVersion()
 				f.caller.Deadline = limit.deadline
-				for _, path := range []string{pathOps, pathSafe, pathGen} {
-					if path == pathGen && h.faults.HangsMidway > 0 {
-						continue // streams have no half of a body
+				for _, path := range []string{pathNonIdempotent, pathIdempotent, pathStream} {
+					if path == pathStream && s.faults.HangsMidway > 0 {
+						continue // this fault applies to bodies sent whole, not to streams
 					}
-					f.endsInTime(path)
+					f.checkEndsInTime(path)
 				}
 			})
 		}
 	}
 }
 
-// endsInTime checks that a request ends at its limit and ran at most once if it may not be
-// repeated.
-func (f *fleet) endsInTime(path string) {
+// checkEndsInTime checks that a request ends at its limit. It also checks that a non-idempotent
+// request ran exactly once and was not refused as not run.
+func (f *fleet) checkEndsInTime(path string) {
 	f.t.Helper()
 	sent := time.Now()
 	got := f.send(f.routers[0], path)
@@ -105,11 +105,11 @@
 	if took > shortLimit+endMargin {
 		f.t.Errorf("%s ended with status %d after %s, its limit is %s", path, got.Status, took, shortLimit)
 	}
-	if runs := len(f.journal.Runs(got.ID)); path == pathOps && runs != 1 {
+	if runs := len(f.journal.Runs(got.ID)); path == pathNonIdempotent && runs != 1 {
 		f.t.Errorf("%s ran %d times", path, runs)
 	}
-	if path == pathOps && slices.Contains([]int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout}, got.Status) {
-		f.t.Errorf("%s ran and was told status %d, not run", path, got.Status)
+	if path == pathNonIdempotent && slices.Contains([]int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout}, got.Status) {
+		f.t.Errorf("%s ran, but was refused as not run with status %d", path, got.Status)
 	}
 }
 
@@ -117,44 +117,44 @@
 func (f *fleet) awaitVersion() {
 	f.t.Helper()
 	for _, r := range f.routers {
-		f.eventually(2*soon, "the newest version at each router", func() bool { return uint64(r.InForce().Version) == f.version })
+		f.eventually(2*maxUpdateDelay, "the newest version is in force at each router", func() bool { return uint64(r.InForce().Version) == f.version })
 	}
 }
 
-// TestAnswerRightBeforeTheDeadlineIsDelivered guards against giving a request up while its
-// answer is on its way.
+// TestAnswerRightBeforeTheDeadlineIsDelivered guards against giving up a request whose answer
+// comes shortly before its deadline.
 func TestAnswerRightBeforeTheDeadlineIsDelivered(t *testing.T) {
-	const sooner = 50 * time.Millisecond
-	slow := wide("o1")
-	slow.Pause = shortLimit - sooner
+	const margin = 50 * time.Millisecond
+	slow := opsReplicaForAllSenders("o1")
+	slow.Pause = shortLimit - margin
 	f := startFleet(t, 1, slow)
 	f.caller.Deadline = shortLimit
-	for _, path := range []string{pathOps, pathSafe} {
+	for _, path := range []string{pathNonIdempotent, pathIdempotent} {
 		if got := f.send(f.routers[0], path); got.Status != http.StatusOK || got.Body != managed.WholeAnswer(got.ID) {
 			t.Errorf("%s: status %d, %q", path, got.Status, got.Body)
 		}
 	}
 }
 
-// TestRunGoesOnBehindItsCallersEnd guards against cancelling what may not be repeated, and
-// against a target's slots being taken as free, or kept for ever, when its caller got its end
-// before the run did.
-func TestRunGoesOnBehindItsCallersEnd(t *testing.T) {
-	slow := wide("o1")
+// TestRunContinuesAfterItsCallerTimedOut guards against cancelling a non-idempotent run whose
+// caller was answered with a timeout before the run ended, and against treating the slot of
+// such a run as free too early, or as occupied for ever.
+func TestRunContinuesAfterItsCallerTimedOut(t *testing.T) {
+	slow := opsReplicaForAllSenders("o1")
 	slow.Slots = 1
-	slow.Slower = hangTime
+	slow.Slower = stallTime
 	f := startFleet(t, 1, slow)
 	f.caller.Deadline = shortLimit
-	got := f.send(f.routers[0], pathOps)
+	got := f.send(f.routers[0], pathNonIdempotent)
 	if got.Status != http.StatusGatewayTimeout {
 		t.Errorf("status %d, %s", got.Status, got.Body)
 	}
 	f.replicas[0].SetFaults(managed.ReplicaFaults{})
-	f.caller.Deadline = deadline
+	f.caller.Deadline = requestDeadline
 	sent := time.Now()
-	next := f.send(f.routers[0], pathOps)
-	if waited := time.Since(sent); next.Status != http.StatusOK || waited < hangTime-shortLimit-endMargin {
-		t.Errorf("the next request got status %d after %s, while the run before goes on", next.Status, waited)
+	next := f.send(f.routers[0], pathNonIdempotent)
+	if waited := time.Since(sent); next.Status != http.StatusOK || waited < stallTime-shortLimit-endMargin {
+		t.Errorf("the next request got status %d after %s, while the previous run continued", next.Status, waited)
 	}
 	if run := f.journal.Runs(got.ID); len(run) != 1 || run[0].Cancelled {
 		t.Errorf("runs %+v", run)
@@ -164,22 +164,22 @@
 	}
 }
 
-// TestShutdownWaitsForRunsBehindTheirCallersEnd guards against a graceful end of a router that
-// cuts what may not be repeated.
-func TestShutdownWaitsForRunsBehindTheirCallersEnd(t *testing.T) {
-	slow := wide("o1")
-	slow.Slower = hangTime
+// TestShutdownWaitsForRunsWhoseCallersTimedOut guards against a graceful shutdown that cuts a
+// non-idempotent run whose caller was already answered with a timeout.
+func TestShutdownWaitsForRunsWhoseCallersTimedOut(t *testing.T) {
+	slow := opsReplicaForAllSenders("o1")
+	slow.Slower = stallTime
 	f := startFleet(t, 1, slow)
 	f.caller.Deadline = shortLimit
 	sent := time.Now()
-	got := f.send(f.routers[0], pathOps)
+	got := f.send(f.routers[0], pathNonIdempotent)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := f.routers[0].Shutdown(ctx); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(sent); took < hangTime {
-		t.Errorf("the router ended after %s, while a run of %s went on", took, hangTime)
+	if took := time.Since(sent); took < stallTime {
+		t.Errorf("the router shut down after %s, before the end of a run of %s", took, stallTime)
 	}
 	if run := f.journal.Runs(got.ID); len(run) != 1 || run[0].Cancelled {
 		t.Errorf("runs %+v", run)
--- a/managedtest/fleet_test.go
+++ b/managedtest/fleet_test.go
@@ -1,5 +1,6 @@
-// Package managedtest runs routers against the stand-in of a managed platform and
-// checks what callers and replicas see. Everything speaks over real sockets.
+// Package managedtest runs routers in process against the stand-in of a managed
+// platform and checks what callers and replicas see. All connections are real
+// sockets.
 package managedtest
 
 import (
@@ -19,21 +20,21 @@
 	"github.com/walnutcove/walnutcove/standin/managed"
 )
 
-// What the fleet serves.
+// The requests that the fleet serves.
 const (
-	key      = managed.DemoKey
-	pathOps  = managed.DemoOncePrefix + "deploy"
-	pathSafe = managed.DemoSafePrefix + "purge"
-	pathGen  = managed.DemoStreamPrefix + "page"
-	events   = 8
-
-	// deadline is the requests' own.
-	deadline = 8 * time.Second
-	// testTimeout bounds every wait for something that must come.
+	key               = managed.DemoKey
+	pathNonIdempotent = managed.DemoOncePrefix + "deploy"
+	pathIdempotent    = managed.DemoSafePrefix + "purge"
+	pathStream        = managed.DemoStreamPrefix + "page"
+	streamEvents      = 8
+
+	// requestDeadline is the deadline that callers send with their requests.
+	requestDeadline = 8 * time.Second
+	// testTimeout limits every wait for an event that must come.
 	testTimeout = 20 * time.Second
 )
 
-// fleet is some routers, the store and replicas.
+// fleet is a set of routers with the store and the replicas that they use.
 type fleet struct {
 	t        *testing.T
 	store    *managed.Store
@@ -41,7 +42,7 @@
 	replicas []*managed.Replica
 	routers  []*router.Router
 	settings []settings.Settings
-	logs     []*logged // of the routers, in their order
+	logs     []*logBuffer // one for each router
 	version  uint64
 	caller   *managed.Caller
 }
@@ -51,14 +52,14 @@
 	t.Helper()
 	f := &fleet{t: t, store: managed.StartStore(), journal: &managed.Journal{}}
 	t.Cleanup(f.store.Close)
-	f.caller = managed.NewCaller("request", deadline)
+	f.caller = managed.NewCaller("request", requestDeadline)
 	t.Cleanup(f.caller.Close)
-	f.configure(nil)
+	f.publishConfig(nil)
 	for _, options := range replicas {
-		f.replica(options)
+		f.addReplica(options)
 	}
 	for range routers {
-		f.router()
+		f.addRouter()
 	}
 	for _, r := range f.routers {
 		f.waitReady(r)
@@ -66,7 +67,7 @@
 	return f
 }
 
-func (f *fleet) replica(options managed.ReplicaOptions) *managed.Replica {
+func (f *fleet) addReplica(options managed.ReplicaOptions) *managed.Replica {
 	f.t.Helper()
 	r, err := managed.StartReplica(f.store, f.journal, options)
 	if err != nil {
@@ -77,8 +78,9 @@
 	return r
 }
 
-// router starts one more router, with an address of the store of its own.
-func (f *fleet) router() *router.Router {
+// addRouter starts one more router, which reaches the store at an address of its
+// own.
+func (f *fleet) addRouter() *router.Router {
 	f.t.Helper()
 	address, err := f.store.Listen()
 	if err != nil {
@@ -87,7 +89,7 @@
 	s := devfleet.ManagedSettings(fmt.Sprintf("vm-%d", len(f.routers)+1), address)
 	s.Node.Regions = zoneRegions
 	s.Scheduling.ColdOvershoot, s.Scheduling.ColdSlack = coldOvershoot, coldSlack
-	log := &logged{}
+	log := &logBuffer{}
 	r, err := router.Start(s, slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		f.t.Fatal(err)
@@ -99,26 +101,26 @@
 	return r
 }
 
-// logged keeps what a router logs.
-type logged struct {
+// logBuffer keeps the log of a router.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *logged) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *logged) has(text string) bool {
+func (l *logBuffer) contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.text.String(), text)
 }
 
-// linesWith returns the lines that contain a text.
-func (l *logged) linesWith(text string) []string {
+// linesWith returns the log lines that contain a text.
+func (l *logBuffer) linesWith(text string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var lines []string
@@ -130,12 +132,12 @@
 	return lines
 }
 
-// waitJoined waits until each router hears of all others.
+// waitJoined waits until each router has logged that it knows all others.
 func (f *fleet) waitJoined() {
 	f.t.Helper()
 	for n, log := range f.logs {
-		f.eventually(testTimeout, "router "+strconv.Itoa(n)+" hears of all others", func() bool {
-			return log.has(fmt.Sprintf(`"member: Live routers changed." node=%s count=%d `, f.settings[n].Node.Name, len(f.routers)))
+		f.eventually(testTimeout, "router "+strconv.Itoa(n)+" knows all others", func() bool {
+			return log.contains(fmt.Sprintf(`"member: Live routers changed." node=%s count=%d `, f.settings[n].Node.Name, len(f.routers)))
 		})
 	}
 }
@@ -149,9 +151,9 @@
 	}
 }
 
-// configure publishes the next version, after edit has changed it.
-func (f *fleet) configure(edit func(*wire.Config)) {
-	f.version += 3 // versions rise in uneven steps
+// publishConfig publishes the next version, after edit has changed it.
+func (f *fleet) publishConfig(edit func(*wire.Config)) {
+	f.version += 3 // versions need not be consecutive
 	c := managed.Demo(f.version)
 	if edit != nil {
 		edit(&c)
@@ -164,22 +166,24 @@
 	return f.sendWith(context.Background(), r, path, key)
 }
 
+// sendWith sends a request with a key and reads its answer.
 func (f *fleet) sendWith(ctx context.Context, r *router.Router, path, withKey string) managed.Answer {
 	ctx, cancel := context.WithTimeout(ctx, testTimeout)
 	defer cancel()
 	return f.caller.Send(ctx, r.CallersAddress(), path, withKey)
 }
 
-// eventually waits until a condition holds.
-func (f *fleet) eventually(within time.Duration, what string, holds func() bool) {
+// eventually waits until a condition holds, and fails the test if that takes
+// too long.
+func (f *fleet) eventually(within time.Duration, what string, condition func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if holds() {
+	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	f.t.Errorf("not within %s: %s", within, what)
+	f.t.Errorf("timed out after %s waiting until %s", within, what)
 }
 
-// wholeStream is the body of a stream that lacks nothing and has nothing twice.
-func wholeStream(id string) string { return managed.WholeStream(id, events) }
+// wholeStream returns the body of a complete stream, with each event once.
+func wholeStream(id string) string { return managed.WholeStream(id, streamEvents) }
--- a/managedtest/managed_test.go
+++ b/managedtest/managed_test.go
@@ -13,36 +13,36 @@
 	"github.com/walnutcove/walnutcove/standin/managed"
 )
 
-func ops(id string) managed.ReplicaOptions {
+func opsReplica(id string) managed.ReplicaOptions {
 	return managed.ReplicaOptions{ID: id, Service: "ops", Slots: 4, Pause: 5 * time.Millisecond}
 }
 
-func gen(id string) managed.ReplicaOptions {
-	return managed.ReplicaOptions{ID: id, Service: "gen", Slots: 8, Events: events, Pause: 5 * time.Millisecond}
+func genReplica(id string) managed.ReplicaOptions {
+	return managed.ReplicaOptions{ID: id, Service: "gen", Slots: 8, Events: streamEvents, Pause: 5 * time.Millisecond}
 }
 
-// TestMixedRequests: every caller gets the whole answer to its own request, each
-// with its seal, and what may not be repeated runs once.
+// TestMixedRequests guards against answers that are incomplete, belong to another
+// request or lack their seal, and against requests that run more than once.
 func TestMixedRequests(t *testing.T) {
-	f := startFleet(t, 3, ops("o1"), ops("o2"), gen("g1"), gen("g2"))
-	paths := []string{pathOps, pathSafe, pathGen}
+	f := startFleet(t, 3, opsReplica("o1"), opsReplica("o2"), genReplica("g1"), genReplica("g2"))
+	paths := []string{pathNonIdempotent, pathIdempotent, pathStream}
 	var callers sync.WaitGroup
 	for n := range 300 {
 		callers.Go(func() {
 			path := paths[n%len(paths)]
 			got := f.send(f.routers[n%len(f.routers)], path)
 			want := managed.WholeAnswer(got.ID)
-			if path == pathGen {
+			if path == pathStream {
 				want = wholeStream(got.ID)
 			}
 			switch {
 			case got.Status == http.StatusServiceUnavailable:
 				if runs := f.journal.Runs(got.ID); len(runs) != 0 {
-					t.Errorf("%s was told that it did not run, and ran at %s", got.ID, runs[0].Replica)
+					t.Errorf("%s was refused as not run, but ran at %s", got.ID, runs[0].Replica)
 				}
 				return
 			case got.Status != http.StatusOK || !got.Whole || got.Body != want:
-				t.Errorf("%s: status %d, whole %v, %q", path, got.Status, got.Whole, got.Body)
+				t.Errorf("%s: status %d, complete %v, %q", path, got.Status, got.Whole, got.Body)
 			case got.Header.Get(wire.HeaderSeal) == "":
 				t.Errorf("%s has no seal", got.ID)
 			}
@@ -54,38 +54,40 @@
 	callers.Wait()
 }
 
-// TestBrokenStreamGoesOnElsewhere: a stream whose replica breaks off in the middle
-// of an event goes on at another one, without a gap, a repetition or a torn event.
-func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
-	breaking := gen("breaks")
+// TestBrokenStreamResumesElsewhere guards against gaps, repeated events and
+// truncated events when a replica breaks off a stream in the middle of an event
+// and the stream is resumed at another replica.
+func TestBrokenStreamResumesElsewhere(t *testing.T) {
+	breaking := genReplica("breaks")
 	breaking.BreakAfter = 3
-	f := startFleet(t, 2, breaking, gen("sound"))
+	f := startFleet(t, 2, breaking, genReplica("sound"))
 	resumed := 0
 	for range 20 {
-		got := f.send(f.routers[0], pathGen)
+		got := f.send(f.routers[0], pathStream)
 		if got.Status != http.StatusOK || !got.Whole || got.Body != wholeStream(got.ID) {
-			t.Fatalf("status %d, whole %v:\n%s", got.Status, got.Whole, got.Body)
+			t.Fatalf("status %d, complete %v:\n%s", got.Status, got.Whole, got.Body)
 		}
 		if runs := f.journal.Runs(got.ID); len(runs) == 2 && runs[1].AfterEvent == "3" {
 			resumed++
 		}
 	}
 	if resumed == 0 {
-		t.Error("no stream met the replica that breaks off")
+		t.Error("no stream was resumed after the replica broke it off")
 	}
 }
 
-// TestVersionsComeIntoForce: keys that are taken away are refused, and new routes
-// served, at every router soon after the version was written.
-func TestVersionsComeIntoForce(t *testing.T) {
-	f := startFleet(t, 3, ops("o1"), ops("o2"))
-	f.configure(func(c *wire.Config) {
+// TestNewVersionIsInForceEverywhere requires that, soon after a version was
+// written, every router refuses the keys that it removes and serves the routes
+// that it adds.
+func TestNewVersionIsInForceEverywhere(t *testing.T) {
+	f := startFleet(t, 3, opsReplica("o1"), opsReplica("o2"))
+	f.publishConfig(func(c *wire.Config) {
 		c.Tenants[0].Keys = []string{"another"}
 		c.Routes = append(c.Routes, wire.Route{Name: "new", Host: managed.DemoHost, Prefix: "/new/", Kind: wire.Idempotent, Service: "ops", Public: true})
 	})
 	for n, r := range f.routers {
 		f.eventually(2*time.Second, "the version is in force at router "+strconv.Itoa(n), func() bool {
-			return f.send(r, pathOps).Status == http.StatusUnauthorized && f.send(r, "/new/x").Status == http.StatusOK
+			return f.send(r, pathNonIdempotent).Status == http.StatusUnauthorized && f.send(r, "/new/x").Status == http.StatusOK
 		})
 		if got := f.send(r, "/nowhere/x"); got.Status != http.StatusNotFound {
 			t.Errorf("unknown path: status %d", got.Status)
@@ -93,62 +95,65 @@
 	}
 }
 
-// TestTurnedAwayRouterKeepsUp: a router that the store turns away learns of keys
-// taken away and of replicas that leave by its peers.
-func TestTurnedAwayRouterKeepsUp(t *testing.T) {
-	f := startFleet(t, 3, ops("o1"), ops("o2"))
+// TestRouterRefusedByTheStoreKeepsUpToDate guards against a router that goes on
+// accepting removed keys while the store refuses its calls. It must learn of the
+// removal from its peers.
+func TestRouterRefusedByTheStoreKeepsUpToDate(t *testing.T) {
+	f := startFleet(t, 3, opsReplica("o1"), opsReplica("o2"))
 	f.store.SetFaultAt(f.settings[0].Platform.Address, managed.Refusing)
-	f.configure(func(c *wire.Config) { c.Tenants[0].Keys = []string{"another"} })
+	f.publishConfig(func(c *wire.Config) { c.Tenants[0].Keys = []string{"another"} })
 	cut := f.routers[0]
-	f.eventually(3*time.Second, "a router that is turned away refuses a key taken away", func() bool {
-		return f.send(cut, pathOps).Status == http.StatusUnauthorized
+	f.eventually(3*time.Second, "a router that the store refuses rejects a removed key", func() bool {
+		return f.send(cut, pathNonIdempotent).Status == http.StatusUnauthorized
 	})
 }
 
-// TestReadyOnceOthersAreKnown: a router that cannot list the others does not ask for
-// callers, as it could not follow changes by them; but not for long.
+// TestReadyOnceOthersAreKnown requires that a router that cannot list the other
+// routers is not ready at first, because it could not learn of changes from them,
+// but becomes ready after a while.
 func TestReadyOnceOthersAreKnown(t *testing.T) {
-	f := startFleet(t, 2, ops("o1"))
+	f := startFleet(t, 2, opsReplica("o1"))
 	f.store.RefuseReads(platform.TableRouters)
-	late, lonely := f.router(), f.router()
+	late, neverJoined := f.addRouter(), f.addRouter()
 	f.eventually(testTimeout, "the late router has a version", func() bool { return late.InForce() != nil })
 	if late.Ready() {
 		t.Error("ready without knowing the others")
 	}
-	f.eventually(4*time.Second, "a router that never learns of the others is ready", lonely.Ready)
+	f.eventually(4*time.Second, "a router that never gets the list of the others is ready", neverJoined.Ready)
 
 	f.store.RefuseReads(platform.TableRouters)
-	late = f.router()
+	late = f.addRouter()
 	f.eventually(testTimeout, "the late router has a version", func() bool { return late.InForce() != nil })
 	f.store.RefuseReads("")
 	f.eventually(time.Second, "the late router is ready once it knows the others", late.Ready)
 }
 
-// TestTurnedAwayMemberKeepsUp is the same for a router that had joined the others
-// before the store turned it away.
-func TestTurnedAwayMemberKeepsUp(t *testing.T) {
-	f := startFleet(t, 3, ops("o1"), ops("o2"))
+// TestMemberRefusedByTheStoreKeepsUpToDate is the same as
+// TestRouterRefusedByTheStoreKeepsUpToDate for a router that had joined the
+// others before the store refused it.
+func TestMemberRefusedByTheStoreKeepsUpToDate(t *testing.T) {
+	f := startFleet(t, 3, opsReplica("o1"), opsReplica("o2"))
 	f.waitJoined()
 	f.store.SetFaultAt(f.settings[0].Platform.Address, managed.Refusing)
-	f.configure(func(c *wire.Config) { c.Tenants[0].Keys = []string{"another"} })
+	f.publishConfig(func(c *wire.Config) { c.Tenants[0].Keys = []string{"another"} })
 	cut := f.routers[0]
-	f.eventually(3*time.Second, "a member that is turned away refuses a key taken away", func() bool {
-		return f.send(cut, pathOps).Status == http.StatusUnauthorized
+	f.eventually(3*time.Second, "a member that the store refuses rejects a removed key", func() bool {
+		return f.send(cut, pathNonIdempotent).Status == http.StatusUnauthorized
 	})
 }
 
-// TestLeavingReplicaGetsNothing: soon after a replica told that it leaves, or was
-// taken off the list, no router sends it anything.
+// TestLeavingReplicaGetsNothing guards against requests that a router sends to a
+// replica long after the replica announced that it leaves.
 func TestLeavingReplicaGetsNothing(t *testing.T) {
-	f := startFleet(t, 3, ops("o1"))
-	leaving := f.replica(ops("o2"))
+	f := startFleet(t, 3, opsReplica("o1"))
+	leaving := f.addReplica(opsReplica("o2"))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var callers sync.WaitGroup
 	for _, r := range f.routers {
 		callers.Go(func() {
 			for ctx.Err() == nil {
-				f.sendWith(ctx, r, pathSafe, key)
+				f.sendWith(ctx, r, pathIdempotent, key)
 			}
 		})
 	}
@@ -166,52 +171,54 @@
 	callers.Wait()
 	for _, run := range f.journal.Runs("") {
 		if run.Left > time.Second {
-			t.Fatalf("%s reached the replica %s after it told that it leaves", run.ID, run.Left)
+			t.Fatalf("%s reached the replica %s after it announced that it leaves", run.ID, run.Left)
 		}
 	}
 }
 
-// TestOutageOfTheStore: requests are served while the store is silent, and a router
-// that starts meanwhile has its configuration soon after the store's return.
+// TestOutageOfTheStore requires that requests are served while the store does not
+// answer, and that a router that starts meanwhile has its configuration soon
+// after the store answers again.
 func TestOutageOfTheStore(t *testing.T) {
-	f := startFleet(t, 2, ops("o1"))
+	f := startFleet(t, 2, opsReplica("o1"))
 	f.store.SetFault(managed.Silent)
 	for _, r := range f.routers {
-		if got := f.send(r, pathSafe); got.Status != http.StatusOK {
-			t.Errorf("status %d while the store is silent", got.Status)
+		if got := f.send(r, pathIdempotent); got.Status != http.StatusOK {
+			t.Errorf("status %d while the store does not answer", got.Status)
 		}
 	}
-	late := f.router()
-	if got := f.send(late, pathSafe); got.Status != http.StatusServiceUnavailable {
+	late := f.addRouter()
+	if got := f.send(late, pathIdempotent); got.Status != http.StatusServiceUnavailable {
 		t.Errorf("status %d without a configuration", got.Status)
 	}
 	f.store.SetFault(managed.Healthy)
-	f.eventually(3*time.Second, "the late router serves", func() bool { return f.send(late, pathSafe).Status == http.StatusOK })
+	f.eventually(3*time.Second, "the late router serves", func() bool { return f.send(late, pathIdempotent).Status == http.StatusOK })
 }
 
-// TestForgottenHistory: a feed whose history is gone is loaded anew.
-func TestForgottenHistory(t *testing.T) {
-	f := startFleet(t, 2, ops("o1"))
+// TestFeedIsReloadedWhenHistoryIsLost requires that routers reload a feed in full
+// when the store no longer has the history of its changes.
+func TestFeedIsReloadedWhenHistoryIsLost(t *testing.T) {
+	f := startFleet(t, 2, opsReplica("o1"))
 	f.store.SetFault(managed.Forgetful)
-	f.configure(func(c *wire.Config) { c.Tenants[0].Keys = []string{"another"} })
+	f.publishConfig(func(c *wire.Config) { c.Tenants[0].Keys = []string{"another"} })
 	f.eventually(3*time.Second, "the version is in force", func() bool {
-		return f.send(f.routers[0], pathOps).Status == http.StatusUnauthorized
+		return f.send(f.routers[0], pathNonIdempotent).Status == http.StatusUnauthorized
 	})
 	f.store.SetFault(managed.Healthy)
 }
 
-// TestCallersThatLeaveEndTheirRuns: the run of a stream ends within half a second
-// of its caller's leaving.
-func TestCallersThatLeaveEndTheirRuns(t *testing.T) {
-	slow := gen("g1")
+// TestRunIsCancelledWhenItsCallerLeaves requires that the run of a stream is
+// cancelled within half a second after its caller has disconnected.
+func TestRunIsCancelledWhenItsCallerLeaves(t *testing.T) {
+	slow := genReplica("g1")
 	slow.Pause = 100 * time.Millisecond
 	f := startFleet(t, 2, slow)
 	for _, resumes := range []bool{true, false} {
-		f.configure(func(c *wire.Config) { c.Routes[2].Resumable = resumes })
+		f.publishConfig(func(c *wire.Config) { c.Routes[2].Resumable = resumes })
 		time.Sleep(500 * time.Millisecond) // until the version is in force
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(250*time.Millisecond, cancel)
-		got := f.sendWith(ctx, f.routers[0], pathGen, key)
+		got := f.sendWith(ctx, f.routers[0], pathStream, key)
 		if got.Whole {
 			t.Fatal("the stream ended before its caller left")
 		}
@@ -222,15 +229,15 @@
 	}
 }
 
-// TestQuietRouterMakesFewCalls: with nothing changing, routers wait for changes, and the only
-// other calls are era probes, at most one per second across the fleet.
-func TestQuietRouterMakesFewCalls(t *testing.T) {
-	f := startFleet(t, 3, ops("o1"))
-	time.Sleep(2 * time.Second) // the routers find each other and begin to follow
+// TestIdleRoutersMakeFewStoreCalls requires that routers only wait for changes while nothing
+// changes. The only other calls are era probes, at most one per second across the fleet.
+func TestIdleRoutersMakeFewStoreCalls(t *testing.T) {
+	f := startFleet(t, 3, opsReplica("o1"))
+	time.Sleep(2 * time.Second) // until the routers have found each other and follow the store
 	before, probesBefore, start := f.store.CallsBesideProbes(), f.store.EraProbes(), time.Now()
 	time.Sleep(2 * time.Second)
 	if made := f.store.CallsBesideProbes() - before; made > 0 {
-		t.Errorf("%d calls in 2 s of quiet", made)
+		t.Errorf("%d calls in 2 s without changes", made)
 	}
 	f.checkEraProbes(f.store.EraProbes()-probesBefore, time.Since(start))
 }
@@ -238,22 +245,22 @@
 // checkEraProbes checks that the fleet made at most one era probe per second.
 func (f *fleet) checkEraProbes(probes int, elapsed time.Duration) {
 	f.t.Helper()
-	if most := int(elapsed.Seconds()) + 1; probes > most {
+	if maxProbes := int(elapsed.Seconds()) + 1; probes > maxProbes {
 		f.t.Errorf("%d era probes in %s", probes, elapsed)
 	}
 }
 
-// TestGracefulShutdownCutsNothing: streams in progress at a router that shuts down
-// end whole.
+// TestGracefulShutdownCutsNothing guards against a graceful shutdown that breaks
+// off streams in progress.
 func TestGracefulShutdownCutsNothing(t *testing.T) {
-	slow := gen("g1")
+	slow := genReplica("g1")
 	slow.Pause = 60 * time.Millisecond
 	f := startFleet(t, 2, slow)
 	var callers sync.WaitGroup
 	for range 6 {
 		callers.Go(func() {
-			if got := f.send(f.routers[0], pathGen); got.Status != http.StatusOK || !got.Whole || got.Body != wholeStream(got.ID) {
-				t.Errorf("status %d, whole %v: %q", got.Status, got.Whole, got.Body)
+			if got := f.send(f.routers[0], pathStream); got.Status != http.StatusOK || !got.Whole || got.Body != wholeStream(got.ID) {
+				t.Errorf("status %d, complete %v: %q", got.Status, got.Whole, got.Body)
 			}
 		})
 	}
@@ -269,40 +276,41 @@
 	callers.Wait()
 }
 
-// TestLostAnswers: a run whose answer is lost is repeated only if it may be, and is
-// never called "not run".
+// TestLostAnswers guards against repeating a non-idempotent request whose answer
+// was lost, and against refusing it as not run.
 func TestLostAnswers(t *testing.T) {
-	losing := ops("loses")
+	losing := opsReplica("loses")
 	losing.LoseAnswers = true
-	f := startFleet(t, 2, losing, ops("sound"))
+	f := startFleet(t, 2, losing, opsReplica("sound"))
 	lost, repeated := 0, 0
-	sendOnce := func() {
-		got := f.send(f.routers[0], pathOps)
+	sendNonIdempotent := func() {
+		got := f.send(f.routers[0], pathNonIdempotent)
 		runs := f.journal.Runs(got.ID)
 		switch {
 		case len(runs) > 1:
 			t.Errorf("%s ran %d times", got.ID, len(runs))
 		case got.Status == http.StatusServiceUnavailable && len(runs) != 0:
-			t.Errorf("%s was told that it did not run, and ran", got.ID)
+			t.Errorf("%s was refused as not run, but ran", got.ID)
 		case got.Status == http.StatusBadGateway:
 			lost++
 		}
 	}
-	sendSafe := func() {
-		safe := f.send(f.routers[0], pathSafe)
+	sendIdempotent := func() {
+		safe := f.send(f.routers[0], pathIdempotent)
 		if safeRuns := f.journal.Runs(safe.ID); len(safeRuns) == 2 && safe.Status == http.StatusOK {
 			repeated++
 		}
 	}
-	// A replica that fails is passed over for a while, so it gets a few of them only:
-	// mostly the first after a pause. Once that was one kind, the other goes first.
+	// Routers avoid a failing replica for a while, so it gets few requests: mostly the
+	// first one after such a pause. Once it lost a non-idempotent request, an idempotent
+	// one is sent first.
 	for end := time.Now().Add(testTimeout); (lost == 0 || repeated == 0) && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if lost == 0 {
-			sendOnce()
-			sendSafe()
+			sendNonIdempotent()
+			sendIdempotent()
 		} else {
-			sendSafe()
-			sendOnce()
+			sendIdempotent()
+			sendNonIdempotent()
 		}
 	}
 	if lost == 0 || repeated == 0 {
@@ -310,40 +318,41 @@
 	}
 }
 
-// TestUnsealedSuccessIsNotPassedOn: a success that is not marked as the replica's own
-// is not given to the caller as one.
+// TestUnsealedSuccessIsNotPassedOn guards against passing a success on to the caller
+// that lacks the replica's seal.
 func TestUnsealedSuccessIsNotPassedOn(t *testing.T) {
-	forging := ops("forges")
-	forging.Unsealed = true
-	f := startFleet(t, 1, forging)
-	for _, path := range []string{pathOps, pathSafe} {
+	unsealed := opsReplica("forges")
+	unsealed.Unsealed = true
+	f := startFleet(t, 1, unsealed)
+	for _, path := range []string{pathNonIdempotent, pathIdempotent} {
 		if got := f.send(f.routers[0], path); got.Status < http.StatusInternalServerError {
 			t.Errorf("%s: status %d", path, got.Status)
 		}
 	}
 }
 
-// TestFewRoutersFollowTheStore: a change costs a call of three routers, all others have
-// it from their peers; and it reaches all when the store turns half of them away.
+// TestFewRoutersFollowTheStore requires that a change costs one call each of three
+// routers, while all others get it from their peers, and that a change reaches all
+// routers while the store refuses half of them.
 func TestFewRoutersFollowTheStore(t *testing.T) {
 	const (
 		routers   = 8
 		followers = 3
 	)
-	f := startFleet(t, routers, ops("o1"))
+	f := startFleet(t, routers, opsReplica("o1"))
 	f.waitJoined()
-	time.Sleep(3 * time.Second) // until the routers know who follows
-	inForce := func(key string) {
+	time.Sleep(3 * time.Second) // until the routers agree on which of them follow the store
+	publishAndAwait := func(key string) {
 		t.Helper()
-		f.configure(func(c *wire.Config) { c.Tenants[0].Keys = []string{key} })
+		f.publishConfig(func(c *wire.Config) { c.Tenants[0].Keys = []string{key} })
 		for n, r := range f.routers {
 			f.eventually(3*time.Second, "the version is in force at router "+strconv.Itoa(n), func() bool {
-				return f.sendWith(context.Background(), r, pathOps, key).Status == http.StatusOK
+				return f.sendWith(context.Background(), r, pathNonIdempotent, key).Status == http.StatusOK
 			})
 		}
 	}
 	before, probesBefore, start := f.store.CallsBesideProbes(), f.store.EraProbes(), time.Now()
-	inForce("second")
+	publishAndAwait("second")
 	time.Sleep(time.Second) // until the followers have asked again
 	if calls := f.store.CallsBesideProbes() - before; calls > followers {
 		t.Errorf("%d calls for a change", calls)
@@ -352,10 +361,10 @@
 	for n := range routers / 2 {
 		f.store.SetFaultAt(f.settings[n].Platform.Address, managed.Refusing)
 	}
-	inForce("third")
+	publishAndAwait("third")
 	for n := range routers / 2 {
 		f.store.SetFaultAt(f.settings[n].Platform.Address, managed.Healthy)
 		f.store.SetFaultAt(f.settings[n+routers/2].Platform.Address, managed.Refusing)
 	}
-	inForce("fourth")
+	publishAndAwait("fourth")
 }
--- a/managedtest/regions_test.go
+++ b/managedtest/regions_test.go
@@ -13,15 +13,15 @@
 // zoneRegions maps each zone to its region, in the settings of every router.
 var zoneRegions = map[string]string{"north": "northern", "south": "southern"}
 
-// restrictRoute sets the regions that the non-idempotent route allows.
+// restrictRoute publishes a version that sets the allowed regions of the non-idempotent route.
 func (f *fleet) restrictRoute(regions ...string) {
-	f.configure(func(c *wire.Config) { c.Routes[0].Regions = regions })
+	f.publishConfig(func(c *wire.Config) { c.Routes[0].Regions = regions })
 }
 
-// TestRequestsRunInAllowedRegions guards against requests that run outside the regions that
-// their route allows, while new versions change these and requests wait for a slot.
+// TestRequestsRunInAllowedRegions guards against requests that run outside the allowed regions
+// of their route while new versions change these regions and requests wait for a slot.
 func TestRequestsRunInAllowedRegions(t *testing.T) {
-	north, south := withZone("north", ops("north")), withZone("south", ops("south"))
+	north, south := withZone("north", opsReplica("north")), withZone("south", opsReplica("south"))
 	north.Slots, south.Slots = 1, 1
 	north.Pause, south.Pause = 20*time.Millisecond, 20*time.Millisecond
 	f := startFleet(t, 3, north, south)
@@ -35,10 +35,10 @@
 		var sending sync.WaitGroup
 		for n := range callers {
 			sending.Go(func() {
-				for time.Since(changed) < 2*soon {
+				for time.Since(changed) < 2*maxUpdateDelay {
 					sent := time.Now()
 					replica, status := f.sendTo(n % len(f.routers))
-					if status != http.StatusOK || sent.Sub(changed) < soon {
+					if status != http.StatusOK || sent.Sub(changed) < maxUpdateDelay {
 						continue
 					}
 					if zoneRegions[replica] != region {
@@ -51,15 +51,15 @@
 	}
 
 	f.restrictRoute("nowhere")
-	time.Sleep(soon)
+	time.Sleep(maxUpdateDelay)
 	for n := range f.routers {
 		begun := time.Now()
-		got := f.send(f.routers[n], pathOps)
-		if got.Status != http.StatusServiceUnavailable || time.Since(begun) > soon || len(f.journal.Runs(got.ID)) > 0 {
+		got := f.send(f.routers[n], pathNonIdempotent)
+		if got.Status != http.StatusServiceUnavailable || time.Since(begun) > maxUpdateDelay || len(f.journal.Runs(got.ID)) > 0 {
 			t.Errorf("router %d, no target in an allowed region: status %d after %s", n, got.Status, time.Since(begun))
 		}
 		f.eventually(testTimeout, "the refusal is logged with its reason", func() bool {
-			return f.logs[n].has(result.NoHomeTarget.Info().Name)
+			return f.logs[n].contains(result.NoHomeTarget.Info().Name)
 		})
 	}
 }
--- a/managedtest/restore_test.go
+++ b/managedtest/restore_test.go
@@ -15,45 +15,47 @@
 	"github.com/walnutcove/walnutcove/standin/managed"
 )
 
-// restoreRouters is how many routers TestStoreCallsAfterRestore runs.
-var restoreRouters = flag.Int("restore.routers", 24, "routers of TestStoreCallsAfterRestore")
-
-// drills is how often the store comes back from an older copy in one test.
-const drills = 20
-
-// TestStoreComesBackFromAnOlderCopy guards against believing the store's revisions across its
-// return from an older copy, which gives them out again: versions, targets that start and
-// targets that leave are in force at every router soon after the return.
-func TestStoreComesBackFromAnOlderCopy(t *testing.T) {
-	f := startFleet(t, 3, ops("o1"), ops("o2"), gen("g1"))
+// restoreRouters is the number of routers in TestStoreCallsAfterRestore.
+var restoreRouters = flag.Int("restore.routers", 24, "number of routers in TestStoreCallsAfterRestore")
+
+// restoreCount is how often TestStoreIsRestoredFromAnOlderBackup restores the store.
+const restoreCount = 20
+
+// TestStoreIsRestoredFromAnOlderBackup guards against trusting the store's revisions across its
+// restore from an older backup: the restored store gives the same revisions out again. New
+// versions, targets that start and targets that leave must be in force at every router soon
+// after the restore.
+func TestStoreIsRestoredFromAnOlderBackup(t *testing.T) {
+	f := startFleet(t, 3, opsReplica("o1"), opsReplica("o2"), genReplica("g1"))
 	f.waitJoined()
 	time.Sleep(2 * time.Second) // until the routers follow the store
-	for n := range drills {
-		t.Run("drill "+strconv.Itoa(n), func(t *testing.T) {
+	for n := range restoreCount {
+		t.Run("restore "+strconv.Itoa(n), func(t *testing.T) {
 			f.t = t
-			f.drill(n)
+			f.checkRestore(n)
 		})
 	}
 }
 
-// awayBeforeReturn is how long the store is away before it comes back.
-const awayBeforeReturn = 50 * time.Millisecond
+// outageBeforeRestore is how long the store is unavailable before it is restored.
+const outageBeforeRestore = 50 * time.Millisecond
 
-// drill loses what was written since a copy: two versions, a target that started and one
-// that left. The operator writes its newest again, and targets that live do.
-func (f *fleet) drill(n int) {
-	leaving := f.lasting(fmt.Sprintf("leaves-%d", n))
+// checkRestore restores the store from a backup and thereby loses what was written since: two
+// versions, a target that started and one that left. Then the operator writes its newest version
+// again, and running targets write their entries again.
+func (f *fleet) checkRestore(n int) {
+	leaving := f.startReplicaWithoutCleanup(fmt.Sprintf("leaves-%d", n))
 	f.awaitTarget(leaving.ID(), false)
-	from := f.store.Copy()
-	f.configure(nil)
-	f.configure(nil)
+	backup := f.store.Copy()
+	f.publishConfig(nil)
+	f.publishConfig(nil)
 	written := time.Now()
-	lost := f.lasting(fmt.Sprintf("lost-%d", n))
+	lost := f.startReplicaWithoutCleanup(fmt.Sprintf("lost-%d", n))
 	f.awaitTarget(lost.ID(), false)
 	leaving.Leave()
 	f.awaitTarget(leaving.ID(), true)
 
-	// The newest version may have been written too shortly before to be in force.
+	// The newest version may have been written too recently to be in force.
 	highest := make([]config.Version, len(f.routers))
 	for i, r := range f.routers {
 		highest[i] = r.InForce().Version
@@ -61,30 +63,30 @@
 	f.store.SetFault([]managed.Fault{managed.Refusing, managed.Silent}[n%2])
 	for i, version := range highest {
 		if version < config.Version(f.version) {
-			f.t.Logf("router %d had version %d in force as the store went away, %s after %d was written", i, version, time.Since(written), f.version)
+			f.t.Logf("router %d had version %d in force when the store became unavailable, %s after version %d was written", i, version, time.Since(written), f.version)
 		}
 	}
-	time.Sleep(awayBeforeReturn)
-	f.store.Restore(from)
+	time.Sleep(outageBeforeRestore)
+	f.store.Restore(backup)
 	f.store.SetFault(managed.Healthy)
 	returned := time.Now()
-	f.configure(nil)
-	started := f.lasting(fmt.Sprintf("starts-%d", n))
+	f.publishConfig(nil)
+	started := f.startReplicaWithoutCleanup(fmt.Sprintf("starts-%d", n))
 	leaving.Renew()
 	lost.Renew()
 	for i, r := range f.routers {
-		for !f.knowsAfterDrill(r, started.ID(), leaving.ID(), lost.ID()) && time.Since(returned) < testTimeout {
+		for !f.isUpToDateAfterRestore(r, started.ID(), leaving.ID(), lost.ID()) && time.Since(returned) < testTimeout {
 			known := r.InForce().Version
 			if known < highest[i] {
-				f.t.Fatalf("router %d went back to version %d from %d", i, known, highest[i])
+				f.t.Fatalf("router %d returned to version %d from %d", i, known, highest[i])
 			}
 			highest[i] = known
 			time.Sleep(5 * time.Millisecond)
 		}
-		if took := time.Since(returned); took > soon {
-			f.t.Errorf("router %d has the news %s after the store's return", i, took)
+		if took := time.Since(returned); took > maxUpdateDelay {
+			f.t.Errorf("router %d was up to date %s after the restore", i, took)
 		}
-		got := f.send(r, pathOps)
+		got := f.send(r, pathNonIdempotent)
 		if runs := f.journal.Runs(got.ID); got.Status != http.StatusOK || len(runs) != 1 || runs[0].Left > 0 {
 			f.t.Errorf("router %d: status %d, %s, runs %+v", i, got.Status, got.Body, runs)
 		}
@@ -94,26 +96,27 @@
 		f.awaitTarget(r.ID(), true)
 		r.Close()
 	}
-	f.judgeVersions()
+	f.checkVersionsRise()
 }
 
-// judgeVersions checks each change of the version in force, from the routers' starts on: a
-// version that came into force and went back between two looks counts too.
-func (f *fleet) judgeVersions() {
+// checkVersionsRise checks all versions that the routers have put in force since they started.
+// It reads them from the logs, so that it also finds an older version that was in force only
+// briefly, between two polls.
+func (f *fleet) checkVersionsRise() {
 	f.t.Helper()
 	for i, log := range f.logs {
 		versions := versionsInForce(f.t, log)
 		if len(versions) == 0 {
-			f.t.Errorf("router %d has put no version in force", i)
+			f.t.Errorf("router %d put no version in force", i)
 		}
-		if from, to, fell := firstFall(versions); fell {
-			f.t.Fatalf("router %d went back to version %d from %d", i, to, from)
+		if from, to, found := firstDecrease(versions); found {
+			f.t.Fatalf("router %d returned to version %d from %d", i, to, from)
 		}
 	}
 }
 
-// versionsInForce returns the versions that a router has put in force, in order.
-func versionsInForce(t *testing.T, log *logged) []uint64 {
+// versionsInForce returns the versions that a router has put in force, in the order of its log.
+func versionsInForce(t *testing.T, log *logBuffer) []uint64 {
 	t.Helper()
 	var versions []uint64
 	for _, line := range log.linesWith("config: Version in force.") {
@@ -127,8 +130,9 @@
 	return versions
 }
 
-// firstFall returns the first version that is lower than the one before it.
-func firstFall(versions []uint64) (from, to uint64, fell bool) {
+// firstDecrease returns the first version that is lower than its predecessor, as to, and the
+// predecessor, as from.
+func firstDecrease(versions []uint64) (from, to uint64, found bool) {
 	for n := 1; n < len(versions); n++ {
 		if versions[n] < versions[n-1] {
 			return versions[n-1], versions[n], true
@@ -137,102 +141,105 @@
 	return 0, 0, false
 }
 
-// TestAVersionThatWentBackIsFound guards the check of the drills against missing a version that
-// came into force and went back between two looks.
-func TestAVersionThatWentBackIsFound(t *testing.T) {
-	log := &logged{}
+// TestVersionDecreaseIsDetected guards against a checkVersionsRise that misses an older version
+// that was in force only between two polls.
+func TestVersionDecreaseIsDetected(t *testing.T) {
+	log := &logBuffer{}
 	for _, version := range []uint64{96, 99, 99, 96, 102} {
 		fmt.Fprintf(log, "level=INFO msg=\"config: Version in force.\" node=vm-1 version=%d\n", version)
 	}
-	if from, to, fell := firstFall(versionsInForce(t, log)); !fell || from != 99 || to != 96 {
-		t.Errorf("fell %v, from %d to %d", fell, from, to)
+	if from, to, found := firstDecrease(versionsInForce(t, log)); !found || from != 99 || to != 96 {
+		t.Errorf("found %v, from %d to %d", found, from, to)
 	}
 }
 
-func (f *fleet) knowsAfterDrill(r *router.Router, started, leaving, lost string) bool {
+// isUpToDateAfterRestore reports whether a router has the newest version in force, lists the
+// targets started and lost, and knows that the target leaving is leaving.
+func (f *fleet) isUpToDateAfterRestore(r *router.Router, started, leaving, lost string) bool {
 	snapshot := r.InForce()
 	targets := snapshot.Declarations.Targets
-	_, lists := targets[started]
-	_, keeps := targets[lost]
-	return snapshot.Version == config.Version(f.version) && lists && keeps && targets[leaving].Leaving
+	_, listsStarted := targets[started]
+	_, listsLost := targets[lost]
+	return snapshot.Version == config.Version(f.version) && listsStarted && listsLost && targets[leaving].Leaving
 }
 
-// lasting starts a replica that the test closes itself.
-func (f *fleet) lasting(id string) *managed.Replica {
+// startReplicaWithoutCleanup starts a replica that the test closes itself.
+func (f *fleet) startReplicaWithoutCleanup(id string) *managed.Replica {
 	f.t.Helper()
-	r, err := managed.StartReplica(f.store, f.journal, ops(id))
+	r, err := managed.StartReplica(f.store, f.journal, opsReplica(id))
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	return r
 }
 
-// awaitTarget waits until every router knows a target, as leaving or not.
+// awaitTarget waits until every router lists a target with the given leaving state.
 func (f *fleet) awaitTarget(id string, leaving bool) {
 	f.t.Helper()
 	for n, r := range f.routers {
-		f.eventually(2*soon, fmt.Sprintf("router %d knows %s", n, id), func() bool {
+		f.eventually(2*maxUpdateDelay, fmt.Sprintf("router %d knows %s", n, id), func() bool {
 			target, listed := r.InForce().Declarations.Targets[id]
 			return listed && target.Leaving == leaving
 		})
 	}
 }
 
-// TestOlderCopyUndoesNoRemoval guards against using a target whose removal was known, and
-// that an older copy of the store lists as if it were alive.
-func TestOlderCopyUndoesNoRemoval(t *testing.T) {
-	f := startFleet(t, 2, ops("o1"))
+// TestRestoredStoreDoesNotReviveRemovedTarget guards against using a target whose removal was
+// known to the routers, but which the store lists again after a restore from an older backup.
+func TestRestoredStoreDoesNotReviveRemovedTarget(t *testing.T) {
+	f := startFleet(t, 2, opsReplica("o1"))
 	f.waitJoined()
-	removed := f.lasting("removed")
+	removed := f.startReplicaWithoutCleanup("removed")
 	f.awaitTarget("removed", false)
 	time.Sleep(2 * time.Second)
-	from := f.store.Copy()
+	backup := f.store.Copy()
 	removed.Close()
 	for n, r := range f.routers {
-		f.eventually(2*soon, fmt.Sprintf("router %d knows the removal", n), func() bool {
+		f.eventually(2*maxUpdateDelay, fmt.Sprintf("router %d knows the removal", n), func() bool {
 			_, listed := r.InForce().Declarations.Targets["removed"]
 			return !listed
 		})
 	}
-	f.store.Restore(from)
-	f.configure(nil) // wakes the feeds
-	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	f.store.Restore(backup)
+	f.publishConfig(nil) // wakes the feeds
+	for end := time.Now().Add(maxUpdateDelay); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for n, r := range f.routers {
 			if _, listed := r.InForce().Declarations.Targets["removed"]; listed {
-				t.Fatalf("router %d uses a target again that is gone", n)
+				t.Fatalf("router %d uses a removed target again", n)
 			}
 		}
 	}
-	f.store.Drop(wire.TableReplicas, "removed") // it lapses, as nobody renews it
+	f.store.Drop(wire.TableReplicas, "removed") // the entry expires, as no replica renews it
 }
 
-// TestStoreCallsAfterRestore guards against all routers of a fleet loading from the store when
-// it has come back from an older copy: a few load, each announces itself, and no more.
+// TestStoreCallsAfterRestore guards against all routers of a fleet loading the feeds from the
+// store after it was restored from an older backup. Only a few may load them; each router
+// registers itself again, and makes hardly any other call.
 func TestStoreCallsAfterRestore(t *testing.T) {
 	const (
-		// mostEach is how many calls of the store each router may make.
-		mostEach = 3
-		after    = 5 * time.Second
+		// maxCallsPerRouter is how many calls to the store the routers may make on average.
+		maxCallsPerRouter = 3
+		watchTime         = 5 * time.Second
 	)
 	routers := *restoreRouters
-	f := startFleet(t, routers, ops("o1"), gen("g1"))
+	f := startFleet(t, routers, opsReplica("o1"), genReplica("g1"))
 	f.waitJoined()
 	time.Sleep(2 * time.Second) // until the routers follow the store
-	from := f.store.Copy()
-	f.configure(nil)
+	backup := f.store.Copy()
+	f.publishConfig(nil)
 	time.Sleep(time.Second)
 	before := f.storeCalls()
-	f.store.Restore(from)
-	f.configure(nil)
-	time.Sleep(after)
+	f.store.Restore(backup)
+	f.publishConfig(nil)
+	time.Sleep(watchTime)
 	calls := f.storeCalls() - before
 	t.Logf("%d calls of %d routers", calls, routers)
-	if calls > mostEach*routers {
+	if calls > maxCallsPerRouter*routers {
 		t.Errorf("%d routers made %d calls", routers, calls)
 	}
 	for n, log := range f.logs {
-		if !log.has("directory: Platform store was restored from an older copy.") {
-			t.Errorf("router %d did not hear of the return", n)
+		if !log.contains("directory: Platform store was restored from an older copy.") {
+			t.Errorf("router %d did not learn of the restore", n)
 		}
 		if f.routers[n].InForce().Version != config.Version(f.version) {
 			t.Errorf("router %d has version %d", n, f.routers[n].InForce().Version)
--- a/managedtest/silence_test.go
+++ b/managedtest/silence_test.go
@@ -15,75 +15,78 @@
 	"github.com/walnutcove/walnutcove/standin/managed"
 )
 
-// soon is how long after the store's first answer its news may take to be in force at
-// every router.
-const soon = time.Second
+// maxUpdateDelay is how long changes may take to be in force at every router, from the
+// store's first answer on.
+const maxUpdateDelay = time.Second
 
-// silenceLength is how long the store is silent here; versions and targets change
-// meanwhile.
-const silenceLength = 1500 * time.Millisecond
+// outageTime is how long the store does not answer in these tests; versions and targets
+// change meanwhile.
+const outageTime = 1500 * time.Millisecond
 
-// TestFleetHasNewsSoonAfterSilence: what changed while the store was silent, and right
-// after it, is in force at every router soon after the store's return, although each
-// router's next call for changes met the silence. directory.TestNewsSoonAfterSilence
-// tells what was seen of this; here are real routers and calls.
-func TestFleetHasNewsSoonAfterSilence(t *testing.T) {
-	f := startFleet(t, 3, ops("o1"), ops("o2"))
-	leaving := f.replica(ops("o3"))
+// TestFleetIsUpToDateSoonAfterStoreWasUnresponsive guards against changes that come into
+// force late after an outage in which the store did not answer, because each router's next
+// call for changes got no answer. Changes made during the outage and right after it must be
+// in force at every router soon after the store answers again.
+// directory.TestNewsSoonAfterSilence covers this for one router and many moments of the
+// outage; this test uses real routers and calls.
+func TestFleetIsUpToDateSoonAfterStoreWasUnresponsive(t *testing.T) {
+	f := startFleet(t, 3, opsReplica("o1"), opsReplica("o2"))
+	leaving := f.addReplica(opsReplica("o3"))
 	f.waitJoined()
 	time.Sleep(2 * time.Second) // until the routers follow the store
 	for range 3 {
-		f.configure(nil)
+		f.publishConfig(nil)
 		time.Sleep(80 * time.Millisecond)
 	}
-	f.configure(nil)
+	f.publishConfig(nil)
 	leaving.Leave()
-	// The routers have both changes, and gather more for 10 ms a router before they ask
-	// again.
+	// The routers have received both changes, and wait for 10 ms a router to gather more
+	// before they call again.
 	time.Sleep(10 * time.Millisecond)
 	f.store.SetFault(managed.Silent)
-	time.Sleep(silenceLength / 2)
-	f.configure(nil)
-	time.Sleep(silenceLength / 2)
+	time.Sleep(outageTime / 2)
+	f.publishConfig(nil)
+	time.Sleep(outageTime / 2)
 	f.store.SetFault(managed.Healthy)
 	returned := time.Now()
-	f.configure(nil)
-	alsoLeaving := f.replica(ops("o4"))
+	f.publishConfig(nil)
+	alsoLeaving := f.addReplica(opsReplica("o4"))
 	alsoLeaving.Leave()
 	for n, r := range f.routers {
-		for !knowsNews(r, f.version, "o4") && time.Since(returned) < testTimeout {
+		for !hasUpdate(r, f.version, "o4") && time.Since(returned) < testTimeout {
 			time.Sleep(5 * time.Millisecond)
 		}
 		took := time.Since(returned)
-		t.Logf("router %d has the news %s after the store's return", n, took)
-		if took > soon {
-			t.Errorf("router %d has the news %s after the store's return", n, took)
+		t.Logf("router %d was up to date %s after the outage", n, took)
+		if took > maxUpdateDelay {
+			t.Errorf("router %d was up to date %s after the outage", n, took)
 		}
 	}
 }
 
-// TestSilenceIsToldToOthers: calls that the store has lost are made anew when another
-// router finds the store away, whichever of the two proves its calls.
-func TestSilenceIsToldToOthers(t *testing.T) {
+// TestUnresponsiveStoreIsReportedToOthers guards against a router that goes on waiting for a
+// call that the store has lost, although another router has found the store unavailable. It
+// must repeat the call, whichever of the two routers is the one that probes the feeds.
+func TestUnresponsiveStoreIsReportedToOthers(t *testing.T) {
 	for finder := range 2 {
 		t.Run("router "+strconv.Itoa(finder), func(t *testing.T) {
-			f := startFleet(t, 2, ops("o1"))
+			f := startFleet(t, 2, opsReplica("o1"))
 			f.waitJoined()
-			time.Sleep(2 * time.Second) // until the routers follow the store, and wait for long
+			time.Sleep(2 * time.Second) // until the routers follow the store with long-polling calls
 			other := f.routers[1-finder]
 			f.store.LoseWaiting(f.settings[1-finder].Platform.Address)
 			f.store.SetFaultAt(f.settings[finder].Platform.Address, managed.Refusing)
-			f.configure(nil)
-			f.eventually(soon, "the other router has the version", func() bool {
+			f.publishConfig(nil)
+			f.eventually(maxUpdateDelay, "the other router has the version", func() bool {
 				return other.InForce().Version == config.Version(f.version)
 			})
 		})
 	}
 }
 
-// knowsNews says whether a version is in force at a router, and a target known as
-// leaving.
-func knowsNews(r *router.Router, version uint64, target string) bool {
+// hasUpdate reports whether a version is in force at a router and the router knows that a
+// target is leaving.
+func hasUpdate(r *router.Router, version uint64, target string) bool {
 	snapshot := r.InForce()
 	if snapshot == nil || snapshot.Version != config.Version(version) {
 		return false
@@ -92,10 +95,10 @@
 	return listed && found.Leaving
 }
 
-// TestFeedAgesAreExported: how old a router's word of the platform is can be read from its
-// metrics, feed by feed, and tells a silence of the store.
+// TestFeedAgesAreExported requires that a router exports, for each feed, how old its
+// information from the platform is, and that these metrics show an outage of the store.
 func TestFeedAgesAreExported(t *testing.T) {
-	f := startFleet(t, 1, ops("o1"))
+	f := startFleet(t, 1, opsReplica("o1"))
 	time.Sleep(2 * time.Second) // until the router follows the store
 	stale := func(feed string) float64 {
 		t.Helper()
@@ -121,20 +124,20 @@
 	feeds := []string{"configurations", "targets"}
 	for _, feed := range feeds {
 		if got := stale(feed); got != 0 {
-			t.Errorf("%s: %g s old on a calm day", feed, got)
+			t.Errorf("%s: stale by %g s without an outage", feed, got)
 		}
 	}
-	f.configure(nil)
+	f.publishConfig(nil)
 	time.Sleep(5 * time.Millisecond)
 	f.store.SetFault(managed.Silent)
 	time.Sleep(2 * time.Second)
 	for _, feed := range feeds {
 		if got := stale(feed); got < 1.5 {
-			t.Errorf("%s: %g s old after two seconds of silence", feed, got)
+			t.Errorf("%s: stale by only %g s after an outage of 2 s", feed, got)
 		}
 	}
 	f.store.SetFault(managed.Healthy)
-	f.eventually(soon, "nothing counts as old after the silence", func() bool {
+	f.eventually(maxUpdateDelay, "no feed is stale after the outage", func() bool {
 		return stale(feeds[0]) == 0 && stale(feeds[1]) == 0
 	})
 }
--- a/managedtest/together_test.go
+++ b/managedtest/together_test.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// TestRoutersThatStartTogetherFindEachOther: more routers than the store lets wait for
-// their announcement, as when a large fleet gets its power back. All know each other soon
-// after the store could have taken the announcements in.
+// TestRoutersThatStartTogetherFindEachOther guards against routers that never learn of each
+// other because more of them start at the same time than the store lets wait for their
+// registration, as when a large fleet gets its power back. All must know each other soon after
+// the store could have written all registrations.
 func TestRoutersThatStartTogetherFindEachOther(t *testing.T) {
 	const (
-		routers   = 24
-		perSecond = 8
-		// within is the time that the announcements take, and as much again.
-		within = 2 * routers / perSecond * time.Second
+		routers         = 24
+		writesPerSecond = 8
+		// maxTime is twice the time that the registrations take.
+		maxTime = 2 * routers / writesPerSecond * time.Second
 	)
 	f := startFleet(t, 0)
-	f.store.LimitWrites(perSecond)
+	f.store.LimitWrites(writesPerSecond)
 	began := time.Now()
 	for range routers {
-		f.router()
+		f.addRouter()
 	}
 	f.waitJoined()
-	if took := time.Since(began); took > within {
+	if took := time.Since(began); took > maxTime {
 		t.Errorf("the routers knew each other after %s", took)
 	}
 }
