--- a/soak/evacuate_test.go
+++ b/soak/evacuate_test.go
@@ -10,8 +10,8 @@
 const (
 	// secondZone is the zone of every other replica when soakOptions.evacuates is set.
 	secondZone = "far"
-	// evacuationBound limits how long routers may take to apply the start or end of an evacuation.
-	evacuationBound = 2 * time.Second
+	// maxEvacuationDelay limits how long routers may take to apply the start or end of an evacuation.
+	maxEvacuationDelay = 2 * time.Second
 )
 
 // TestSoakEvacuates is TestSoak with replicas in two zones and zone evacuations among the faults. It
@@ -21,14 +21,14 @@
 }
 
 // evacuateZone evacuates a random zone until the fault ends.
-func (f *faults) evacuateZone() (string, func() bool) {
+func (f *faultInjector) evacuateZone() (string, func() bool) {
 	zone := f.zones[f.random.IntN(len(f.zones))]
-	about := "zone " + zone
-	if f.busy[about] {
+	subject := "zone " + zone
+	if f.busy[subject] {
 		return "", nil
 	}
 	f.evacuate(zone)
-	return about, func() bool { f.endEvacuation(zone); return true }
+	return subject, func() bool { f.endEvacuation(zone); return true }
 }
 
 func (f *fleet) evacuate(zone string) {
@@ -39,28 +39,28 @@
 	f.store.Drop(wire.TableOperator, wire.PrefixEvacuation+zone)
 }
 
-// judgeEvacuation evacuates a zone while no faults are active. It guards against routers that keep
+// checkEvacuation evacuates a zone while no faults are active. It guards against routers that keep
 // sending requests to an evacuated zone, or that do not use the zone again after the evacuation.
-func (j *judge) judgeEvacuation() {
-	j.evacuate(secondZone)
+func (c *checker) checkEvacuation() {
+	c.evacuate(secondZone)
 	evacuatedAt := time.Now()
-	time.Sleep(evacuationBound + quietTime)
-	j.endEvacuation(secondZone)
+	time.Sleep(maxEvacuationDelay + inFlightTime)
+	c.endEvacuation(secondZone)
 	endedAt := time.Now()
-	time.Sleep(evacuationBound)
+	time.Sleep(maxEvacuationDelay)
 	usedAgain := false
-	for _, run := range j.journal.Runs("") {
-		if j.zoneOf(run.Replica) != secondZone {
+	for _, run := range c.journal.Runs("") {
+		if c.zoneOf(run.Replica) != secondZone {
 			continue
 		}
-		if elapsed := run.StartedAt.Sub(evacuatedAt); elapsed > evacuationBound && run.StartedAt.Before(endedAt) {
-			j.t.Errorf("request %s reached replica %s %s after its zone was evacuated", run.ID, run.Replica, elapsed)
+		if elapsed := run.StartedAt.Sub(evacuatedAt); elapsed > maxEvacuationDelay && run.StartedAt.Before(endedAt) {
+			c.t.Errorf("request %s reached replica %s %s after its zone was evacuated", run.ID, run.Replica, elapsed)
 			return
 		}
 		usedAgain = usedAgain || run.StartedAt.After(endedAt)
 	}
 	if !usedAgain {
-		j.t.Errorf("no replica in the evacuated zone received a request within %s after the evacuation ended", evacuationBound)
+		c.t.Errorf("no replica in the evacuated zone received a request within %s after the evacuation ended", maxEvacuationDelay)
 	}
 }
 
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -11,145 +11,148 @@
 )
 
 const (
-	// mostFaults is how many faults stand at once.
-	mostFaults = 4
-	// longestFault bounds how long one stands, longestGap the pause to the next one.
-	longestFault = 1500 * time.Millisecond
-	longestGap   = 300 * time.Millisecond
-	// longestDelay bounds the delay of a slow way.
-	longestDelay = 300 * time.Millisecond
-	// longestSlowness bounds what a slow replica adds to each pause.
-	longestSlowness = 60 * time.Millisecond
-	// seriesSignals bounds the signals of a series, seriesGap the pause between two.
-	seriesSignals = 5
-	seriesGap     = 100 * time.Millisecond
-	// step is the pause between two looks at what is due.
-	step = 10 * time.Millisecond
+	// maxActiveFaults limits how many faults are active at the same time.
+	maxActiveFaults = 4
+	// maxFaultTime limits how long a fault is active, maxFaultGap the pause before the
+	// next one begins.
+	maxFaultTime = 1500 * time.Millisecond
+	maxFaultGap  = 300 * time.Millisecond
+	// maxProxyDelay limits the delay that a proxy adds.
+	maxProxyDelay = 300 * time.Millisecond
+	// maxReplicaSlowdown limits what a slow replica adds to each pause.
+	maxReplicaSlowdown = 60 * time.Millisecond
+	// maxSeriesSignals limits the signals of a series, maxSignalGap the pause between two.
+	maxSeriesSignals = 5
+	maxSignalGap     = 100 * time.Millisecond
+	// pollPause is the pause between two polls of a condition or of the faults to end.
+	pollPause = 10 * time.Millisecond
 )
 
-// fault is one that stands.
+// fault is an active fault.
 type fault struct {
 	name  string
 	until time.Time
-	// end ends it; false: it must be asked again.
+	// end ends the fault. It returns false if it must be called again later.
 	end func() bool
 }
 
-// faults brings faults about and ends them, on one goroutine.
-type faults struct {
+// faultInjector begins and ends faults, on one goroutine.
+type faultInjector struct {
 	*fleet
 	random *rand.Rand
-	stands []fault
-	// busy holds what a standing fault is about, by name.
-	busy map[string]bool
-	next time.Time
+	active []fault
+	// busy holds the names of the subjects of active faults: a router, a replica, a
+	// proxy, a zone or the store.
+	busy   map[string]bool
+	nextAt time.Time
 	soakOptions
-	// begun counts them by kind.
-	begun map[string]int
+	// begunByKind counts the faults that were begun by kind.
+	begunByKind map[string]int
 }
 
-func newFaults(f *fleet, seed uint64) *faults {
-	return &faults{fleet: f, random: rand.New(rand.NewPCG(seed, 0)), busy: make(map[string]bool), begun: make(map[string]int)}
+func newFaultInjector(f *fleet, seed uint64) *faultInjector {
+	return &faultInjector{fleet: f, random: rand.New(rand.NewPCG(seed, 0)), busy: make(map[string]bool), begunByKind: make(map[string]int)}
 }
 
-// run brings faults about for a while and ends them all.
-func (f *faults) run(length time.Duration) {
-	for end := time.Now().Add(length); time.Now().Before(end) && !f.t.Failed(); time.Sleep(step) {
+// run begins and ends faults for a while, and ends all of them.
+func (f *faultInjector) run(length time.Duration) {
+	for end := time.Now().Add(length); time.Now().Before(end) && !f.t.Failed(); time.Sleep(pollPause) {
 		f.endDue(time.Now())
-		f.judgeProcesses()
-		if len(f.stands) < mostFaults && time.Now().After(f.next) {
+		f.checkProcesses()
+		if len(f.active) < maxActiveFaults && time.Now().After(f.nextAt) {
 			f.begin()
-			f.next = time.Now().Add(f.upTo(longestGap))
+			f.nextAt = time.Now().Add(f.randomUpTo(maxFaultGap))
 		}
 	}
-	f.note("end everything")
-	for len(f.stands) > 0 && !f.t.Failed() {
-		f.endDue(time.Now().Add(longestFault))
-		time.Sleep(step)
+	f.note("end all faults")
+	for len(f.active) > 0 && !f.t.Failed() {
+		f.endDue(time.Now().Add(maxFaultTime))
+		time.Sleep(pollPause)
 	}
 }
 
-func (f *faults) upTo(most time.Duration) time.Duration {
-	return time.Duration(f.random.Int64N(int64(most)))
+func (f *faultInjector) randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(f.random.Int64N(int64(limit)))
 }
 
-// endDue ends the faults whose time is over.
-func (f *faults) endDue(now time.Time) {
-	var standing []fault
-	for _, one := range f.stands {
+// endDue ends the faults whose time is over at now.
+func (f *faultInjector) endDue(now time.Time) {
+	var remaining []fault
+	for _, one := range f.active {
 		if now.Before(one.until) || !one.end() {
-			standing = append(standing, one)
+			remaining = append(remaining, one)
 			continue
 		}
 		f.note("end: %s", one.name)
 	}
-	f.stands = standing
+	f.active = remaining
 }
 
-// judgeProcesses fails for a router that ended by itself.
-func (f *faults) judgeProcesses() {
+// checkProcesses fails for a router whose process exited without a fault that ends it.
+func (f *faultInjector) checkProcesses() {
 	for _, r := range f.routers {
 		select {
 		case <-r.Exited():
 			if !r.isDown {
-				f.t.Errorf("%s ended by itself", r.Name)
+				f.t.Errorf("%s exited unexpectedly", r.Name)
 			}
 		default:
 		}
 	}
 }
 
-// faultKind is one kind of fault. What begin returns is nil if what it is about is not free.
+// faultKind is one kind of fault. Its begin function returns the subject of the fault and a
+// function that ends it, which is nil if no fault was begun because the subject is not free.
 type faultKind struct {
 	name  string
-	begin func() (about string, end func() bool)
+	begin func() (subject string, end func() bool)
 }
 
-// begin brings one fault about, if what it is about is free.
-func (f *faults) begin() {
+// begin begins a random fault, if its randomly chosen subject is free.
+func (f *faultInjector) begin() {
 	kinds := []faultKind{
 		{"kill", f.kill},
 		{"terminate", f.terminate},
 		{"freeze", f.freeze},
-		{"series of signals", f.series},
-		{"way between routers", f.disturbPeers},
+		{"series of signals", f.signalSeries},
+		{"proxy between routers", f.disturbPeerProxy},
 		{"isolate", f.isolate},
-		{"way to the store", f.disturbStore},
+		{"proxy to the store", f.disturbStoreProxy},
 		{"store", f.storeFault},
-		{"way to a replica", f.disturbReplica},
+		{"proxy to a replica", f.disturbReplicaProxy},
 		{"replica", f.replicaFault},
-		{"replace a replica", f.replace},
-		{"version", f.newVersion},
+		{"replace a replica", f.replaceReplica},
+		{"version", f.publishVersions},
 	}
 	if f.restores {
-		kinds = append(kinds, faultKind{"store comes back", f.restore})
+		kinds = append(kinds, faultKind{"restore the store", f.restore})
 	}
 	if f.evacuates {
 		kinds = append(kinds, faultKind{"evacuate a zone", f.evacuateZone})
 	}
 	if f.notices {
-		kinds = append(kinds, faultKind{"replica says that it leaves", f.sayLeaving}, faultKind{"replica turns away", f.turnAway})
+		kinds = append(kinds, faultKind{"replica announces that it leaves", f.announceLeaving}, faultKind{"replica refuses some requests", f.refuseSome})
 	}
 	kind := kinds[f.random.IntN(len(kinds))]
-	about, end := kind.begin()
+	subject, end := kind.begin()
 	if end == nil {
 		return
 	}
-	f.begun[kind.name]++
-	name := kind.name + ": " + about
+	f.begunByKind[kind.name]++
+	name := kind.name + ": " + subject
 	f.note("fault: %s", name)
-	f.busy[about] = true
-	f.stands = append(f.stands, fault{name: name, until: time.Now().Add(f.upTo(longestFault)), end: func() bool {
+	f.busy[subject] = true
+	f.active = append(f.active, fault{name: name, until: time.Now().Add(f.randomUpTo(maxFaultTime)), end: func() bool {
 		if !end() {
 			return false
 		}
-		delete(f.busy, about)
+		delete(f.busy, subject)
 		return true
 	}})
 }
 
-// freeRouter returns a router that no fault is about; nil if the one that was drawn is not free.
-func (f *faults) freeRouter() *router {
+// randomFreeRouter returns a random router, or nil if it is the subject of an active fault.
+func (f *faultInjector) randomFreeRouter() *router {
 	r := f.routers[f.random.IntN(len(f.routers))]
 	if f.busy[r.Name] {
 		return nil
@@ -157,27 +160,28 @@
 	return r
 }
 
-func (f *faults) kill() (string, func() bool) {
-	r := f.freeRouter()
+// kill kills a router and starts it again when the fault ends.
+func (f *faultInjector) kill() (string, func() bool) {
+	r := f.randomFreeRouter()
 	if r == nil {
 		return "", nil
 	}
 	r.isDown = true
 	r.Kill()
-	return r.Name, func() bool { return f.startAgain(r) }
+	return r.Name, func() bool { return f.startDownRouter(r) }
 }
 
-// startAgain starts a router that is down.
-func (f *faults) startAgain(r *router) bool {
+// startDownRouter starts a router that a fault has ended.
+func (f *faultInjector) startDownRouter(r *router) bool {
 	f.restart(r)
 	r.isDown = false
 	return true
 }
 
-// terminate asks a router to end; its callers go on using their connections. It is
-// started again once its process is gone.
-func (f *faults) terminate() (string, func() bool) {
-	r := f.freeRouter()
+// terminate asks a router to shut down; its callers go on using their connections. It is
+// started again once its process has exited.
+func (f *faultInjector) terminate() (string, func() bool) {
+	r := f.randomFreeRouter()
 	if r == nil {
 		return "", nil
 	}
@@ -186,30 +190,31 @@
 	return r.Name, f.startAfterEnd(r)
 }
 
-// exitMargin is added to drainLimit for the end of a process.
+// exitMargin is how long after drainLimit the process of a router may take to exit.
 const exitMargin = 2 * time.Second
 
-// startAfterEnd returns what starts a router again after it ended as it was asked to.
-func (f *faults) startAfterEnd(r *router) func() bool {
+// startAfterEnd returns a function that checks the exit of a router that was asked to shut
+// down and starts it again. The function returns false while the process still runs.
+func (f *faultInjector) startAfterEnd(r *router) func() bool {
 	asked := time.Now()
 	return func() bool {
 		select {
 		case <-r.Exited():
 		default:
 			if time.Since(asked) > drainLimit+exitMargin {
-				f.t.Errorf("%s did not end within %s", r.Name, time.Since(asked))
+				f.t.Errorf("%s did not exit within %s", r.Name, time.Since(asked))
 			}
 			return false
 		}
 		if code, err := r.Wait(exitMargin); err != nil || code != 0 && code != 1 {
-			f.t.Errorf("%s ended with code %d, %v", r.Name, code, err)
+			f.t.Errorf("%s exited with code %d, %v", r.Name, code, err)
 		}
-		return f.startAgain(r)
+		return f.startDownRouter(r)
 	}
 }
 
-func (f *faults) freeze() (string, func() bool) {
-	r := f.freeRouter()
+func (f *faultInjector) freeze() (string, func() bool) {
+	r := f.randomFreeRouter()
 	if r == nil {
 		return "", nil
 	}
@@ -217,16 +222,16 @@
 	return r.Name, func() bool { f.must(r.Thaw()); return true }
 }
 
-// series sends signals shortly one after the other: reloads, short freezes, and
-// perhaps orders to end.
-func (f *faults) series() (string, func() bool) {
-	r := f.freeRouter()
+// signalSeries sends several signals in quick succession: reloads, short freezes, and
+// possibly requests to shut down.
+func (f *faultInjector) signalSeries() (string, func() bool) {
+	r := f.randomFreeRouter()
 	if r == nil {
 		return "", nil
 	}
-	for range 1 + f.random.IntN(seriesSignals) {
-		f.signal(r)
-		time.Sleep(f.upTo(seriesGap))
+	for range 1 + f.random.IntN(maxSeriesSignals) {
+		f.sendRandomSignal(r)
+		time.Sleep(f.randomUpTo(maxSignalGap))
 	}
 	if r.isDown {
 		return r.Name, f.startAfterEnd(r)
@@ -234,13 +239,13 @@
 	return r.Name, func() bool { return true }
 }
 
-func (f *faults) signal(r *router) {
+func (f *faultInjector) sendRandomSignal(r *router) {
 	switch f.random.IntN(3) {
 	case 0:
 		f.must(r.Signal(syscall.SIGHUP))
 	case 1:
 		f.must(r.Freeze())
-		time.Sleep(f.upTo(seriesGap))
+		time.Sleep(f.randomUpTo(maxSignalGap))
 		f.must(r.Thaw())
 	case 2:
 		r.isDown = true
@@ -248,68 +253,68 @@
 	}
 }
 
-// disturb brings one fault of a way about.
-func (f *faults) disturb(way *processes.Way) (string, func() bool) {
-	if f.busy[way.Name()] {
+// disturbProxy begins a random fault of a proxy, unless the proxy is busy.
+func (f *faultInjector) disturbProxy(proxy *processes.Way) (string, func() bool) {
+	if f.busy[proxy.Name()] {
 		return "", nil
 	}
 	direction := processes.Direction(f.random.IntN(2))
 	switch f.random.IntN(4) {
 	case 0:
-		way.Cut()
+		proxy.Cut()
 	case 1:
-		way.Reset()
+		proxy.Reset()
 	case 2:
-		way.Hold(direction)
+		proxy.Hold(direction)
 	case 3:
-		way.Delay(direction, f.upTo(longestDelay))
+		proxy.Delay(direction, f.randomUpTo(maxProxyDelay))
 	}
-	return way.Name(), func() bool { f.must(way.Heal()); return true }
+	return proxy.Name(), func() bool { f.must(proxy.Heal()); return true }
 }
 
-func (f *faults) disturbPeers() (string, func() bool) {
+func (f *faultInjector) disturbPeerProxy() (string, func() bool) {
 	from := f.routers[f.random.IntN(len(f.routers))]
 	to := f.routers[f.random.IntN(len(f.routers))]
-	way := from.peers[to.Name]
-	if way == nil {
+	proxy := from.peerProxies[to.Name]
+	if proxy == nil {
 		return "", nil
 	}
-	return f.disturb(way)
+	return f.disturbProxy(proxy)
 }
 
-// isolate cuts a router from all others, both ways.
-func (f *faults) isolate() (string, func() bool) {
+// isolate cuts a router off from all others, in both directions.
+func (f *faultInjector) isolate() (string, func() bool) {
 	r := f.routers[f.random.IntN(len(f.routers))]
-	var ways []*processes.Way
+	var proxies []*processes.Way
 	for _, other := range f.routers {
 		if other == r {
 			continue
 		}
-		ways = append(ways, r.peers[other.Name], other.peers[r.Name])
+		proxies = append(proxies, r.peerProxies[other.Name], other.peerProxies[r.Name])
 	}
-	for _, way := range ways {
-		if f.busy[way.Name()] {
+	for _, proxy := range proxies {
+		if f.busy[proxy.Name()] {
 			return "", nil
 		}
 	}
-	for _, way := range ways {
-		f.busy[way.Name()] = true
-		way.Cut()
+	for _, proxy := range proxies {
+		f.busy[proxy.Name()] = true
+		proxy.Cut()
 	}
-	return "ways of " + r.Name, func() bool {
-		for _, way := range ways {
-			delete(f.busy, way.Name())
-			f.must(way.Heal())
+	return "peer proxies of " + r.Name, func() bool {
+		for _, proxy := range proxies {
+			delete(f.busy, proxy.Name())
+			f.must(proxy.Heal())
 		}
 		return true
 	}
 }
 
-func (f *faults) disturbStore() (string, func() bool) {
-	return f.disturb(f.routers[f.random.IntN(len(f.routers))].store)
+func (f *faultInjector) disturbStoreProxy() (string, func() bool) {
+	return f.disturbProxy(f.routers[f.random.IntN(len(f.routers))].storeProxy)
 }
 
-func (f *faults) storeFault() (string, func() bool) {
+func (f *faultInjector) storeFault() (string, func() bool) {
 	if f.busy["store"] {
 		return "", nil
 	}
@@ -318,60 +323,61 @@
 	return "store", func() bool { f.store.SetFault(managed.Healthy); return true }
 }
 
-// anyReplica returns a replica that no fault is about; nil if the one drawn is not free.
-func (f *faults) anyReplica() *replica {
+// randomFreeReplica returns a random replica, or nil if it or its proxy is the subject of an
+// active fault.
+func (f *faultInjector) randomFreeReplica() *replica {
 	r := f.replicas[f.random.IntN(len(f.replicas))]
-	if f.busy[r.options.ID] || f.busy[r.way.Name()] {
+	if f.busy[r.options.ID] || f.busy[r.proxy.Name()] {
 		return nil
 	}
 	return r
 }
 
-func (f *faults) disturbReplica() (string, func() bool) {
-	r := f.anyReplica()
+func (f *faultInjector) disturbReplicaProxy() (string, func() bool) {
+	r := f.randomFreeReplica()
 	if r == nil {
 		return "", nil
 	}
-	return f.disturb(r.way)
+	return f.disturbProxy(r.proxy)
 }
 
-func (f *faults) replicaFault() (string, func() bool) {
-	r := f.anyReplica()
+func (f *faultInjector) replicaFault() (string, func() bool) {
+	r := f.randomFreeReplica()
 	if r == nil {
 		return "", nil
 	}
-	wrong := []managed.ReplicaFaults{
+	chosen := []managed.ReplicaFaults{
 		{LoseAnswers: true},
 		{BreakAfter: 1 + f.random.IntN(events-1)},
 		{Refuse: true},
-		{Slower: f.upTo(longestSlowness)},
+		{Slower: f.randomUpTo(maxReplicaSlowdown)},
 		{Unsealed: true},
 	}[f.random.IntN(5)]
-	r.SetFaults(wrong)
+	r.SetFaults(chosen)
 	return r.options.ID, func() bool { r.SetFaults(managed.ReplicaFaults{}); return true }
 }
 
-// replace lets a replica leave, or end without notice, and starts another one.
-func (f *faults) replace() (string, func() bool) {
-	r := f.anyReplica()
+// replaceReplica has a replica leave, or end without announcing it, and starts another one.
+func (f *faultInjector) replaceReplica() (string, func() bool) {
+	r := f.randomFreeReplica()
 	if r == nil {
 		return "", nil
 	}
-	about := r.options.ID
+	subject := r.options.ID
 	if f.random.IntN(2) == 0 {
 		r.Leave()
 		f.addReplica(managed.ReplicaOptions{Service: r.options.Service, Slots: r.options.Slots, Pause: r.options.Pause, Events: r.options.Events})
-		return about, func() bool { f.dropReplica(r); return true }
+		return subject, func() bool { f.dropReplica(r); return true }
 	}
 	f.dropReplica(r)
-	return fmt.Sprintf("%s, gone", about), func() bool {
+	return fmt.Sprintf("%s, gone", subject), func() bool {
 		f.addReplica(managed.ReplicaOptions{Service: r.options.Service, Slots: r.options.Slots, Pause: r.options.Pause, Events: r.options.Events})
 		return true
 	}
 }
 
-// newVersion publishes some versions, shortly one after the other.
-func (f *faults) newVersion() (string, func() bool) {
+// publishVersions publishes up to three versions in quick succession.
+func (f *faultInjector) publishVersions() (string, func() bool) {
 	for range 1 + f.random.IntN(3) {
 		f.configure()
 	}
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -18,52 +18,53 @@
 )
 
 const (
-	// plainReplicas and engineReplicas is how many replicas of each service serve.
+	// plainReplicas and engineReplicas are the numbers of replicas of the two services.
 	plainReplicas  = 3
 	engineReplicas = 3
-	// plainSlots and engineSlots is how much each runs at once: enough for the callers
-	// of the soak when one of three is away.
+	// plainSlots and engineSlots are the slots of each replica: enough for all callers
+	// when one of three replicas is unavailable.
 	plainSlots  = 8
 	engineSlots = 16
-	// work is a plain request's time, eventPause the time between events of a stream,
-	// and events how many a stream has.
-	work       = 10 * time.Millisecond
-	eventPause = 10 * time.Millisecond
-	events     = 12
-	// drainLimit bounds the end of a router that is asked to end.
+	// plainRunTime is how long a plain request runs, eventPause the time between events of
+	// a stream, and events the number of events in a stream.
+	plainRunTime = 10 * time.Millisecond
+	eventPause   = 10 * time.Millisecond
+	events       = 12
+	// drainLimit limits how long a router that is asked to shut down drains.
 	drainLimit = 8 * time.Second
 )
 
-// router is one walnutd, with the ways by which it reaches others.
+// router is one walnutd, with the proxies through which it reaches the store and its peers.
 type router struct {
 	*processes.Router
-	store *processes.Way
-	peers map[string]*processes.Way
-	// isDown says that a fault has ended it.
+	storeProxy  *processes.Way
+	peerProxies map[string]*processes.Way
+	// isDown is set while a fault keeps it killed or shutting down.
 	isDown bool
-	// starts counts its processes.
-	starts int
+	// startCount is the number of processes that were started for it.
+	startCount int
 }
 
-// replica is one replica and its way, which all routers share.
+// replica is one replica and the proxy through which all routers reach it.
 type replica struct {
 	*managed.Replica
 	options managed.ReplicaOptions
-	way     *processes.Way
+	proxy   *processes.Way
 }
 
-// fleet is routers as processes, and the platform within the test's own.
+// fleet is a set of routers as processes, with the platform and the replicas in the test's
+// own process.
 type fleet struct {
 	t        *testing.T
 	store    *managed.Store
 	journal  *managed.Journal
-	ip       string
+	proxyIP  string
 	routers  []*router
 	replicas []*replica
 	// zones are assigned to new replicas in rotation.
 	zones []string
-	// made counts replicas, for their names.
-	made int
+	// replicasMade counts all replicas ever started, for their names.
+	replicasMade int
 
 	mu      sync.Mutex
 	version uint64
@@ -78,10 +79,10 @@
 	}
 	t.Cleanup(f.close)
 	var routerIP string
-	routerIP, f.ip = processes.NewIPs()
+	routerIP, f.proxyIP = processes.NewIPs()
 	f.configure()
 	for range plainReplicas {
-		f.addReplica(managed.ReplicaOptions{Service: managed.DemoService, Slots: plainSlots, Pause: work})
+		f.addReplica(managed.ReplicaOptions{Service: managed.DemoService, Slots: plainSlots, Pause: plainRunTime})
 	}
 	for range engineReplicas {
 		f.addReplica(managed.ReplicaOptions{Service: managed.DemoEngine, Slots: engineSlots, Pause: eventPause, Events: events})
@@ -96,14 +97,14 @@
 			_ = r.Thaw()
 			r.Kill()
 		}
-		r.store.Close()
-		for _, way := range r.peers {
-			way.Close()
+		r.storeProxy.Close()
+		for _, proxy := range r.peerProxies {
+			proxy.Close()
 		}
 	}
 	for _, r := range f.replicas {
 		r.Close()
-		r.way.Close()
+		r.proxy.Close()
 	}
 	f.store.Close()
 	if f.t.Failed() {
@@ -111,7 +112,7 @@
 	}
 }
 
-// report shows what was done, and where the routers' output is kept.
+// report logs the notes, writes the routers' output to files and logs their folder.
 func (f *fleet) report() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,24 +130,24 @@
 			f.t.Log(err)
 		}
 	}
-	f.t.Logf("output of the routers' last processes: %s", dir)
+	f.t.Logf("output of the last process of each router: %s", dir)
 }
 
-// noteTime is the format of times in notes and logs.
-const noteTime = "15:04:05.000"
+// noteTimeFormat is the format of times in notes and failure messages.
+const noteTimeFormat = "15:04:05.000"
 
-// note adds a line to what was done.
+// note adds a line to the log of the test's actions, shown if the test fails.
 func (f *fleet) note(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.notes = append(f.notes, time.Now().Format(noteTime)+" "+fmt.Sprintf(format, args...))
+	f.notes = append(f.notes, time.Now().Format(noteTimeFormat)+" "+fmt.Sprintf(format, args...))
 }
 
-// versionKey is the key that a version alone accepts.
+// versionKey returns the key that only the given version accepts.
 func versionKey(version uint64) string { return fmt.Sprintf("key-of-%d", version) }
 
-// newest returns the newest version.
-func (f *fleet) newest() uint64 {
+// newestVersion returns the newest published version.
+func (f *fleet) newestVersion() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.version
@@ -155,32 +156,33 @@
 // configure publishes the next version.
 func (f *fleet) configure() {
 	f.mu.Lock()
-	f.version += 2 // versions rise in steps
+	f.version += 2 // versions need not be consecutive
 	f.mu.Unlock()
 	f.publish()
 }
 
-// publish writes the newest version, also again.
+// publish writes the newest version to the store, possibly again.
 func (f *fleet) publish() {
-	version := f.newest()
+	version := f.newestVersion()
 	content := managed.Demo(version)
 	content.Tenants[0].Keys = append(content.Tenants[0].Keys, versionKey(version))
 	f.store.Put(wire.TableOperator, wire.KeyConfig, content)
 	f.note("version %d", version)
 }
 
+// addReplica starts a replica behind a proxy of its own, with the next ID and zone.
 func (f *fleet) addReplica(options managed.ReplicaOptions) {
-	f.made++
-	options.ID = fmt.Sprintf("%s-%d", options.Service, f.made)
-	options.Zone = f.zones[f.made%len(f.zones)]
+	f.replicasMade++
+	options.ID = fmt.Sprintf("%s-%d", options.Service, f.replicasMade)
+	options.Zone = f.zones[f.replicasMade%len(f.zones)]
 	added := &replica{options: options}
 	options.Advertise = func(listens string) (string, error) {
 		var err error
-		added.way, err = processes.NewWay(options.ID, f.ip, listens)
+		added.proxy, err = processes.NewWay(options.ID, f.proxyIP, listens)
 		if err != nil {
 			return "", err
 		}
-		return added.way.Address(), nil
+		return added.proxy.Address(), nil
 	}
 	var err error
 	added.Replica, err = managed.StartReplica(f.store, f.journal, options)
@@ -188,53 +190,54 @@
 	f.replicas = append(f.replicas, added)
 }
 
-// dropReplica ends a replica: its connections break and its entry goes.
+// dropReplica ends a replica: its connections break and its entry is deleted.
 func (f *fleet) dropReplica(r *replica) {
 	f.replicas = slices.DeleteFunc(f.replicas, func(other *replica) bool { return other == r })
-	r.way.Close()
+	r.proxy.Close()
 	r.Close()
 }
 
 func (f *fleet) startRouters(count int, ip string) {
-	const each = 4
-	addresses, err := processes.FreeAddresses(ip, each*count)
+	const portsPerRouter = 4
+	addresses, err := processes.FreeAddresses(ip, portsPerRouter*count)
 	f.must(err)
 	name := func(n int) string { return fmt.Sprintf("vm-%d", n+1) }
-	peerAddress := func(n int) string { return addresses[each*n+2] }
+	peerAddress := func(n int) string { return addresses[portsPerRouter*n+2] }
 	dir := f.t.TempDir()
 	for n := range count {
-		r := &router{peers: make(map[string]*processes.Way)}
+		r := &router{peerProxies: make(map[string]*processes.Way)}
 		f.routers = append(f.routers, r)
 		for other := range count {
 			if other != n {
-				r.peers[name(other)] = f.way(name(n)+" to "+name(other), peerAddress(other))
+				r.peerProxies[name(other)] = f.newProxy(name(n)+" to "+name(other), peerAddress(other))
 			}
 		}
 		address, err := f.store.Listen()
 		f.must(err)
-		f.store.SetView(address, r.seesPeers)
-		r.store = f.way(name(n)+" to the store", address)
-		s := devfleet.ManagedSettings(name(n), r.store.Address())
-		s.Listen = settings.Listen{Callers: addresses[each*n], Operators: addresses[each*n+1], Peers: peerAddress(n), Health: addresses[each*n+3]}
+		f.store.SetView(address, r.withProxiedPeerAddress)
+		r.storeProxy = f.newProxy(name(n)+" to the store", address)
+		s := devfleet.ManagedSettings(name(n), r.storeProxy.Address())
+		s.Listen = settings.Listen{Callers: addresses[portsPerRouter*n], Operators: addresses[portsPerRouter*n+1], Peers: peerAddress(n), Health: addresses[portsPerRouter*n+3]}
 		s.Limits.DrainTimeout = settings.Duration(drainLimit)
 		r.Router, err = processes.StartRouter(binaries, dir, s)
 		f.must(err)
-		r.starts++
+		r.startCount++
 	}
 	for _, r := range f.routers {
 		f.must(r.WaitReady())
 	}
 }
 
-func (f *fleet) way(name, upstream string) *processes.Way {
-	way, err := processes.NewWay(name, f.ip, upstream)
+func (f *fleet) newProxy(name, upstream string) *processes.Way {
+	proxy, err := processes.NewWay(name, f.proxyIP, upstream)
 	f.must(err)
-	return way
+	return proxy
 }
 
-// seesPeers puts the router's own ways in place of the others' addresses.
-func (r *router) seesPeers(row wire.Row) wire.Row {
-	way, listed := r.peers[row.Key]
+// withProxiedPeerAddress returns a row of the store as the router is to see it: in the entry
+// of another router, the address of the proxy to that router replaces the router's own.
+func (r *router) withProxiedPeerAddress(row wire.Row) wire.Row {
+	proxy, listed := r.peerProxies[row.Key]
 	if row.Table != platform.TableRouters || !listed || row.Removed {
 		return row
 	}
@@ -242,10 +245,10 @@
 	if err := json.Unmarshal(row.Data, &content); err != nil {
 		panic(err) // routers write valid rows
 	}
-	content["peer_address"] = way.Address()
+	content["peer_address"] = proxy.Address()
 	data, err := json.Marshal(content)
 	if err != nil {
-		panic(err) // it was just decoded
+		panic(err) // the content was just decoded
 	}
 	row.Data = data
 	return row
@@ -256,7 +259,7 @@
 	f.must(r.Restart())
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r.starts++
+	r.startCount++
 }
 
 func (f *fleet) must(err error) {
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -13,32 +13,34 @@
 )
 
 const (
-	// callers send all the time.
-	callers = 16
-	// deadline is what their requests tell.
-	deadline = 2 * time.Second
-	// answerMargin is how much later an answer may end: a router may be frozen.
-	answerMargin = longestFault + time.Second
-	// leavesOneIn is how many requests there are to one whose caller leaves early.
-	leavesOneIn = 10
-	// earliestLeave bounds how long such a caller stays.
-	earliestLeave = 100 * time.Millisecond
-	// callerPause is the pause of a caller after a failure.
-	callerPause = 5 * time.Millisecond
-	// probeEvery is the pause between two looks at the versions in force.
-	probeEvery = 15 * time.Millisecond
-	// mostRuns is how often a request that may be repeated may run: the route's attempts.
-	mostRuns = 2
+	// callerCount is the number of callers, which send requests all the time.
+	callerCount = 16
+	// requestDeadline is the deadline that callers send with their requests.
+	requestDeadline = 2 * time.Second
+	// answerMargin is how long after its deadline an answer may end, because a router may
+	// be frozen.
+	answerMargin = maxFaultTime + time.Second
+	// requestsPerEarlyLeave is the number of requests for each one whose caller leaves early.
+	requestsPerEarlyLeave = 10
+	// maxEarlyLeaveTime limits how long such a caller stays.
+	maxEarlyLeaveTime = 100 * time.Millisecond
+	// failurePause is the pause of a caller after a request that was not served.
+	failurePause = 5 * time.Millisecond
+	// versionProbePause is the pause between two probes of the versions in force.
+	versionProbePause = 15 * time.Millisecond
+	// maxRunsIfRepeatable is how often a repeatable request may run: the attempts of its
+	// route.
+	maxRunsIfRepeatable = 2
 )
 
 const (
-	pathOnce   = managed.DemoOncePrefix + "deploy"
-	pathSafe   = managed.DemoSafePrefix + "purge"
-	pathStream = managed.DemoStreamPrefix + "page"
+	pathNonIdempotent = managed.DemoOncePrefix + "deploy"
+	pathIdempotent    = managed.DemoSafePrefix + "purge"
+	pathStream        = managed.DemoStreamPrefix + "page"
 )
 
-// sent is a request that has ended.
-type sent struct {
+// sentRequest is a request that has ended.
+type sentRequest struct {
 	path   string
 	answer managed.Answer
 	// router is the name of the router that it was sent to.
@@ -46,146 +48,147 @@
 	sentAt, endedAt time.Time
 }
 
-// judge sends requests and checks what comes of them.
-type judge struct {
+// checker sends requests and checks their answers and runs.
+type checker struct {
 	*fleet
-	caller *managed.Caller
-	clock  pauseClock
-	stop   context.CancelFunc
-	active sync.WaitGroup
-	served atomic.Int64
-
-	mu  sync.Mutex
-	all []sent
+	caller  *managed.Caller
+	clock   pauseClock
+	stop    context.CancelFunc
+	workers sync.WaitGroup
+	served  atomic.Int64
+
+	mu       sync.Mutex
+	requests []sentRequest
 }
 
-// startJudge starts the callers.
-func startJudge(f *fleet, name string) *judge {
+// startChecker starts the callers and the watch of versions.
+func startChecker(f *fleet, name string) *checker {
 	ctx, stop := context.WithCancel(context.Background())
-	j := &judge{fleet: f, caller: managed.NewCaller(name, deadline), stop: stop}
-	for n := range callers {
-		j.active.Go(func() { j.call(ctx, rand.New(rand.NewPCG(uint64(n), 1))) })
+	c := &checker{fleet: f, caller: managed.NewCaller(name, requestDeadline), stop: stop}
+	for n := range callerCount {
+		c.workers.Go(func() { c.call(ctx, rand.New(rand.NewPCG(uint64(n), 1))) })
 	}
-	j.active.Go(func() { j.watchVersions(ctx) })
+	c.workers.Go(func() { c.watchVersions(ctx) })
 	clockCtx, stopClock := context.WithCancel(context.Background())
-	go j.clock.run(clockCtx) // also while the last requests end
-	f.t.Cleanup(func() { stop(); j.active.Wait(); stopClock(); j.caller.Close() })
-	return j
+	go c.clock.run(clockCtx) // it must run until the last request has ended
+	f.t.Cleanup(func() { stop(); c.workers.Wait(); stopClock(); c.caller.Close() })
+	return c
 }
 
-// end lets the requests that are under way end.
-func (j *judge) end() {
-	j.stop()
-	j.active.Wait()
+// finish stops the callers and waits until the requests in progress have ended.
+func (c *checker) finish() {
+	c.stop()
+	c.workers.Wait()
 }
 
 // call sends one request after the other until ctx ends.
-func (j *judge) call(ctx context.Context, random *rand.Rand) {
-	paths := []string{pathOnce, pathSafe, pathStream}
+func (c *checker) call(ctx context.Context, random *rand.Rand) {
+	paths := []string{pathNonIdempotent, pathIdempotent, pathStream}
 	for ctx.Err() == nil {
-		r := j.routers[random.IntN(len(j.routers))]
-		one := sent{path: paths[random.IntN(len(paths))], router: r.Name, sentAt: time.Now()}
-		limit := deadline + answerMargin
-		leaves := random.IntN(leavesOneIn) == 0
+		r := c.routers[random.IntN(len(c.routers))]
+		request := sentRequest{path: paths[random.IntN(len(paths))], router: r.Name, sentAt: time.Now()}
+		limit := requestDeadline + answerMargin
+		leaves := random.IntN(requestsPerEarlyLeave) == 0
 		if leaves {
-			limit = time.Duration(random.Int64N(int64(earliestLeave)))
+			limit = time.Duration(random.Int64N(int64(maxEarlyLeaveTime)))
 		}
-		own, cancel := context.WithCancel(context.Background())
-		stopLimit := j.clock.afterRunning(limit, cancel)
-		one.answer = j.caller.Send(own, r.Settings.Listen.Callers, one.path, managed.DemoKey)
-		one.endedAt = time.Now()
+		requestCtx, cancel := context.WithCancel(context.Background())
+		stopLimit := c.clock.afterRunTime(limit, cancel)
+		request.answer = c.caller.Send(requestCtx, r.Settings.Listen.Callers, request.path, managed.DemoKey)
+		request.endedAt = time.Now()
 		stopLimit()
-		if own.Err() != nil && !leaves {
-			j.t.Errorf("%s had no end within %s at %s: status %d, %q", one.answer.ID, limit, r.Name, one.answer.Status, one.answer.Body)
-			j.explainNoEnd(one)
+		if requestCtx.Err() != nil && !leaves {
+			c.t.Errorf("%s did not end within %s at %s: status %d, %q", request.answer.ID, limit, r.Name, request.answer.Status, request.answer.Body)
+			c.logNoEnd(request)
 		}
 		cancel()
-		j.judgeAnswer(r.Name, one)
-		j.mu.Lock()
-		j.all = append(j.all, one)
-		j.mu.Unlock()
-		if one.answer.Status != http.StatusOK {
-			time.Sleep(callerPause)
+		c.checkAnswer(r.Name, request)
+		c.mu.Lock()
+		c.requests = append(c.requests, request)
+		c.mu.Unlock()
+		if request.answer.Status != http.StatusOK {
+			time.Sleep(failurePause)
 		}
 	}
 }
 
-// explainNoEnd logs what tells a request without an end from callers that did not run.
-func (j *judge) explainNoEnd(one sent) {
+// logNoEnd logs the details of a request that did not end, so that the reader can see whether
+// the request hung or this process did not run.
+func (c *checker) logNoEnd(request sentRequest) {
 	targets := []string{}
-	for _, run := range j.journal.Runs(one.answer.ID) {
-		targets = append(targets, run.Replica+" from "+run.StartedAt.Format(noteTime))
+	for _, run := range c.journal.Runs(request.answer.ID) {
+		targets = append(targets, run.Replica+" from "+run.StartedAt.Format(noteTimeFormat))
 	}
-	j.t.Logf("%s: %s, sent at %s, took %s, of which this process did not run for %s; runs %q",
-		one.answer.ID, one.path, one.sentAt.Format(noteTime), one.endedAt.Sub(one.sentAt),
-		j.clock.within(one.sentAt, one.endedAt), targets)
+	c.t.Logf("%s: %s, sent at %s, took %s, of which this process did not run for %s; runs %q",
+		request.answer.ID, request.path, request.sentAt.Format(noteTimeFormat), request.endedAt.Sub(request.sentAt),
+		c.clock.pausedBetween(request.sentAt, request.endedAt), targets)
 }
 
-// judgeAnswer checks one answer by itself.
-func (j *judge) judgeAnswer(router string, one sent) {
-	got := one.answer
+// checkAnswer checks one answer, without the journal of runs.
+func (c *checker) checkAnswer(router string, request sentRequest) {
+	got := request.answer
 	switch got.Status {
 	case http.StatusOK:
 	case http.StatusUnauthorized, http.StatusNotFound, http.StatusBadRequest:
-		j.t.Errorf("%s was refused with status %d at %s", got.ID, got.Status, router)
+		c.t.Errorf("%s was refused with status %d at %s", got.ID, got.Status, router)
 		return
 	default:
 		return
 	}
 	want := managed.WholeAnswer(got.ID)
-	if one.path == pathStream {
+	if request.path == pathStream {
 		want = managed.WholeStream(got.ID, events)
 	}
 	switch {
 	case got.Whole && got.Body != want:
-		j.t.Errorf("%s got a wrong answer at %s: %q", got.ID, router, got.Body)
+		c.t.Errorf("%s got a wrong answer at %s: %q", got.ID, router, got.Body)
 	case !strings.HasPrefix(want, got.Body):
-		j.t.Errorf("%s got a torn answer at %s: %q", got.ID, router, got.Body)
+		c.t.Errorf("%s got a corrupt partial answer at %s: %q", got.ID, router, got.Body)
 	case got.Whole:
-		j.served.Add(1)
+		c.served.Add(1)
 	}
 }
 
-// watchVersions looks which versions are in force at the routers: none may go back
-// while its process lives. Each version accepts a key of its own.
-func (j *judge) watchVersions(ctx context.Context) {
+// watchVersions probes which versions are in force at the routers: no router may return to an
+// older version while its process runs. Each version accepts a key of its own.
+func (c *checker) watchVersions(ctx context.Context) {
 	type process struct {
 		router *router
 		starts int
 	}
 	random := rand.New(rand.NewPCG(0, 2))
 	highest := make(map[process]uint64)
-	for ; ctx.Err() == nil; time.Sleep(probeEvery) {
-		r := j.routers[random.IntN(len(j.routers))]
-		now := process{r, j.startsOf(r)}
-		version := max(highest[now], 2*(1+uint64(random.Int64N(int64(j.newest()/2)))))
+	for ; ctx.Err() == nil; time.Sleep(versionProbePause) {
+		r := c.routers[random.IntN(len(c.routers))]
+		now := process{r, c.startsOf(r)}
+		version := max(highest[now], 2*(1+uint64(random.Int64N(int64(c.newestVersion()/2)))))
 		if random.IntN(2) == 0 {
-			version = 2 * (1 + uint64(random.Int64N(int64(j.newest()/2))))
+			version = 2 * (1 + uint64(random.Int64N(int64(c.newestVersion()/2))))
 		}
-		if !j.accepts(r, version) || j.startsOf(r) != now.starts {
+		if !c.acceptsVersion(r, version) || c.startsOf(r) != now.starts {
 			continue
 		}
 		if version < highest[now] {
-			j.t.Errorf("%s went back from version %d to %d", r.Name, highest[now], version)
+			c.t.Errorf("%s returned from version %d to %d", r.Name, highest[now], version)
 		}
 		highest[now] = max(highest[now], version)
 	}
 }
 
-func (j *judge) startsOf(r *router) int {
-	j.fleet.mu.Lock()
-	defer j.fleet.mu.Unlock()
-	return r.starts
+func (c *checker) startsOf(r *router) int {
+	c.fleet.mu.Lock()
+	defer c.fleet.mu.Unlock()
+	return r.startCount
 }
 
-// accepts says whether a version's own key is accepted at a router.
-func (j *judge) accepts(r *router, version uint64) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), deadline+answerMargin)
+// acceptsVersion reports whether a router accepts the key of a version.
+func (c *checker) acceptsVersion(r *router, version uint64) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), requestDeadline+answerMargin)
 	defer cancel()
-	return j.caller.Send(ctx, r.Settings.Listen.Callers, pathSafe, versionKey(version)).Status == http.StatusOK
+	return c.caller.Send(ctx, r.Settings.Listen.Callers, pathIdempotent, versionKey(version)).Status == http.StatusOK
 }
 
-// notRun says whether a status promises that nothing ran.
+// notRun reports whether a status promises that the request did not run.
 func notRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -194,36 +197,36 @@
 	return false
 }
 
-// judgeRuns holds what callers were told against what the replicas ran.
-func (j *judge) judgeRuns() {
+// checkRuns compares the answers that callers got with the runs in the replicas' journal.
+func (c *checker) checkRuns() {
 	runs := make(map[string]int)
-	for _, run := range j.journal.Runs("") {
+	for _, run := range c.journal.Runs("") {
 		runs[run.ID]++
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, one := range j.all {
-		ran := runs[one.answer.ID]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, request := range c.requests {
+		ran := runs[request.answer.ID]
 		switch {
-		case notRun(one.answer.Status) && ran > 0:
-			j.t.Errorf("%s (%s) was told %d, not run, and ran %d times", one.answer.ID, one.path, one.answer.Status, ran)
-		case one.path == pathOnce && ran > 1:
-			j.t.Errorf("%s may run once, and ran %d times", one.answer.ID, ran)
-		case ran > mostRuns:
-			j.t.Errorf("%s ran %d times", one.answer.ID, ran)
-		case one.answer.Status == http.StatusOK && ran == 0:
-			j.t.Errorf("%s was answered and never ran", one.answer.ID)
+		case notRun(request.answer.Status) && ran > 0:
+			c.t.Errorf("%s (%s) was refused as not run with status %d, but ran %d times", request.answer.ID, request.path, request.answer.Status, ran)
+		case request.path == pathNonIdempotent && ran > 1:
+			c.t.Errorf("%s may run once, but ran %d times", request.answer.ID, ran)
+		case ran > maxRunsIfRepeatable:
+			c.t.Errorf("%s ran %d times", request.answer.ID, ran)
+		case request.answer.Status == http.StatusOK && ran == 0:
+			c.t.Errorf("%s was answered, but never ran", request.answer.ID)
 		}
 	}
 }
 
-// counts counts the answers by status; zero for none.
-func (j *judge) counts() map[int]int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// counts counts the requests by the status of their answers; status 0 stands for no answer.
+func (c *checker) counts() map[int]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	counts := make(map[int]int)
-	for _, one := range j.all {
-		counts[one.answer.Status]++
+	for _, request := range c.requests {
+		counts[request.answer.Status]++
 	}
 	return counts
 }
--- a/soak/main_test.go
+++ b/soak/main_test.go
@@ -1,11 +1,11 @@
 // Package soak runs the programs as real processes against the stand-in of a managed
-// platform, brings random faults about in overlapping series, and checks what callers
-// and replicas see. A seed decides the faults:
+// platform, injects random faults that overlap in time, and checks what callers and
+// replicas see. A seed determines the faults:
 //
 //	go test ./soak -soak.seeds 1-50 -soak.length 20s -soak.routers 6
 //
-// There are no clocks and disks to disturb: a router waits by the monotonic clock
-// alone and keeps nothing on a disk.
+// There are no faults of clocks and disks: a router uses only the monotonic clock for
+// its waits and stores nothing on a disk.
 package soak
 
 import (
@@ -20,10 +20,10 @@
 )
 
 var (
-	seedsFlag    = flag.String("soak.seeds", "1", "seeds of the runs: numbers and ranges with commas, such as 3,10-19")
-	lengthFlag   = flag.Duration("soak.length", 10*time.Second, "how long faults come in each run")
-	routersFlag  = flag.Int("soak.routers", 4, "routers of each run")
-	parallelFlag = flag.Int("soak.parallel", 2, "runs side by side")
+	seedsFlag    = flag.String("soak.seeds", "1", "seeds of the runs: numbers and ranges, separated by commas, such as 3,10-19")
+	lengthFlag   = flag.Duration("soak.length", 10*time.Second, "how long each run injects faults")
+	routersFlag  = flag.Int("soak.routers", 4, "number of routers in each run")
+	parallelFlag = flag.Int("soak.parallel", 2, "number of runs at the same time")
 )
 
 // binaries are the programs under test.
@@ -37,7 +37,7 @@
 	}))
 }
 
-// parseSeeds reads "3,10-19".
+// parseSeeds parses a list of seeds and ranges of seeds such as "3,10-19".
 func parseSeeds(text string) ([]uint64, error) {
 	var seeds []uint64
 	for _, part := range strings.Split(text, ",") {
--- a/soak/notice_test.go
+++ b/soak/notice_test.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// holdOff is what a replica asks of routers whose requests it turns away.
+	// holdOff is how long a replica asks routers to wait when it refuses a request.
 	holdOff = 3 * time.Second
-	// noticeBound is how long a router may take to do as an answer asks.
-	noticeBound = 500 * time.Millisecond
-	// mostRefuseEvery bounds of how many requests such a replica refuses one.
-	mostRefuseEvery = 8
+	// maxNoticeDelay is how long a router may take to act on what an answer announces.
+	maxNoticeDelay = 500 * time.Millisecond
+	// maxRefuseEvery limits the number of requests of which such a replica refuses one.
+	maxRefuseEvery = 8
 )
 
-// TestSoakNotices is TestSoak with replicas that say in their answers, and nowhere else, that
-// they leave or want no requests for a while.
+// TestSoakNotices is TestSoak with replicas that announce only in their answers that they leave
+// or want no requests for a while.
 func TestSoakNotices(t *testing.T) {
 	forSeeds(t, func(t *testing.T, seed uint64) { soak(t, seed, soakOptions{notices: true}) })
 }
 
-// sayLeaving has a replica say that it leaves, in its answers alone, and replaces it.
-func (f *faults) sayLeaving() (string, func() bool) {
-	r := f.anyReplica()
+// announceLeaving has a replica announce only in its answers that it leaves, and starts another
+// one. The replica ends with the fault.
+func (f *faultInjector) announceLeaving() (string, func() bool) {
+	r := f.randomFreeReplica()
 	if r == nil {
 		return "", nil
 	}
@@ -34,66 +35,67 @@
 	return r.options.ID, func() bool { f.dropReplica(r); return true }
 }
 
-// turnAway has a replica turn some requests away and ask for a hold-off.
-func (f *faults) turnAway() (string, func() bool) {
-	r := f.anyReplica()
+// refuseSome has a replica refuse some requests and ask for a hold-off.
+func (f *faultInjector) refuseSome() (string, func() bool) {
+	r := f.randomFreeReplica()
 	if r == nil {
 		return "", nil
 	}
-	r.SetFaults(managed.ReplicaFaults{RefuseEvery: 1 + f.random.IntN(mostRefuseEvery), RetryAfter: holdOff})
+	r.SetFaults(managed.ReplicaFaults{RefuseEvery: 1 + f.random.IntN(maxRefuseEvery), RetryAfter: holdOff})
 	return r.options.ID, func() bool { r.SetFaults(managed.ReplicaFaults{}); return true }
 }
 
-// judgeNotices has one replica say that it leaves and another one ask for hold-offs while no
-// faults are active. It guards against routers that go on sending to them.
-func (j *judge) judgeNotices() {
-	leaving, shedding := j.replicas[0], j.replicas[1]
+// checkNotices has one replica announce that it leaves and another one ask for hold-offs while
+// no faults are active. It guards against routers that go on sending requests to them.
+func (c *checker) checkNotices() {
+	leaving, shedding := c.replicas[0], c.replicas[1]
 	leaving.SayLeaving()
 	shedding.SetFaults(managed.ReplicaFaults{RefuseEvery: 2, RetryAfter: holdOff})
 	begin := time.Now()
-	time.Sleep(holdOff + quietTime)
+	time.Sleep(holdOff + inFlightTime)
 	shedding.SetFaults(managed.ReplicaFaults{})
-	router, heard := j.heardLeaving(leaving.ID(), begin)
-	for _, arrival := range j.journal.Arrivals(leaving.ID()) {
-		at, said := heard[router[arrival.ID]]
-		if said && arrival.At.After(at.Add(noticeBound)) {
-			j.t.Errorf("%s reached %s %s after %s had passed on that it leaves", arrival.ID, arrival.Replica, arrival.At.Sub(at), router[arrival.ID])
+	router, heard := c.heardLeaving(leaving.ID(), begin)
+	for _, arrival := range c.journal.Arrivals(leaving.ID()) {
+		at, known := heard[router[arrival.ID]]
+		if known && arrival.At.After(at.Add(maxNoticeDelay)) {
+			c.t.Errorf("%s reached %s %s after %s had passed on that it leaves", arrival.ID, arrival.Replica, arrival.At.Sub(at), router[arrival.ID])
 			break
 		}
 	}
-	j.judgeHoldOffs(shedding.ID(), begin, router)
+	c.checkHoldOffs(shedding.ID(), begin, router)
 }
 
 // heardLeaving returns the router of each request sent since begin, and when each router passed
 // on the first answer in which a replica says that it leaves.
-func (j *judge) heardLeaving(replica string, begin time.Time) (router map[string]string, heard map[string]time.Time) {
+func (c *checker) heardLeaving(replica string, begin time.Time) (router map[string]string, heard map[string]time.Time) {
 	router, heard = make(map[string]string), make(map[string]time.Time)
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, one := range j.all {
-		if one.sentAt.Before(begin) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, request := range c.requests {
+		if request.sentAt.Before(begin) {
 			continue
 		}
-		router[one.answer.ID] = one.router
-		saysSo := one.answer.Header.Get(wire.HeaderLeaving) != "" && one.answer.Header.Get(wire.HeaderSeal) == "seal-"+replica
-		if at, known := heard[one.router]; saysSo && (!known || one.endedAt.Before(at)) {
-			heard[one.router] = one.endedAt
+		router[request.answer.ID] = request.router
+		saysSo := request.answer.Header.Get(wire.HeaderLeaving) != "" && request.answer.Header.Get(wire.HeaderSeal) == "seal-"+replica
+		if at, known := heard[request.router]; saysSo && (!known || request.endedAt.Before(at)) {
+			heard[request.router] = request.endedAt
 		}
 	}
 	return router, heard
 }
 
-// judgeHoldOffs checks that a replica got nothing from a router that it had asked to hold off.
-func (j *judge) judgeHoldOffs(replica string, begin time.Time, router map[string]string) {
+// checkHoldOffs checks that a replica got no requests from a router that it had asked to hold
+// off.
+func (c *checker) checkHoldOffs(replica string, begin time.Time, router map[string]string) {
 	asked := make(map[string]time.Time)
-	for _, arrival := range j.journal.Arrivals(replica) {
+	for _, arrival := range c.journal.Arrivals(replica) {
 		from, known := router[arrival.ID]
 		if !known || arrival.At.Before(begin) {
 			continue
 		}
 		since := arrival.At.Sub(asked[from])
-		if since > noticeBound && since < holdOff {
-			j.t.Errorf("%s reached %s from %s %s after it had asked for %s", arrival.ID, replica, from, since, holdOff)
+		if since > maxNoticeDelay && since < holdOff {
+			c.t.Errorf("%s reached %s from %s %s after it had asked for a hold-off of %s", arrival.ID, replica, from, since, holdOff)
 			return
 		}
 		if arrival.RetryAfter > 0 {
--- a/soak/pauses_test.go
+++ b/soak/pauses_test.go
@@ -10,66 +10,68 @@
 )
 
 const (
-	// clockStep is the period of the look for pauses of this process.
-	clockStep = 10 * time.Millisecond
-	// leastPause is the least delay of a look that counts as a pause: shorter ones are the
-	// scheduler's.
-	leastPause = 100 * time.Millisecond
+	// tickPeriod is the period of the ticks that detect pauses of this process.
+	tickPeriod = 10 * time.Millisecond
+	// minPause is the least delay of a tick that counts as a pause: shorter delays are those
+	// of normal scheduling.
+	minPause = 100 * time.Millisecond
 )
 
-// pauseClock notes when this process, in which callers and replicas live, did not run.
+// pauseClock records when this process, which contains the callers and the replicas, did not
+// run.
 type pauseClock struct {
 	mu sync.Mutex
-	// looked is when it looked last.
-	looked time.Time
-	pauses []pause
+	// lastTick is the time of the last tick.
+	lastTick time.Time
+	pauses   []pause
 }
 
 // pause is a span in which the process did not run.
 type pause struct{ from, to time.Time }
 
-// run looks until ctx ends.
+// run ticks until ctx ends.
 func (c *pauseClock) run(ctx context.Context) {
 	for last := time.Now(); ctx.Err() == nil; {
-		time.Sleep(clockStep)
+		time.Sleep(tickPeriod)
 		now := time.Now()
-		c.look(last, now)
+		c.tick(last, now)
 		last = now
 	}
 }
 
-// look notes the pause between two looks, if there was one.
-func (c *pauseClock) look(last, now time.Time) {
+// tick records the pause between the last tick and now, if there was one.
+func (c *pauseClock) tick(last, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.looked = now
-	if now.Sub(last) >= clockStep+leastPause {
-		c.pauses = append(c.pauses, pause{from: last.Add(clockStep), to: now})
+	c.lastTick = now
+	if now.Sub(last) >= tickPeriod+minPause {
+		c.pauses = append(c.pauses, pause{from: last.Add(tickPeriod), to: now})
 	}
 }
 
-// awaitLook waits until a pause that has just ended is noted; false: ctx ended before.
-func (c *pauseClock) awaitLook(ctx context.Context) bool {
+// awaitTick waits until a pause that has just ended is recorded. It returns false if ctx ends
+// first.
+func (c *pauseClock) awaitTick(ctx context.Context) bool {
 	for since := time.Now(); ; {
 		c.mu.Lock()
-		looked := c.looked
+		lastTick := c.lastTick
 		c.mu.Unlock()
-		if looked.After(since) {
+		if lastTick.After(since) {
 			return true
 		}
-		if !wait.For(ctx, clockStep) {
+		if !wait.For(ctx, tickPeriod) {
 			return false
 		}
 	}
 }
 
-// afterRunning calls f once this process has run for d from now on, unless it is stopped before.
-func (c *pauseClock) afterRunning(d time.Duration, f func()) (stop func()) {
+// afterRunTime calls f once this process has run for d from now on, unless stop is called first.
+func (c *pauseClock) afterRunTime(d time.Duration, f func()) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	from := time.Now()
 	go func() {
-		for left := d; left > 0; left = d - (time.Since(from) - c.within(from, time.Now())) {
-			if !wait.For(ctx, left) || !c.awaitLook(ctx) {
+		for remaining := d; remaining > 0; remaining = d - (time.Since(from) - c.pausedBetween(from, time.Now())) {
+			if !wait.For(ctx, remaining) || !c.awaitTick(ctx) {
 				return
 			}
 		}
@@ -78,8 +80,8 @@
 	return cancel
 }
 
-// within returns how long the process did not run between two moments.
-func (c *pauseClock) within(from, to time.Time) time.Duration {
+// pausedBetween returns how long the process did not run between two moments.
+func (c *pauseClock) pausedBetween(from, to time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var sum time.Duration
@@ -96,18 +98,18 @@
 	return sum
 }
 
-// TestOnlyRunningTimeCounts guards against a limit that passes while this process does not run,
-// and against one that is longer than what it ran.
-func TestOnlyRunningTimeCounts(t *testing.T) {
-	const limit, stood, margin = 150 * time.Millisecond, 400 * time.Millisecond, 100 * time.Millisecond
-	for _, paused := range []time.Duration{0, stood} {
+// TestPausesDoNotCountTowardsLimits guards against a time limit that runs out while this process
+// does not run, and against one that is longer than the time that the process ran.
+func TestPausesDoNotCountTowardsLimits(t *testing.T) {
+	const limit, pauseLength, margin = 150 * time.Millisecond, 400 * time.Millisecond, 100 * time.Millisecond
+	for _, paused := range []time.Duration{0, pauseLength} {
 		var c pauseClock
 		go c.run(t.Context())
 		from, called := time.Now(), make(chan time.Time)
-		c.afterRunning(limit, func() { called <- time.Now() })
-		c.look(from, from.Add(paused))
+		c.afterRunTime(limit, func() { called <- time.Now() })
+		c.tick(from, from.Add(paused))
 		if took := (<-called).Sub(from); took < limit+paused || took > limit+paused+margin {
-			t.Errorf("a limit of %s passed after %s, of which the process stood still for %s", limit, took, paused)
+			t.Errorf("a limit of %s ran out after %s, of which the process was paused for %s", limit, took, paused)
 		}
 	}
 }
--- a/soak/restart_test.go
+++ b/soak/restart_test.go
@@ -9,13 +9,13 @@
 	"github.com/walnutcove/walnutcove/platform/wire"
 )
 
-var restartFlag = flag.Int("soak.restart", 6, "routers that TestAllRestartAtOnce kills and starts again")
+var restartFlag = flag.Int("soak.restart", 6, "number of routers that TestAllRestartAtOnce kills and starts again")
 
 const (
-	// restartLimit is how long the whole fleet may take from the start of its
-	// processes, with empty memory, until each router serves.
-	restartLimit = 3 * time.Second
-	// settleTime lets the routers agree on who follows the store.
+	// maxRestartTime is how long the fleet may take from the start of its processes,
+	// with empty memory, until each router serves.
+	maxRestartTime = 3 * time.Second
+	// settleTime lets the routers agree on which of them follow the store.
 	settleTime = 3 * time.Second
 )
 
@@ -24,14 +24,15 @@
 	return f.store.Calls(wire.PathRead) + f.store.Calls(wire.PathChanges) + f.store.Calls(wire.PathTransact)
 }
 
-// TestAllRestartAtOnce kills all routers under traffic and starts them again: each
-// serves soon, and the store is not stormed.
+// TestAllRestartAtOnce kills all routers under traffic and starts them again. It guards
+// against a slow restart and against a burst of calls that overloads the store.
 func TestAllRestartAtOnce(t *testing.T) {
-	// mostCalls bounds the calls of a router for its start: its row, two lists of the
-	// others, two feeds loaded and followed, and some for those that turn up late.
-	const mostCalls = 10
+	// maxCallsPerRouter limits the calls to the store that a router makes for its start:
+	// writing its row, listing the others twice, loading and following two feeds, and some
+	// for routers that register late.
+	const maxCallsPerRouter = 10
 	f := startFleet(t, *restartFlag, soakOptions{})
-	j := startJudge(f, "restart")
+	c := startChecker(f, "restart")
 	time.Sleep(settleTime)
 	for _, r := range f.routers {
 		r.Kill()
@@ -51,24 +52,24 @@
 		return
 	}
 	for _, r := range f.routers {
-		for !j.serves(r, pathSafe) && time.Since(began) < 2*restartLimit {
-			time.Sleep(step)
+		for !c.serves(r, pathIdempotent) && time.Since(began) < 2*maxRestartTime {
+			time.Sleep(pollPause)
 		}
 	}
 	took := time.Since(began)
-	if took > restartLimit {
-		t.Errorf("all routers serve after %s", took)
+	if took > maxRestartTime {
+		t.Errorf("all routers served only after %s", took)
 	}
 	time.Sleep(settleTime)
 	calls := f.storeCalls() - before
-	if calls > mostCalls*len(f.routers) {
+	if calls > maxCallsPerRouter*len(f.routers) {
 		t.Errorf("%d calls to the store for %d routers", calls, len(f.routers))
 	}
-	quiet := f.storeCalls()
+	callsBeforeChange := f.storeCalls()
 	f.configure()
 	time.Sleep(settleTime)
-	t.Logf("%d routers serve after %s; %d calls to the store for the start, %d for a change", len(f.routers), took, calls, f.storeCalls()-quiet)
-	j.end()
-	time.Sleep(quietTime)
-	j.judgeRuns()
+	t.Logf("%d routers served after %s; %d calls to the store for the start, %d for a change", len(f.routers), took, calls, f.storeCalls()-callsBeforeChange)
+	c.finish()
+	time.Sleep(inFlightTime)
+	c.checkRuns()
 }
--- a/soak/restore_test.go
+++ b/soak/restore_test.go
@@ -9,51 +9,52 @@
 	"github.com/walnutcove/walnutcove/standin/managed"
 )
 
-// awayBeforeReturn is how long the store is away before it comes back from a copy.
-const awayBeforeReturn = 100 * time.Millisecond
+// outageBeforeRestore is how long the store is unavailable before it is restored.
+const outageBeforeRestore = 100 * time.Millisecond
 
-// TestSoakRestores is TestSoak with a store that comes back from older copies as well. Its
-// seeds are its own, as the further fault changes what a seed draws.
+// TestSoakRestores is TestSoak with restores of the store from older backups among the faults.
+// It is a separate test because an additional fault kind changes the faults that a seed draws.
 func TestSoakRestores(t *testing.T) {
 	forSeeds(t, func(t *testing.T, seed uint64) { soak(t, seed, soakOptions{restores: true}) })
 }
 
-// restore copies the store, and has it come back from that copy when the fault ends: what was
-// written meanwhile is lost, and written again by those who wrote it.
-func (f *faults) restore() (string, func() bool) {
+// restore backs up the store and restores that backup when the fault ends: what was written
+// meanwhile is lost, and the operator and the replicas write their current entries again.
+func (f *faultInjector) restore() (string, func() bool) {
 	if f.busy["store"] {
 		return "", nil
 	}
-	from := f.store.Copy()
+	backup := f.store.Copy()
 	return "store", func() bool {
 		f.store.SetFault(managed.Refusing)
-		time.Sleep(awayBeforeReturn)
-		f.store.Restore(from)
+		time.Sleep(outageBeforeRestore)
+		f.store.Restore(backup)
 		f.store.SetFault(managed.Healthy)
-		f.note("store came back, era %d", f.store.Era())
+		f.note("store restored, era %d", f.store.Era())
 		f.publish()
 		for _, r := range f.replicas {
 			r.Renew()
 		}
-		f.dropUnknown(from)
+		f.deleteEndedReplicas(backup)
 		return true
 	}
 }
 
-// dropUnknown removes the entries of replicas that ended since a copy: nobody renews them.
-func (f *faults) dropUnknown(from managed.Copy) {
-	lives := make(map[string]bool, len(f.replicas))
+// deleteEndedReplicas deletes the entries of replicas that ended since a backup, as nobody
+// renews these entries.
+func (f *faultInjector) deleteEndedReplicas(backup managed.Copy) {
+	running := make(map[string]bool, len(f.replicas))
 	for _, r := range f.replicas {
-		lives[r.options.ID] = true
+		running[r.options.ID] = true
 	}
-	for _, id := range from.Keys(wire.TableReplicas) {
-		if !lives[id] {
+	for _, id := range backup.Keys(wire.TableReplicas) {
+		if !running[id] {
 			f.store.Drop(wire.TableReplicas, id)
 		}
 	}
 }
 
-// forSeeds runs a test for each seed that was asked for.
+// forSeeds runs a test for each seed that the flags give.
 func forSeeds(t *testing.T, run func(t *testing.T, seed uint64)) {
 	seeds, err := parseSeeds(*seedsFlag)
 	if err != nil {
--- a/soak/silent_test.go
+++ b/soak/silent_test.go
@@ -7,22 +7,23 @@
 	"github.com/walnutcove/walnutcove/processes"
 )
 
-// silentTime is longer than a caller waits for any end.
-const silentTime = deadline + answerMargin + 2*time.Second
+// unresponsiveTime is longer than a caller waits for the end of any request.
+const unresponsiveTime = requestDeadline + answerMargin + 2*time.Second
 
-// TestRequestsEndWhileATargetIsSilent guards against requests without an end that were sent to
-// a target whose answers are held up: every request ends soon after its deadline.
-func TestRequestsEndWhileATargetIsSilent(t *testing.T) {
+// TestRequestsEndWhileATargetIsUnresponsive guards against requests that never end because they
+// were sent to a target whose answers are held back. Every request must end soon after its
+// deadline.
+func TestRequestsEndWhileATargetIsUnresponsive(t *testing.T) {
 	f := startFleet(t, *routersFlag, soakOptions{})
-	j := startJudge(f, "silent")
+	c := startChecker(f, "silent")
 	time.Sleep(time.Second)
-	silent := f.replicas[0]
-	f.note("silent: %s", silent.options.ID)
-	silent.way.Hold(processes.Back)
-	time.Sleep(silentTime)
-	f.must(silent.way.Heal())
-	f.note("end: %s", silent.options.ID)
-	j.end()
-	time.Sleep(quietTime)
-	j.judgeRuns()
+	unresponsive := f.replicas[0]
+	f.note("unresponsive: %s", unresponsive.options.ID)
+	unresponsive.proxy.Hold(processes.Back)
+	time.Sleep(unresponsiveTime)
+	f.must(unresponsive.proxy.Heal())
+	f.note("end: %s", unresponsive.options.ID)
+	c.finish()
+	time.Sleep(inFlightTime)
+	c.checkRuns()
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -10,106 +10,112 @@
 )
 
 const (
-	// recoveryLimit is how long after the last fault every router must serve again
+	// maxRecoveryTime is how long after the last fault a router may take to serve again
 	// on the newest version.
-	recoveryLimit = 6 * time.Second
-	// leavingBound is how long after a replica told that it leaves it may still get
-	// requests.
-	leavingBound = 2 * time.Second
-	// quietTime lets what was sent arrive before the runs are judged.
-	quietTime = time.Second
-	// leastServed is the least part of the requests that must have been served, so
-	// that the checks have something to check.
-	leastServed = 0.2
+	maxRecoveryTime = 6 * time.Second
+	// maxLeavingDelay is how long after a replica announced that it leaves it may still
+	// get requests.
+	maxLeavingDelay = 2 * time.Second
+	// inFlightTime lets requests that were already sent arrive before the runs are
+	// checked.
+	inFlightTime = time.Second
+	// minServedPart is the least part of the requests that must have been served, so
+	// that the checks are meaningful.
+	minServedPart = 0.2
 )
 
-// TestSoak is one run a seed.
+// TestSoak makes one run for each seed, with the faults that all runs share.
 func TestSoak(t *testing.T) {
 	forSeeds(t, func(t *testing.T, seed uint64) { soak(t, seed, soakOptions{}) })
 }
 
 // soakOptions enables additional fault kinds.
 type soakOptions struct {
-	// restores lets the store come back from older copies.
+	// restores lets the store be restored from older backups.
 	restores bool
 	// evacuates places replicas in two zones and lets the operator evacuate them.
 	evacuates bool
-	// notices has replicas say in their answers that they leave or want no requests.
+	// notices has replicas announce in their answers that they leave or want no
+	// requests for a while.
 	notices bool
 }
 
-// soak runs the test for one seed with the given options.
+// soak makes the run of one seed with the given options.
 func soak(t *testing.T, seed uint64, options soakOptions) {
 	f := startFleet(t, *routersFlag, options)
-	j := startJudge(f, fmt.Sprintf("seed%d", seed))
-	series := newFaults(f, seed)
-	series.soakOptions = options
-	series.run(*lengthFlag)
+	c := startChecker(f, fmt.Sprintf("seed%d", seed))
+	injector := newFaultInjector(f, seed)
+	injector.soakOptions = options
+	injector.run(*lengthFlag)
 	if !t.Failed() {
-		j.awaitRecovery()
+		c.awaitRecovery()
 		if options.evacuates {
-			j.judgeEvacuation()
+			c.checkEvacuation()
 		}
 		if options.notices {
-			j.judgeNotices()
+			c.checkNotices()
 		}
-		j.judgeLeaving()
+		c.checkLeaving()
 	}
-	j.end()
-	time.Sleep(quietTime)
-	j.judgeRuns()
-	counts := j.counts()
+	c.finish()
+	time.Sleep(inFlightTime)
+	c.checkRuns()
+	counts := c.counts()
 	total := 0
 	for _, n := range counts {
 		total += n
 	}
-	if served := j.served.Load(); float64(served) < leastServed*float64(total) {
+	if served := c.served.Load(); float64(served) < minServedPart*float64(total) {
 		t.Errorf("%d of %d requests were served", served, total)
 	}
-	t.Logf("seed %d: faults %v, answers by status %v", seed, series.begun, counts)
+	t.Logf("seed %d: faults %v, answers by status %v", seed, injector.begunByKind, counts)
 }
 
-// awaitRecovery waits until every router serves each kind of request and is on the
-// newest version alone.
-func (j *judge) awaitRecovery() {
-	version := j.newest()
-	until := time.Now().Add(recoveryLimit)
-	for _, r := range j.routers {
-		for !j.isWell(r, version) {
+// awaitRecovery waits until every router serves each kind of request and accepts the
+// keys of the newest version only.
+func (c *checker) awaitRecovery() {
+	version := c.newestVersion()
+	until := time.Now().Add(maxRecoveryTime)
+	for _, r := range c.routers {
+		for !c.hasRecovered(r, version) {
 			if time.Now().After(until) {
-				j.t.Errorf("%s does not serve on version %d within %s", r.Name, version, recoveryLimit)
+				c.t.Errorf("%s did not serve on version %d within %s", r.Name, version, maxRecoveryTime)
 				return
 			}
-			time.Sleep(step)
+			time.Sleep(pollPause)
 		}
 	}
 }
 
-func (j *judge) isWell(r *router, version uint64) bool {
-	if !j.accepts(r, version) || version > 2 && j.accepts(r, version-2) {
+// hasRecovered reports whether a router serves each kind of request, accepts the key of
+// a version and does not accept the key of the version before.
+func (c *checker) hasRecovered(r *router, version uint64) bool {
+	if !c.acceptsVersion(r, version) || version > 2 && c.acceptsVersion(r, version-2) {
 		return false
 	}
-	for _, path := range []string{pathOnce, pathSafe, pathStream} {
-		if !j.serves(r, path) {
+	for _, path := range []string{pathNonIdempotent, pathIdempotent, pathStream} {
+		if !c.serves(r, path) {
 			return false
 		}
 	}
 	return true
 }
 
-func (j *judge) serves(r *router, path string) bool {
-	got := j.caller.Send(j.t.Context(), r.Settings.Listen.Callers, path, managed.DemoKey)
+// serves reports whether a router answers a request to a path completely.
+func (c *checker) serves(r *router, path string) bool {
+	got := c.caller.Send(c.t.Context(), r.Settings.Listen.Callers, path, managed.DemoKey)
 	return got.Status == http.StatusOK && got.Whole
 }
 
-// judgeLeaving lets a replica leave in quiet: soon after, no router sends it anything.
-func (j *judge) judgeLeaving() {
-	leaving := j.replicas[0]
+// checkLeaving has a replica announce that it leaves while no faults are active. It
+// guards against routers that go on sending requests to it.
+func (c *checker) checkLeaving() {
+	leaving := c.replicas[0]
 	leaving.Leave()
-	time.Sleep(leavingBound + quietTime)
-	for _, run := range j.journal.Runs("") {
-		if run.Replica == leaving.options.ID && run.Left > leavingBound {
-			j.t.Errorf("%s reached %s %s after it told that it leaves", run.ID, run.Replica, run.Left)
+	time.Sleep(maxLeavingDelay + inFlightTime)
+	for _, run := range c.journal.Runs("") {
+		if run.Replica == leaving.options.ID && run.Left > maxLeavingDelay {
+			c.t.Errorf("%s reached %s %s after it announced that it leaves", run.ID, run.Replica, run.Left)
 			return
 		}
 	}
