--- a/proctest/fair_test.go
+++ b/proctest/fair_test.go
@@ -156,15 +156,15 @@
 func (f *fleet) checkGap(when string, runs []targetRun, within interval) {
 	f.t.Helper()
 	received := slotTimeByWorkspace(runs, within)
-	least, most := math.Inf(1), 0.0
+	lowest, highest := math.Inf(1), 0.0
 	for name, share := range fairShares {
 		normalised := received[name].Seconds() / share
-		least, most = min(least, normalised), max(most, normalised)
+		lowest, highest = min(lowest, normalised), max(highest, normalised)
 	}
 	limit := gapMargin * f.gapBound()
-	f.t.Logf("%s: received %v, gap %.2f slot seconds per share, limit %.2f", when, received, most-least, limit)
-	if most-least > limit {
-		f.t.Errorf("%s the gap is %.2f slot seconds per share, over %.2f", when, most-least, limit)
+	f.t.Logf("%s: received %v, gap %.2f slot seconds per share, limit %.2f", when, received, highest-lowest, limit)
+	if highest-lowest > limit {
+		f.t.Errorf("%s the gap is %.2f slot seconds per share, over %.2f", when, highest-lowest, limit)
 	}
 }
 
--- a/proctest/fleet_test.go
+++ b/proctest/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/walnutcove/walnutcove/store"
 )
 
-// What the fleet declares.
+// The pools, the model and the path that the fleet declares, and the waits of the tests.
 const (
 	enginePool  = "drafting"
 	servicePool = "deploy"
--- a/proctest/once_test.go
+++ b/proctest/once_test.go
@@ -192,7 +192,7 @@
 	}
 }
 
-// awaitRecord waits until the store holds the run record of a request.
+// awaitRunRecord waits until the store holds the run record of a request.
 func (f *fleet) awaitRunRecord(r load.Request) {
 	f.t.Helper()
 	query := url.Values{
--- a/proctest/versionwatch_test.go
+++ b/proctest/versionwatch_test.go
@@ -144,7 +144,7 @@
 	for ctx.Err() == nil {
 		got, ready := w.f.versionAt(n)
 		if ready && got < highest {
-			w.f.t.Errorf("%s went back from version %d to %d", routerName(n), highest, got)
+			w.f.t.Errorf("%s returned from version %d to %d", routerName(n), highest, got)
 		}
 		highest = max(highest, got)
 		time.Sleep(versionPollPause)
