--- a/router/acquire_test.go
+++ b/router/acquire_test.go
@@ -27,7 +27,8 @@
 	return &config.Snapshot{Version: version, Declarations: declarations}
 }
 
-// startGrants runs a control goroutine with one engine.
+// startGrants runs a control goroutine with one engine and returns a grant source for it. The
+// source looks up the engine's address in inForce.
 func startGrants(t *testing.T, inForce *config.Snapshot) *grantSource {
 	t.Helper()
 	l := newLoop(control.New(control.Options{Node: "vm-1", Incarnation: 1, DataCentre: "ikeja"}), noopShell{}, slog.New(slog.DiscardHandler))
--- a/router/backend.go
+++ b/router/backend.go
@@ -38,22 +38,22 @@
 
 // Config implements operator.Backend.
 func (b backend) Config(ctx context.Context, version config.Version) (*config.Snapshot, error) {
-	known := b.router.InForce()
+	inForce := b.router.InForce()
 	if b.router.ownPlatform == nil {
-		return b.managedConfig(known, version)
+		return b.managedConfig(inForce, version)
 	}
 	if version != 0 {
-		if known != nil && known.Version == version {
-			return known, nil
+		if inForce != nil && inForce.Version == version {
+			return inForce, nil
 		}
 		return b.router.configStore.SnapshotAt(ctx, version)
 	}
-	if known == nil {
+	if inForce == nil {
 		return b.router.configStore.Load(ctx)
 	}
-	newest, err := b.router.configStore.CatchUp(ctx, known)
+	newest, err := b.router.configStore.CatchUp(ctx, inForce)
 	if err != nil {
-		return known, nil
+		return inForce, nil
 	}
 	return newest, nil
 }
@@ -109,16 +109,16 @@
 	}
 	self := operator.Member{Node: b.router.settings.Node.Name, DataCentre: b.router.settings.Node.DataCentre}
 	var members []operator.Member
-	known := false
+	selfListed := false
 	for _, vm := range *listed {
-		known = known || vm.Name == self.Node
+		selfListed = selfListed || vm.Name == self.Node
 		members = append(members, operator.Member{
 			Node:       vm.Name,
 			DataCentre: vm.DataCentre,
 			Leaving:    vm.State == store.VMLeaving,
 		})
 	}
-	if !known {
+	if !selfListed {
 		members = append(members, self)
 	}
 	return members, nil
--- a/router/flood_test.go
+++ b/router/flood_test.go
@@ -13,10 +13,10 @@
 	perSecond int
 	// cores is the router's share of a processor core.
 	cores float64
-	// served and refused are the processor time of a served and a refused request, and turns is
-	// how often a served request waits for the processor until its answer has begun.
-	served, refused time.Duration
-	turns           int
+	// servedCPUTime and refusedCPUTime are the processor time of a served and of a refused request,
+	// and turns is how often a served request waits for the processor until its answer has begun.
+	servedCPUTime, refusedCPUTime time.Duration
+	turns                         int
 	// maxWait is how long a caller may wait at this router for its request to count as in time.
 	maxWait time.Duration
 }
@@ -38,10 +38,10 @@
 	for now := time.Duration(0); now < duration; now += step {
 		for dueArrivals += float64(f.perSecond) * step.Seconds(); dueArrivals >= 1; dueArrivals-- {
 			if o.shouldShed(false) {
-				queue = append(queue, cpuTurn{arrivedAt: now, turnsLeft: 0, cost: f.refused})
+				queue = append(queue, cpuTurn{arrivedAt: now, turnsLeft: 0, cost: f.refusedCPUTime})
 				continue
 			}
-			queue = append(queue, cpuTurn{arrivedAt: now, turnsLeft: f.turns, cost: f.served / time.Duration(f.turns)})
+			queue = append(queue, cpuTurn{arrivedAt: now, turnsLeft: f.turns, cost: f.servedCPUTime / time.Duration(f.turns)})
 		}
 		cpuBudget = min(cpuBudget+time.Duration(f.cores*float64(step)), step)
 		for len(queue) > 0 && cpuBudget >= queue[0].cost {
@@ -89,13 +89,13 @@
 	for _, perSecond := range []int{800, 1500, 2500} {
 		f := floodLoad{
 			perSecond: perSecond, cores: 0.19,
-			served: 300 * time.Microsecond, refused: 11 * time.Microsecond, turns: 10,
+			servedCPUTime: 300 * time.Microsecond, refusedCPUTime: 11 * time.Microsecond, turns: 10,
 			maxWait: 150 * time.Millisecond,
 		}
 		o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 		inTime, late := f.simulate(o, duration)
-		refusalLoad := f.refused.Seconds() * float64(perSecond)
-		capacity := (f.cores - refusalLoad) / f.served.Seconds() * duration.Seconds()
+		refusalLoad := f.refusedCPUTime.Seconds() * float64(perSecond)
+		capacity := (f.cores - refusalLoad) / f.servedCPUTime.Seconds() * duration.Seconds()
 		t.Logf("%d per second: %d in time, %d late, the processor could serve %.0f", perSecond, inTime, late, capacity)
 		if float64(inTime) < minInTimeShare*capacity {
 			t.Errorf("%d per second: %d in time of %.0f that the processor could serve", perSecond, inTime, capacity)
--- a/router/grantedtarget_test.go
+++ b/router/grantedtarget_test.go
@@ -11,8 +11,9 @@
 	"github.com/walnutcove/walnutcove/pipeline"
 )
 
-// TestTargetServesFollowsListingAndNotices checks that, until a request is sent, its exchange can
-// tell whether the target still takes work, by the targets then in force and the target's notices.
+// TestTargetServesFollowsListingAndNotices checks that, until a request is sent, its exchange
+// reports whether the target still takes work, by the targets then in force and the target's
+// notices.
 func TestTargetServesFollowsListingAndNotices(t *testing.T) {
 	const address = "127.0.0.1:1"
 	var inForce *config.Snapshot
--- a/router/loop.go
+++ b/router/loop.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// minTickInterval is the minimum time between two ticks. The machine tells when it
-	// needs the next one; needless wake-ups cost more than the ticks themselves.
+	// minTickInterval is the minimum time between two ticks. The machine reports when
+	// it needs the next one; needless wake-ups cost more than the ticks themselves.
 	minTickInterval = 20 * time.Millisecond
 	// inboxSize limits the events waiting for the control goroutine. Senders
 	// block when it is full, which slows traffic rather than losing an event.
@@ -48,7 +48,7 @@
 	watchTargets(targets []string)
 	quarantineChanged(fingerprint uint64, quarantined bool)
 	versionSeen(from control.NodeID, version uint64)
-	setFeedTurn(turn control.FeedRole)
+	setFeedRole(role control.FeedRole)
 	recheckFeeds()
 	membersChanged(alive []control.NodeID)
 	drained()
@@ -134,7 +134,7 @@
 	l.wake.Reset(l.wakeAt - l.now())
 }
 
-// notifyMembers tells the shell which members are alive, if that has changed.
+// notifyMembers passes the live members to the shell if they have changed.
 func (l *loop) notifyMembers() {
 	version := l.machine.AliveVersion()
 	if version == l.membersVersion {
@@ -150,7 +150,7 @@
 	return l.postWith(event, nil)
 }
 
-// postWith is post with a waiter; an arrival has one.
+// postWith is like post, and also passes a waiter, which every arrival has.
 func (l *loop) postWith(event control.Event, w *waiter) bool {
 	select {
 	case l.inbox <- postedEvent{event: event, waiter: w}:
@@ -185,7 +185,8 @@
 	}
 }
 
-// step passes an event to the machine and executes the resulting commands.
+// step passes an event to the machine and executes the resulting commands. It first
+// removes the waiter of a cancelled request, which no longer waits for an answer.
 func (l *loop) step(event control.Event) {
 	start := time.Now()
 	defer func() { controlBusy.Add(time.Since(start).Seconds()) }()
@@ -212,13 +213,13 @@
 	case control.VersionSeen:
 		l.shell.versionSeen(c.From, c.Version)
 	case control.FeedRole:
-		l.shell.setFeedTurn(c)
+		l.shell.setFeedRole(c)
 	case control.RecheckFeeds:
 		l.shell.recheckFeeds()
 	case control.Drained:
 		l.shell.drained()
 	case control.TargetHealthChanged:
-		l.logTargetVerdict(c)
+		l.logTargetHealth(c)
 	case control.TargetLeaving:
 		l.log.Info("control: Target announced that it is leaving.", "target", c.Target, "told", c.From)
 	case control.TargetCold:
@@ -239,8 +240,9 @@
 		"best", c.Gap.Best, "best_granted", c.Gap.BestGranted)
 }
 
-// logTargetVerdict logs whether this router considers a target failing from now on.
-func (l *loop) logTargetVerdict(c control.TargetHealthChanged) {
+// logTargetHealth logs whether this router, as a scheduler, considers a target failing from
+// now on.
+func (l *loop) logTargetHealth(c control.TargetHealthChanged) {
 	if c.Failing {
 		l.log.Warn("control: Target is failing and gets no requests for now.", "target", c.Target, "cause", c.Cause, "failures", c.Failures, "pause", c.Backoff)
 		return
--- a/router/managed.go
+++ b/router/managed.go
@@ -93,13 +93,13 @@
 	}
 }
 
-// setFeedTurn implements shell.
-func (r *Router) setFeedTurn(turn control.FeedRole) {
+// setFeedRole implements shell.
+func (r *Router) setFeedRole(role control.FeedRole) {
 	if r.managed == nil {
 		return
 	}
-	r.log.Info("directory: Role in following the platform's feeds changed.", "wanted", turn.Follow, "proves", turn.Probe, "ahead", turn.Ahead)
-	r.directory.SetTurn(directory.Turn{Wanted: turn.Follow, Proves: turn.Probe, Ahead: turn.Ahead})
+	r.log.Info("directory: Role in following the platform's feeds changed.", "wanted", role.Follow, "proves", role.Probe, "ahead", role.Ahead)
+	r.directory.SetTurn(directory.Turn{Wanted: role.Follow, Proves: role.Probe, Ahead: role.Ahead})
 }
 
 // recheckFeeds implements shell.
@@ -130,11 +130,11 @@
 
 // fetchDirectory fetches and imports the directory of a peer.
 func (r *Router) fetchDirectory(ctx context.Context, node control.NodeID) error {
-	known, err := json.Marshal(r.directory.Cursor())
+	cursor, err := json.Marshal(r.directory.Cursor())
 	if err != nil {
 		return err
 	}
-	encoded, err := r.mesh.Call(ctx, node, methodConfig, known)
+	encoded, err := r.mesh.Call(ctx, node, methodConfig, cursor)
 	if err != nil {
 		return err
 	}
@@ -160,16 +160,16 @@
 	r.cacheWatcher.SetTargets(addresses)
 }
 
-// targetCacheChanged passes what a target has cached to the control goroutine.
-func (r *Router) targetCacheChanged(kept control.TargetCacheReported) { r.loop.post(kept) }
+// targetCacheReported passes a report of what a target has cached to the control goroutine.
+func (r *Router) targetCacheReported(report control.TargetCacheReported) { r.loop.post(report) }
 
 // managedConfig returns the configuration in force, for operators.
-func (b backend) managedConfig(known *config.Snapshot, version config.Version) (*config.Snapshot, error) {
-	if known == nil {
+func (b backend) managedConfig(inForce *config.Snapshot, version config.Version) (*config.Snapshot, error) {
+	if inForce == nil {
 		return nil, result.New(result.PlatformUnavailable, "No configuration version is in force yet.")
 	}
-	if version != 0 && version != known.Version {
+	if version != 0 && version != inForce.Version {
 		return nil, result.New(result.UnknownVersion, "Only the version in force is known here.")
 	}
-	return known, nil
+	return inForce, nil
 }
--- a/router/members.go
+++ b/router/members.go
@@ -37,8 +37,9 @@
 	// fleet takes longer to announce itself.
 	minRelistDelay       = 200 * time.Millisecond
 	relistDelayPerRouter = 3 * time.Millisecond
-	// reannounceSpreadPerRouter is the time, per router, over which routers spread their new
-	// announcements: a partition of the store takes 200 transactions per second.
+	// reannounceSpreadPerRouter, times the number of routers, is the period over which they
+	// spread their repeated announcements: a partition of the store takes 200 transactions per
+	// second.
 	reannounceSpreadPerRouter = 10 * time.Millisecond
 	// withdrawTimeout limits the removal of this router's row at shutdown.
 	withdrawTimeout = 300 * time.Millisecond
@@ -88,11 +89,11 @@
 
 // relistDelay returns how long to wait for further unlisted routers before reading the list.
 func (r *Router) relistDelay() time.Duration {
-	known := int(r.liveRouterCount.Load())
+	routers := int(r.liveRouterCount.Load())
 	if listed := r.vms.Load(); listed != nil {
-		known = max(known, len(*listed))
+		routers = max(routers, len(*listed))
 	}
-	return minRelistDelay + time.Duration(known)*relistDelayPerRouter
+	return minRelistDelay + time.Duration(routers)*relistDelayPerRouter
 }
 
 // retryUntilDone repeats a call until it succeeds or ctx ends.
@@ -159,11 +160,11 @@
 }
 
 // awaitJoined lets this router report that it is ready once it has a directory and
-// the list of the others. It announces itself before it reads the list, so of any two
-// ready routers at least one knows the other, and both can get the directory from
-// their peers when the platform refuses their calls. Without the wait, a router refused
-// between the two calls would keep its version of the directory until the platform
-// answers again.
+// the list of the others, or has waited maxJoinWait for the list. Routers announce
+// themselves before they read the list, so of any two ready routers at least one knows
+// the other, and both can get the directory from their peers when the platform refuses
+// their calls. Without the wait, a router refused between the two calls would keep its
+// version of the directory until the platform answers again.
 func (r *Router) awaitJoined(ctx context.Context) {
 	defer close(r.joined)
 	select {
@@ -231,7 +232,7 @@
 // at the same time, and each of them writes the line.
 const maxLoggedNames = 5
 
-// firstNames returns the first names of a list, for the log.
+// firstNames returns the beginning of a list, with at most maxLoggedNames names.
 func firstNames(names []control.NodeID) []control.NodeID {
 	return names[:min(len(names), maxLoggedNames)]
 }
--- a/router/notices.go
+++ b/router/notices.go
@@ -25,7 +25,8 @@
 	return n.set.Add(now, target, start, received)
 }
 
-// isWithheld reports whether requests to a start of a target are held back, as it announced.
+// isWithheld reports whether a start of a target wants no requests from this router; see
+// notice.Set.
 func (n *targetNotices) isWithheld(now time.Duration, target string, start int64) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -42,23 +43,23 @@
 	})
 }
 
-// targetNoticed records what an answer announced about its target. It is called before the
+// targetNoticeReceived records what an answer announced about its target. It is called before the
 // answer is passed on.
-func (r *Router) targetNoticed(target string, start int64, received notice.Notice) {
+func (r *Router) targetNoticeReceived(target string, start int64, received notice.Notice) {
 	if r.notices.add(r.loop.instant(time.Now()), target, start, received) || received.HoldOff > 0 {
 		r.loop.post(control.TargetNoticeReceived{Target: target, Start: start, Notice: received})
 	}
 }
 
-// snapshotListing lists the targets of a configuration for the client of targets. The snapshot
-// is nil if there is no configuration.
+// snapshotListing is the listing of a configuration's targets that the HTTP client for targets
+// uses. The snapshot is nil if no configuration is in force.
 type snapshotListing struct{ *config.Snapshot }
 
-// targetListing returns the targets in force.
+// targetListing returns the listing of the targets in force.
 func (r *Router) targetListing() targets.Listing { return snapshotListing{r.InForce()} }
 
 // TargetOf implements targets.Listing. A request that names no target, such as a poll, belongs
-// to the target at its address. Few answers contain notices, so there is no index.
+// to the target at its address. Few answers contain notices, so an index would gain little.
 func (l snapshotListing) TargetOf(req *targets.Request) (name string, start int64, listed bool) {
 	if l.Snapshot == nil {
 		return "", 0, false
--- a/router/orders.go
+++ b/router/orders.go
@@ -8,7 +8,7 @@
 )
 
 // newOrders creates the reconciler that brings the targets scheduled here into their
-// declared state. watchTargets tells it which targets these are.
+// declared state. watchTargets passes it the names of these targets.
 func (r *Router) newOrders() *orders.Reconciler {
 	return orders.New(orders.Options{
 		Client:   r.targets,
@@ -19,8 +19,8 @@
 	})
 }
 
-// orderStatus tells operators why a target is not in its declared state yet, or that
-// it is.
+// orderStatus returns what operators are shown: why a target is not in its declared
+// state yet, or that it is; empty if states does not contain the target.
 func orderStatus(states map[string]orders.Reason, target string) string {
 	reason, declared := states[target]
 	if declared && reason == "" {
--- a/router/overload.go
+++ b/router/overload.go
@@ -41,10 +41,11 @@
 	// moment, is not overloaded by its requests.
 	historyLength    = 10
 	lastingLateCount = 7
-	// repeatedLateCount is how many of them must be late before more requests on new connections
-	// are refused.
+	// repeatedLateCount is how many of them must be late before the fraction of requests that is
+	// refused on new connections grows.
 	repeatedLateCount = 2
-	// caughtUpCount is after how many measurements in time the lag is over, whatever its average.
+	// caughtUpCount is the number of successive measurements in time after which the lag counts
+	// as over, whatever its average.
 	caughtUpCount = 2
 	// maxUnshedCallers is the number of open connections up to which nothing is shed, as so few
 	// cannot make a router late: the smallest VM, a fifth of a core, serves that many requests
@@ -55,9 +56,10 @@
 	// minPause is the minimum time without new connections. The balancer checks once a
 	// second and stops sending connections after the second failed check.
 	minPause = 2500 * time.Millisecond
-	// maxPause is the longest pause of a router that runs in time again. The pause doubles each
-	// time the router is overloaded within pauseMemory of the end of the last pause: the balancer
-	// sends the same callers back each time, and a larger router may be able to serve them.
+	// maxPause limits overload.pause, which doubles each time the router is overloaded within
+	// pauseMemory of the end of the last pause: the balancer sends the same callers back each
+	// time, and a larger router may be able to serve them. A pause lasts longer only while the
+	// router is still overloaded.
 	maxPause    = 20 * time.Second
 	pauseMemory = 10 * time.Second
 	// closeMinLag is the average lag above which connections are closed after their
@@ -89,21 +91,23 @@
 	paused atomic.Bool
 	// publishedLag is a copy of lag for other goroutines, in nanoseconds.
 	publishedLag atomic.Int64
-	// lag is the average lag.
+	// lag is the moving average of the measured lateness.
 	lag time.Duration
 	// shedFraction is the fraction of requests on new connections that is refused unread, as
 	// the bits of a float64.
 	shedFraction atomic.Uint64
-	// changedAt is when paused last changed, and pause the minimum length of the pause.
+	// changedAt is when paused last changed, and pause the minimum length of the current or
+	// last pause.
 	changedAt time.Time
 	pause     time.Duration
-	// balancerTurnedAway is set once the balancer sends no new connections.
-	balancerTurnedAway atomic.Bool
-	// aboveTargetLag and aboveKeptLag tell which of the last measurements were above
+	// newConnsStopped is set once the balancer can be assumed to send no new connections; see
+	// balancerDelay.
+	newConnsStopped atomic.Bool
+	// aboveTargetLag and aboveKeptLag hold which of the last measurements were above
 	// shedTargetLag and shedKeptMinLag.
 	aboveTargetLag, aboveKeptLag lateHistory
-	// acceptsKept is set unless lag is lasting: no request on a kept connection is then
-	// refused unread.
+	// acceptsKept is set while no lasting lag is measured; while it is set, no request on a
+	// kept connection is refused unread.
 	acceptsKept atomic.Bool
 	// shed is the current period in which requests are refused unread.
 	shed shedPeriod
@@ -122,10 +126,11 @@
 // currentLag returns the average lag of this process.
 func (o *overload) currentLag() time.Duration { return time.Duration(o.publishedLag.Load()) }
 
-// shouldShed reports whether the next request is refused unread; kept tells whether it is on a
-// connection that has had an answer here, or on a new one. The requests that are accepted are
-// then answered while their callers still wait. Nothing is refused while there are few callers:
-// other processes then use the processor, and refusals would free none of it.
+// shouldShed reports whether the next request is refused unread; kept is true if it is on a
+// connection that has had an answer here, and false if it is on a new one. The requests that are
+// accepted are then answered while their callers still wait. Nothing is refused while there are
+// few callers: the lag is then due to other processes that use the processor, and refusals would
+// free none of it.
 func (o *overload) shouldShed(kept bool) bool {
 	if o.hasFewCallers() {
 		return false
@@ -146,7 +151,7 @@
 // new connections go to other routers, the probability grows with the lag.
 func (o *overload) shouldCloseConn() bool {
 	excessLag := o.currentLag() - closeMinLag
-	return excessLag > 0 && o.balancerTurnedAway.Load() && rand.N(closeLagRange) < excessLag
+	return excessLag > 0 && o.newConnsStopped.Load() && rand.N(closeLagRange) < excessLag
 }
 
 // run measures the lag until ctx ends.
@@ -155,7 +160,7 @@
 	defer probe.close()
 	ticker := time.NewTicker(lagInterval)
 	defer ticker.Stop()
-	last := time.Now()
+	lastTick := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -163,8 +168,8 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		o.measure(now, max(0, now.Sub(last)-lagInterval, probe.currentDelay()))
-		last = now
+		o.measure(now, max(0, now.Sub(lastTick)-lagInterval, probe.currentDelay()))
+		lastTick = now
 	}
 }
 
@@ -187,11 +192,11 @@
 		o.log.Warn("router: Too busy for new connections.", "lag", o.lag, "crowded", tooManyConns, "for_at_least", o.pause)
 	case o.paused.Load() && o.lag < recoveredLag && !tooManyConns && elapsed >= o.pause:
 		o.paused.Store(false)
-		o.balancerTurnedAway.Store(false)
+		o.newConnsStopped.Store(false)
 		o.changedAt = now
 		o.log.Info("router: Accepting new connections again.", "lag", o.lag, "after", elapsed)
 	case o.paused.Load() && elapsed >= balancerDelay:
-		o.balancerTurnedAway.Store(true)
+		o.newConnsStopped.Store(true)
 	}
 }
 
--- a/router/overload_test.go
+++ b/router/overload_test.go
@@ -38,8 +38,8 @@
 // TestTooManyConnectionsIsOverload checks that a shortage of descriptors counts as overload at
 // once.
 func TestTooManyConnectionsIsOverload(t *testing.T) {
-	crowded := true
-	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return crowded }}
+	tooManyConns := true
+	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return tooManyConns }}
 	o.measure(time.Now(), 0)
 	if !o.paused.Load() {
 		t.Error("a router with too many connections accepts more")
@@ -62,8 +62,8 @@
 func TestShedFractionOnKeptConnectionsGrowsWithLag(t *testing.T) {
 	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	for _, c := range []struct {
-		lag                time.Duration
-		minShare, maxShare float64
+		lag                      time.Duration
+		minFraction, maxFraction float64
 	}{
 		{0, 0, 0},
 		{shedKeptMinLag, 0, 0},
@@ -72,7 +72,7 @@
 		{time.Second, 1, 1},
 	} {
 		o.publishedLag.Store(int64(c.lag))
-		if got := measuredShedFraction(o, true); got < c.minShare || got > c.maxShare {
+		if got := measuredShedFraction(o, true); got < c.minFraction || got > c.maxFraction {
 			t.Errorf("%.2f shed at a lag of %s", got, c.lag)
 		}
 	}
@@ -111,12 +111,12 @@
 	}
 }
 
-// TestConnectionsAreClosedOnceBalancerTurnedAway checks that a late router closes connections
+// TestConnectionsAreClosedOnceNewOnesStop checks that a late router closes connections
 // after their answers once new ones go to other routers, and keeps them while it serves in time.
-func TestConnectionsAreClosedOnceBalancerTurnedAway(t *testing.T) {
+func TestConnectionsAreClosedOnceNewOnesStop(t *testing.T) {
 	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	now := time.Now()
-	released := func() int {
+	closedCount := func() int {
 		count := 0
 		for range 1000 {
 			if o.shouldCloseConn() {
@@ -126,15 +126,15 @@
 		return count
 	}
 	measureFor(o, &now, 100*time.Millisecond, time.Second)
-	if !o.paused.Load() || released() > 0 {
-		t.Errorf("overloaded: %v; %d of 1000 closed before the balancer turned away", o.paused.Load(), released())
+	if !o.paused.Load() || closedCount() > 0 {
+		t.Errorf("overloaded: %v; %d of 1000 closed before new connections stopped", o.paused.Load(), closedCount())
 	}
 	measureFor(o, &now, 100*time.Millisecond, balancerDelay)
-	if got := released(); got < 900 {
+	if got := closedCount(); got < 900 {
 		t.Errorf("%d of 1000 closed while far behind", got)
 	}
 	measureFor(o, &now, closeMinLag/2, time.Second)
-	if got := released(); !o.paused.Load() || got > 0 {
+	if got := closedCount(); !o.paused.Load() || got > 0 {
 		t.Errorf("overloaded: %v; %d of 1000 closed while in time", o.paused.Load(), got)
 	}
 }
@@ -165,17 +165,17 @@
 // process was stopped, or had no processor for a moment, although it runs in time again.
 func TestStoppedProcessShedsNothingOnKeptConnections(t *testing.T) {
 	for _, pause := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond, 6 * time.Second} {
-		for late := 1; late <= 3; late++ {
+		for lateCount := 1; lateCount <= 3; lateCount++ {
 			o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 			now := time.Now()
 			measureFor(o, &now, 0, time.Second)
-			for range late {
+			for range lateCount {
 				measureFor(o, &now, pause, lagInterval)
-				checkNothingShedOnKept(t, o, pause, late)
+				checkNothingShedOnKept(t, o, pause, lateCount)
 			}
 			for range 20 {
 				measureFor(o, &now, 0, lagInterval)
-				checkNothingShedOnKept(t, o, pause, late)
+				checkNothingShedOnKept(t, o, pause, lateCount)
 			}
 		}
 	}
@@ -183,10 +183,10 @@
 
 // checkNothingShedOnKept fails the test if requests on kept connections are shed or the router
 // asks for no new connections.
-func checkNothingShedOnKept(t *testing.T, o *overload, pause time.Duration, late int) {
+func checkNothingShedOnKept(t *testing.T, o *overload, pause time.Duration, lateCount int) {
 	t.Helper()
 	if got := measuredShedFraction(o, true); got > 0 || o.paused.Load() {
-		t.Fatalf("%d measurements of %s: %.2f shed, no new connections: %v", late, pause, got, o.paused.Load())
+		t.Fatalf("%d measurements of %s: %.2f shed, no new connections: %v", lateCount, pause, got, o.paused.Load())
 	}
 }
 
@@ -205,9 +205,9 @@
 	}
 }
 
-// TestSingleLateMeasureShedsNothing guards against refusing requests on new connections after the
+// TestSingleLateMeasurementShedsNothing guards against refusing requests on new connections after the
 // process was stopped once.
-func TestSingleLateMeasureShedsNothing(t *testing.T) {
+func TestSingleLateMeasurementShedsNothing(t *testing.T) {
 	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	now := time.Now()
 	measureFor(o, &now, 0, time.Second)
--- a/router/owners.go
+++ b/router/owners.go
@@ -11,7 +11,7 @@
 // are no longer reported as "in progress".
 const ownerGrace = 10 * time.Second
 
-// claimOwners tells which processes may still be running the requests that they
+// claimOwners tracks which processes may still be running the requests that they
 // claimed. It decides only whether a repeated request is answered "in progress" or
 // "may have run", never whether a request runs.
 type claimOwners struct {
--- a/router/peers.go
+++ b/router/peers.go
@@ -51,7 +51,7 @@
 	h.router.loop.post(control.PeerState{Node: node, Connected: connected})
 }
 
-// Called implements peer.Handler.
+// HandleCall implements peer.Handler.
 func (h peerHandler) HandleCall(ctx context.Context, _ control.NodeID, method string, payload []byte) ([]byte, error) {
 	switch method {
 	case methodConfig:
@@ -86,11 +86,11 @@
 }
 
 func (h peerHandler) serveDirectory(payload []byte) ([]byte, error) {
-	var known directory.Cursor
-	if err := json.Unmarshal(payload, &known); err != nil {
+	var cursor directory.Cursor
+	if err := json.Unmarshal(payload, &cursor); err != nil {
 		return nil, fmt.Errorf("read the request for the directory: %w", err)
 	}
-	return h.router.directory.Export(known)
+	return h.router.directory.Export(cursor)
 }
 
 func (h peerHandler) serveStatus(ctx context.Context, payload []byte) ([]byte, error) {
--- a/router/routed.go
+++ b/router/routed.go
@@ -25,7 +25,7 @@
 // and is sent again only if it certainly did not run.
 func (r *Router) routedPipeline() pipeline.Handler {
 	limits := r.settings.Limits
-	retries := retry.NewWindowed(r.log, r.retryRules)
+	retries := retry.NewWindowed(r.log, r.retryLimits)
 	grantFilter := &grant.Filter{Source: &grantSource{loop: r.loop, inForce: r.InForce, notices: &r.notices}, Log: r.log}
 	answers := &answerRelays{
 		events: &events.Relay{Lag: r.overload.currentLag, Log: r.log},
@@ -53,9 +53,9 @@
 // a reserve, as members come and go and each router counts the others with a delay.
 const usedBudgetShare = 0.8
 
-// retryRules returns this router's part of the fleet's retry budget: the ratio applies
+// retryLimits returns this router's part of the fleet's retry budget: the ratio applies
 // to the requests that entered here, and the slack is divided equally.
-func (r *Router) retryRules() retry.Limits {
+func (r *Router) retryLimits() retry.Limits {
 	limits := r.retries.Load()
 	members := max(1, r.liveRouterCount.Load())
 	return retry.Limits{
@@ -66,13 +66,15 @@
 }
 
 // alwaysServing is the state of a router that accepts requests until it is closed: a
-// leaving router tells the balancer, and serves the requests that still arrive.
+// leaving router asks the balancer for no new connections, and serves the requests that
+// still arrive.
 type alwaysServing struct{ *Router }
 
 // Draining implements ready.State.
 func (alwaysServing) Draining() bool { return false }
 
-// Ready implements ready.State. The route filter refuses requests that come too early.
+// Ready implements ready.State. The route filter refuses requests that arrive before a
+// configuration is in force.
 func (alwaysServing) Ready() bool { return true }
 
 // dispatcher returns a dispatch filter that passes answers to relayAnswer.
@@ -86,7 +88,8 @@
 	}
 }
 
-// answerRelays passes answers to the relay for their kind.
+// answerRelays passes answers to the relay for their kind: events for successful answers
+// on stream routes, whole for all others.
 type answerRelays struct {
 	events *events.Relay
 	whole  *relay.Relay
--- a/router/router.go
+++ b/router/router.go
@@ -3,8 +3,11 @@
 // clients and the operator API. It contains no scheduling policy; that is in
 // package control.
 //
-//	callers -> front -> ready -> authenticate -> classify -> quarantine ->
-//	runrecord -> retry -> grant -> dispatch -> relay -> targets
+//	callers -> front -> requestlog -> ready -> authenticate -> classify ->
+//	quarantine -> runrecord -> retry -> grant -> dispatch -> relay -> targets
+//
+// On a managed platform, route and detach replace authenticate, classify and runrecord,
+// and package events relays streams.
 package router
 
 import (
@@ -54,6 +57,7 @@
 	front         *front.Server
 	operator      *operator.Server
 
+	// inForce is the configuration in force; nil before the first.
 	inForce atomic.Pointer[config.Snapshot]
 	// retries is the fleet's retry budget, and liveRouterCount how many routers share it.
 	retries         atomic.Pointer[settings.Retries]
@@ -62,7 +66,8 @@
 	lastLiveRouters atomic.Pointer[[]control.NodeID]
 	draining        atomic.Bool
 	watched         watchedTargets
-	vms             atomic.Pointer[[]store.VM]
+	// vms is the latest list of VMs; nil before the first.
+	vms atomic.Pointer[[]store.VM]
 
 	callers          net.Listener
 	operators        net.Listener
@@ -112,7 +117,7 @@
 func (r *Router) DrainRequested() <-chan struct{} { return r.drainRequested }
 
 // Ready implements ready.State: a configuration version is in force, and on a
-// managed platform the other routers are known.
+// managed platform the other routers are known or maxJoinWait has passed.
 func (r *Router) Ready() bool {
 	return r.inForce.Load() != nil && (r.managed == nil || r.isJoined())
 }
@@ -163,8 +168,9 @@
 	return err
 }
 
-// startDrain marks this router as leaving: callers are refused and shards move to
-// other routers.
+// startDrain marks this router as leaving: it reports that it is not ready, and on the
+// product's own platform callers are refused. Shutdown then moves the shards to other
+// routers.
 func (r *Router) startDrain() {
 	if r.draining.Swap(true) {
 		return
--- a/router/shell.go
+++ b/router/shell.go
@@ -84,7 +84,7 @@
 }
 
 // configChanged puts a version in force: requests that arrive from now on use it,
-// and the control goroutine is told.
+// and the control goroutine is informed.
 func (r *Router) configChanged(snapshot *config.Snapshot) {
 	r.inForce.Store(snapshot)
 	r.notices.prune(r.loop.instant(time.Now()), snapshot.Declarations.Targets)
@@ -99,7 +99,7 @@
 	r.log.Info("config: Version in force.", "version", uint64(snapshot.Version))
 }
 
-// loadPolled passes a load report to the control goroutine.
+// loadPolled passes a load report, or that the poll failed, to the control goroutine.
 func (r *Router) loadPolled(name string, load targets.Load, err error) {
 	if err != nil {
 		r.loop.post(control.TargetUnreachable{Target: name})
--- a/router/start.go
+++ b/router/start.go
@@ -216,7 +216,7 @@
 		StallTimeout:     time.Duration(s.Limits.StallTimeout),
 		Dialect:          r.dialect(),
 		Listing:          r.targetListing,
-		OnNotice:         r.targetNoticed,
+		OnNotice:         r.targetNoticeReceived,
 		Metrics:          metrics.GetDefaultSet(),
 	})
 	r.poller = loadpoll.New(loadpoll.Options{
@@ -229,7 +229,7 @@
 	options.Log = r.log
 	options.Dialect = r.dialect()
 	if r.managed != nil {
-		r.cacheWatcher = cachewatch.New(platform.NewCacheSource(r.targets), r.targetCacheChanged, r.log)
+		r.cacheWatcher = cachewatch.New(platform.NewCacheSource(r.targets), r.targetCacheReported, r.log)
 		options.CloseAfterAnswer = r.overload.shouldCloseConn
 		options.Shed = r.overload.shouldShed
 		options.OnShed = r.countUnread
--- a/router/status.go
+++ b/router/status.go
@@ -119,6 +119,8 @@
 	status.Shards = append(status.Shards, row)
 }
 
+// healthOf returns a target's health as shown to operators. A target that gets no grants
+// because it failed is suspect.
 func healthOf(target control.TargetStatus) operator.TargetHealth {
 	switch {
 	case target.Leaving:
--- a/router/unread.go
+++ b/router/unread.go
@@ -8,8 +8,8 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// unreadReportInterval is the interval at which schedulers are told how many requests were
-// refused unread: several times within the second for which a refusal counts there.
+// unreadReportInterval is the interval at which the counts of requests refused unread are
+// reported to the schedulers: several times within the second for which a refusal counts there.
 const unreadReportInterval = 200 * time.Millisecond
 
 // unreadCounts counts the requests that this router refused before reading them, by pool and
@@ -55,7 +55,8 @@
 	}
 }
 
-// countUnread counts a request that is refused unread, if its route and key are known.
+// countUnread counts a request that is refused unread, once for each pool of its route, if
+// its route and key are known.
 func (r *Router) countUnread(host, path []byte, header func(name string) []byte) {
 	snapshot := r.InForce()
 	if snapshot == nil {
