--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -59,12 +59,12 @@
 	// refused. refuse is called from a different goroutine than the exchange's.
 	EndBy func(at time.Time, refuse func() error) (stop func() bool)
 
-	// Set by authenticate.
+	// Set by authenticate or route.
 	Snapshot      *config.Snapshot
 	WorkspaceName string
 	Workspace     config.Workspace
 
-	// Set by classify.
+	// Set by classify or route.
 	PoolName       string
 	Pool           config.Pool
 	Model          string
@@ -82,7 +82,7 @@
 	// Work holds what the caller states about the tokens of the request.
 	Work control.Work
 
-	// Set by grant for each attempt.
+	// Set for each attempt: Attempt and Excluded by retry, Target and Address by grant.
 	Attempt  int
 	Target   string
 	Address  string
--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -1,8 +1,12 @@
 // Package pipeline chains the filters that handle a request. A request passes
-// through the filters in a fixed, explicit order:
+// through these stages in a fixed, explicit order:
 //
 //	accept -> authenticate -> classify -> guard -> admit -> grant -> dispatch -> relay -> settle
 //
+// The codes of package result are grouped by these stages. accept is package front, and
+// guard consists of the filters quarantine and runrecord. The filter retry repeats grant,
+// dispatch and relay. Package router chains the filters.
+//
 // Each filter is a package under filters/ with one responsibility. A filter calls
 // next to continue, or returns a *result.Error to refuse the request.
 package pipeline
