--- a/filters/classify/classify.go
+++ b/filters/classify/classify.go
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// setPool sets the pool, and the fields that the body of an engine call gives.
+// setPool sets the pool, and for an engine call the fields that its body gives.
 func (f *Filter) setPool(ex *pipeline.Exchange) *result.Error {
 	name, refusal := f.findPool(ex)
 	if refusal != nil {
@@ -111,7 +111,8 @@
 	return findServicePool(ex)
 }
 
-// findEnginePool finds the pool by the model that the body names.
+// findEnginePool finds the pool by the model that the body names, and sets the fields
+// that the body gives.
 func findEnginePool(ex *pipeline.Exchange, path string) (string, *result.Error) {
 	if ex.Method != http.MethodPost {
 		return "", result.New(result.MethodNotAllowed, "Engine calls are sent by POST.")
--- a/filters/classify/classify_test.go
+++ b/filters/classify/classify_test.go
@@ -73,6 +73,8 @@
 	})
 }
 
+// TestHashes checks that the prefix hash depends only on the beginning of the prompt, and
+// that the fingerprint differs if the workspace or the body differs.
 func TestHashes(t *testing.T) {
 	hashes := func(workspace, path, body string) (prefix, fingerprint uint64) {
 		ex := parseRequest("POST " + path + "\n\n" + body)
--- a/filters/detach/detach.go
+++ b/filters/detach/detach.go
@@ -30,7 +30,7 @@
 // Filter refuses callers at their deadlines while the runs of their requests continue.
 type Filter struct{ log *slog.Logger }
 
-// New returns a filter that logs to log how runs ended whose callers had been refused.
+// New returns a filter. It logs to log how the runs of refused callers end.
 func New(log *slog.Logger) *Filter { return &Filter{log: log} }
 
 // Name implements pipeline.Filter.
--- a/filters/detach/detach_test.go
+++ b/filters/detach/detach_test.go
@@ -21,15 +21,15 @@
 
 // newExchange returns a non-idempotent exchange and the server behind its EndBy.
 func newExchange() (*pipeline.Exchange, *fakeServer) {
-	e := &fakeServer{}
+	server := &fakeServer{}
 	return &pipeline.Exchange{
 		Deadline:       time.Now().Add(time.Second),
 		ServingContext: context.Background(),
 		EndBy: func(at time.Time, refuse func() error) func() bool {
-			e.at, e.refuse = at, refuse
-			return func() bool { return !e.ended }
+			server.at, server.refuse = at, refuse
+			return func() bool { return !server.ended }
 		},
-	}, e
+	}, server
 }
 
 // TestCallerIsRefusedAtDeadline guards against a refusal that comes late or reports wrongly
@@ -48,18 +48,18 @@
 		}, result.AnswerTooSlow, result.RanUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ex, e := newExchange()
+			ex, server := newExchange()
 			answeredBefore := answeredCount.Get()
 			err := New(slog.New(slog.DiscardHandler)).Serve(t.Context(), ex, func(_ context.Context, ex *pipeline.Exchange) error {
 				c.before(ex)
 				var refusal *result.Error
-				if err := e.refuse(); !errors.As(err, &refusal) || refusal.Code != c.code || refusal.Ran != c.ran {
+				if err := server.refuse(); !errors.As(err, &refusal) || refusal.Code != c.code || refusal.Ran != c.ran {
 					t.Errorf("%v, want code %d", err, c.code)
 				}
-				e.ended = true
+				server.ended = true
 				return nil
 			})
-			if late := e.at.Sub(ex.Deadline); late < 0 || late > answerGrace {
+			if late := server.at.Sub(ex.Deadline); late < 0 || late > answerGrace {
 				t.Errorf("the refusal is %s after the deadline", late)
 			}
 			if err != nil || answeredCount.Get() != answeredBefore+1 {
@@ -72,10 +72,10 @@
 // TestIdempotentRequestHasNoTimer guards against a second refusal of a request whose run
 // ends at its deadline anyway.
 func TestIdempotentRequestHasNoTimer(t *testing.T) {
-	ex, e := newExchange()
+	ex, server := newExchange()
 	ex.Idempotent = true
 	err := New(slog.New(slog.DiscardHandler)).Serve(t.Context(), ex, func(context.Context, *pipeline.Exchange) error { return nil })
-	if err != nil || e.refuse != nil {
-		t.Errorf("%v, timer set: %v", err, e.refuse != nil)
+	if err != nil || server.refuse != nil {
+		t.Errorf("%v, timer set: %v", err, server.refuse != nil)
 	}
 }
--- a/filters/dispatch/dispatch_test.go
+++ b/filters/dispatch/dispatch_test.go
@@ -160,7 +160,7 @@
 			code, outcome = result.CallerGone, control.OutcomeCancelled
 		}
 		if wasCallAlive == idempotent || refusal == nil || refusal.Code != code || run.outcomes[0] != outcome {
-			t.Errorf("idempotent %t: lasted %t, got %v, outcomes %v", idempotent, wasCallAlive, refusal, run.outcomes)
+			t.Errorf("idempotent %t: call alive %t, got %v, outcomes %v", idempotent, wasCallAlive, refusal, run.outcomes)
 		}
 	}
 }
--- a/filters/events/events.go
+++ b/filters/events/events.go
@@ -137,14 +137,14 @@
 		s.readyBytes = len(s.buffer)
 		return
 	}
-	s.readyBytes = wholeEvents(s.buffer)
+	s.readyBytes = completeEventsLength(s.buffer)
 }
 
 // canResume reports whether a broken stream may be resumed on another target.
 func (s *stream) canResume() bool { return s.ex.Route.Resumes && s.relay.Reopen != nil }
 
-// wholeEvents returns the length of the complete events at the beginning of text.
-func wholeEvents(text []byte) int {
+// completeEventsLength returns the length of the complete events at the beginning of text.
+func completeEventsLength(text []byte) int {
 	lf := bytes.LastIndex(text, []byte("\n\n")) + len("\n\n")
 	crlf := bytes.LastIndex(text, []byte("\r\n\r\n")) + len("\r\n\r\n")
 	return max(0, max(zeroIfAbsent(lf, len("\n\n")), zeroIfAbsent(crlf, len("\r\n\r\n"))))
--- a/filters/events/gather_test.go
+++ b/filters/events/gather_test.go
@@ -46,18 +46,18 @@
 // Close implements io.Closer.
 func (p *pacedSource) Close() error { return nil }
 
-// nopRun is a run that ignores all calls.
-type nopRun struct{}
+// noopRun is a run that ignores all calls.
+type noopRun struct{}
 
-func (nopRun) Begin()              {}
-func (nopRun) End(control.Outcome) {}
+func (noopRun) Begin()              {}
+func (noopRun) End(control.Outcome) {}
 
 // relayAll relays a stream at the given lag. It returns the number of reads, the time
 // to the first event, the longest pause between reads, and the text relayed.
 func relayAll(t *testing.T, lag, maxPause time.Duration) (reads int, timeToFirst, longestPause time.Duration, body string) {
 	t.Helper()
 	relay := &Relay{Lag: func() time.Duration { return lag }, Log: slog.New(slog.DiscardHandler)}
-	ex := &pipeline.Exchange{Run: nopRun{}, Route: &config.NamedRoute{Route: config.Route{PauseMillis: int(maxPause.Milliseconds())}}}
+	ex := &pipeline.Exchange{Run: noopRun{}, Route: &config.NamedRoute{Route: config.Route{PauseMillis: int(maxPause.Milliseconds())}}}
 	began := time.Now()
 	source := &pacedSource{began: began}
 	if err := relay.Answer(context.Background(), ex, &targets.Response{Status: http.StatusOK, Body: source}); err != nil {
@@ -116,7 +116,7 @@
 func TestReadEventsAreDeliveredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		relay := &Relay{Lag: func() time.Duration { return time.Second }, Log: slog.New(slog.DiscardHandler)}
-		ex := &pipeline.Exchange{Run: nopRun{}, Route: &config.NamedRoute{}}
+		ex := &pipeline.Exchange{Run: noopRun{}, Route: &config.NamedRoute{}}
 		source := &pacedSource{began: time.Now().Add(-time.Hour)} // all events have been produced
 		if err := relay.Answer(context.Background(), ex, &targets.Response{Status: http.StatusOK, Body: source}); err != nil {
 			t.Fatal(err)
--- a/filters/grant/grant.go
+++ b/filters/grant/grant.go
@@ -25,7 +25,8 @@
 	Log *slog.Logger
 }
 
-// placementAttrs returns log attributes that explain why the target was chosen.
+// placementAttrs returns log attributes about the wait for the slot and about why the
+// target was chosen.
 func placementAttrs(ex *pipeline.Exchange, asked time.Time) []slog.Attr {
 	attrs := []slog.Attr{
 		slog.Duration("waited", time.Since(asked)),
--- a/filters/quarantine/quarantine.go
+++ b/filters/quarantine/quarantine.go
@@ -1,5 +1,5 @@
-// Package quarantine is the guard filter that refuses requests whose
-// fingerprint is quarantined because targets crashed while they ran it.
+// Package quarantine is the filter of the guard stage that refuses requests whose
+// fingerprint is quarantined because targets crashed while they ran such a request.
 package quarantine
 
 import (
--- a/filters/relay/relay_test.go
+++ b/filters/relay/relay_test.go
@@ -17,18 +17,18 @@
 var errBroken = errors.New("cut")
 
 // fakeBody is a body that returns its text and then err, in the same read if
-// isErrWithText is set.
+// errWithText is set.
 type fakeBody struct {
-	text          string
-	err           error
-	isErrWithText bool
-	closeCount    int
+	text        string
+	err         error
+	errWithText bool
+	closeCount  int
 }
 
 func (p *fakeBody) Read(b []byte) (int, error) {
 	n := copy(b, p.text)
 	p.text = p.text[n:]
-	if n > 0 && !p.isErrWithText {
+	if n > 0 && !p.errWithText {
 		return n, nil
 	}
 	return n, p.err
@@ -97,10 +97,10 @@
 }
 
 func TestStreamResumesAtOffset(t *testing.T) {
-	for _, isErrWithText := range []bool{false, true} {
+	for _, errWithText := range []bool{false, true} {
 		client := &scriptedClient{answers: []*targets.Response{newAnswer(200, &fakeBody{text: "world", err: io.EOF})}}
 		ex, run := newExchange(true)
-		err := newRelay(client).Answer(context.Background(), ex, newAnswer(200, &fakeBody{text: "hello ", err: errBroken, isErrWithText: isErrWithText}))
+		err := newRelay(client).Answer(context.Background(), ex, newAnswer(200, &fakeBody{text: "hello ", err: errBroken, errWithText: errWithText}))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/filters/retry/retry.go
+++ b/filters/retry/retry.go
@@ -1,8 +1,9 @@
 // Package retry is the filter that runs grant and dispatch again on another
 // target when an idempotent request failed, or when any request is known not to
 // have run. Retries are limited by a budget, so that a partial outage does not
-// multiply the load: each request adds a fraction of a retry, up to a limit per
-// workspace and one per router.
+// multiply the load. In the budget of New, each request adds a fraction of a retry, up to
+// a limit per workspace and one per router; that of NewWindowed bounds the retries of
+// each pool in a sliding window.
 package retry
 
 import (
--- a/filters/retry/window.go
+++ b/filters/retry/window.go
@@ -40,7 +40,10 @@
 	buckets [bucketsKept]windowBucket
 }
 
+// windowBucket counts the requests and retries of one period, which lasts a
+// bucketsPerWindow-th part of the window.
 type windowBucket struct {
+	// period is the number of the period since windowOrigin.
 	period            int64
 	requests, retries float64
 	// retriesByWorkspace counts the retries of each workspace.
--- a/filters/runrecord/runrecord.go
+++ b/filters/runrecord/runrecord.go
@@ -1,4 +1,4 @@
-// Package runrecord is the guard filter that ensures that a non-idempotent
+// Package runrecord is the filter of the guard stage that ensures that a non-idempotent
 // request runs at most once. It claims a run record before the rest of the pipeline
 // runs, answers a resend from the record, and ends the claim with the run's outcome.
 // Idempotent requests pass through unchanged.
--- a/filters/runrecord/runrecord_test.go
+++ b/filters/runrecord/runrecord_test.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// wantAnswer sends the request and requires the answer "done".
+// wantAnswer sends the request and requires the answer "done", with the given
+// replay header and the given number of runs so far.
 func (b *harness) wantAnswer(replayed string, runs int) {
 	b.t.Helper()
 	ex, body, err := b.send()
