--- a/wait/wait.go
+++ b/wait/wait.go
@@ -1,5 +1,5 @@
-// Package wait provides the pause that all other packages use. It ends early with its
-// context.
+// Package wait provides the one wait that all other packages use. It ends early when its
+// context ends.
 package wait
 
 import (
