--- a/filters/dispatch/dispatch.go
+++ b/filters/dispatch/dispatch.go
@@ -199,9 +199,9 @@
 // withCode returns the error of a cancelled call with the result code of what cancelled
 // it. It keeps the call's Ran value.
 func withCode(err error, code result.Code, detail string) error {
-	renamed := result.Wrap(code, err, "%s", detail)
-	renamed.Ran = toResultError(err).Ran
-	return renamed
+	refusal := result.Wrap(code, err, "%s", detail)
+	refusal.Ran = toResultError(err).Ran
+	return refusal
 }
 
 func toResultError(err error) *result.Error {
--- a/filters/events/events.go
+++ b/filters/events/events.go
@@ -1,6 +1,7 @@
-// Package events relays event streams. It passes complete events to the caller as
-// they arrive. If a target breaks off and the route allows it, the stream resumes on
-// another target after the last complete event:
+// Package events relays event streams, in place of package relay, on routes of kind
+// stream. It passes complete events to the caller as they arrive. If a target breaks off
+// and the route allows it, the stream resumes on another target after the last complete
+// event:
 //
 //	[routes.rewrite]
 //	kind = "stream"
--- a/filters/relay/relay.go
+++ b/filters/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is the last filter: it takes over the target's answer and
-// relays it to the caller, token by token for streams and buffered as a whole
-// otherwise. A stream that breaks is resumed at its byte offset if the target
+// Package relay is the last stage of the pipeline, which the filter dispatch calls: it
+// takes over the target's answer and relays it to the caller, token by token for streams
+// and buffered as a whole otherwise. A stream that breaks is resumed at its byte offset if the target
 // supports that; otherwise the caller's connection is broken too and never
 // closed cleanly.
 package relay
