--- a/config/digest.go
+++ b/config/digest.go
@@ -9,10 +9,10 @@
 )
 
 // Digest is a chained SHA-256 digest of a version: it covers the previous
-// version's digest, the patch and the complete resulting content. Two nodes
-// with the same version and digest hold the same content. It detects faults,
-// not forgeries: write access is controlled by the operators' keys. Version
-// zero has the zero digest.
+// version's digest, the patch and the complete resulting content. Two
+// routers with the same version and digest hold the same content. It detects
+// faults, not forgeries: write access is controlled by the operators' keys.
+// Version zero has the zero digest.
 type Digest [sha256.Size]byte
 
 // String returns the digest in hex.
--- a/config/digest_test.go
+++ b/config/digest_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// The same patch on a different history must give a different digest, even if
-// the resulting content is equal.
+// TestDigestDependsOnHistory checks that the same patch on a different history
+// gives a different digest, even if the resulting content is equal.
 func TestDigestDependsOnHistory(t *testing.T) {
 	a := mustApply(t, sample(t), `{"workspaces": {"bakery": {"share": 3}}}`)
 	b := mustApply(t, sample(t), `{"workspaces": {"bakery": {"share": 4}}}`)
--- a/config/follower/fleet_test.go
+++ b/config/follower/fleet_test.go
@@ -101,7 +101,7 @@
 	submit(t, s, 0)
 	firstSeen.waitFor(t, 1)
 
-	// The other nodes never reach the store; each fetches from the one before it.
+	// The other routers never reach the store; each fetches from the one before it.
 	previous := "first"
 	for _, name := range []string{"second", "third"} {
 		f, seen := startFollower(t, Options{Source: unavailableSource(), Peers: network})
@@ -260,8 +260,9 @@
 	}
 }
 
-// A router whose history differs from the store's cannot apply the store's
-// entries; it recovers by loading the store's newest snapshot.
+// TestDivergentHistoryIsReplacedFromTheStore checks that a router whose history
+// differs from the store's, so that it cannot apply the store's entries, recovers
+// by loading the store's newest snapshot.
 func TestDivergentHistoryIsReplacedFromTheStore(t *testing.T) {
 	_, others := makeHistory(t, 2)
 	s := newStore(t)
--- a/config/follower/follower.go
+++ b/config/follower/follower.go
@@ -67,7 +67,7 @@
 	candidates    chan candidate
 }
 
-// announcement is a version announced by a node.
+// announcement is a version announced by another router.
 type announcement struct {
 	node    string
 	version config.Version
@@ -87,7 +87,7 @@
 // force, or the error of a failed call.
 type candidate struct {
 	source    candidateSource
-	node      string         // for fromPeer
+	node      string         // for fromPeer: the name of the router
 	announced config.Version // for fromPeer: the announced version that caused the call
 	entries   []config.Entry
 	snapshot  *config.Snapshot
@@ -146,9 +146,9 @@
 // store counts as version zero.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
-// VersionSeen tells the follower that a node announced a version. It never
-// blocks: if the buffer is full, the announcement is dropped, and the node's
-// next one takes its place.
+// VersionSeen tells the follower that another router, node, announced a version.
+// It never blocks: if the buffer is full, the announcement is dropped, and that
+// router's next one takes its place.
 func (f *Follower) VersionSeen(node string, version config.Version) {
 	if version <= f.Version() {
 		return
--- a/config/follower/loop.go
+++ b/config/follower/loop.go
@@ -32,7 +32,7 @@
 	// storeFailing is set while the last read of the store failed.
 	storeFailing bool
 	fetching     bool
-	// announced is the newest version announced by each node.
+	// announced is the newest version announced by each router, by its name.
 	announced map[string]config.Version
 }
 
@@ -133,7 +133,7 @@
 func (l *loop) handlePeerResult(ctx context.Context, c candidate) {
 	l.fetching = false
 	if l.announced[c.node] <= c.announced {
-		delete(l.announced, c.node) // Fetched or failed; the node's next announcement causes another fetch.
+		delete(l.announced, c.node) // Fetched or failed; that router's next announcement causes another fetch.
 	}
 	err := c.err
 	if err == nil {
@@ -149,8 +149,8 @@
 }
 
 // nextPollDelay returns the time until the next poll: the poll interval with
-// jitter. The interval is doubled for each rejected response in a row, since
-// every poll after one loads the complete snapshot.
+// jitter. The interval is doubled for each rejected response in a row, since a
+// poll that follows a rejection loads the complete snapshot.
 func (l *loop) nextPollDelay() time.Duration {
 	period := float64(l.f.options.PollEvery << min(l.rejectedInARow, maxBackoffDoublings))
 	return time.Duration(period * (1 + pollJitter*(2*l.f.options.Random.Float64()-1)))
@@ -178,8 +178,8 @@
 	}()
 }
 
-// fetch fetches from a node that announced the newest version, if that is newer
-// than the version in force.
+// fetch fetches from a router that announced the newest version, if that is
+// newer than the version in force.
 func (l *loop) fetch(ctx context.Context) {
 	if l.fetching || l.f.options.Peers == nil {
 		return
@@ -200,8 +200,8 @@
 	}()
 }
 
-// pickNewestPeer returns one of the nodes that announced the newest version, at
-// random so that the fleet does not fetch from a single node. It removes
+// pickNewestPeer returns one of the routers that announced the newest version,
+// at random so that the fleet does not fetch from a single router. It removes
 // announcements of versions that are not newer than the one in force.
 func (l *loop) pickNewestPeer() (string, bool) {
 	newest := l.f.Version()
--- a/config/follower/state.go
+++ b/config/follower/state.go
@@ -20,7 +20,7 @@
 // advance returns the state that follows s. applied are the entries that led
 // from s to next; if there are none, the new state holds no recent entries. s
 // may be nil.
-func (s *state) advance(next *config.Snapshot, applied []config.Entry, keep, keepBytes int) *state {
+func (s *state) advance(next *config.Snapshot, applied []config.Entry, keepEntries, keepBytes int) *state {
 	result := &state{snapshot: next}
 	if len(applied) == 0 {
 		return result
@@ -28,15 +28,15 @@
 	if s != nil {
 		result.recent = append(result.recent, s.recent...)
 	}
-	result.recent = trimEntries(append(result.recent, applied...), keep, keepBytes)
+	result.recent = trimEntries(append(result.recent, applied...), keepEntries, keepBytes)
 	return result
 }
 
 // trimEntries returns the newest entries that fit within both limits.
-func trimEntries(entries []config.Entry, keep, keepBytes int) []config.Entry {
+func trimEntries(entries []config.Entry, keepEntries, keepBytes int) []config.Entry {
 	start := len(entries)
 	size := 0
-	for start > 0 && len(entries)-start < keep {
+	for start > 0 && len(entries)-start < keepEntries {
 		size += len(entries[start-1].Patch.Changes)
 		if size > keepBytes {
 			break
--- a/config/follower/update.go
+++ b/config/follower/update.go
@@ -32,7 +32,7 @@
 
 // PeerFetcher requests newer versions from a peer; the peer responds with Serve.
 type PeerFetcher interface {
-	// Fetch requests from node the update after version from.
+	// Fetch requests from the router node the update after version from.
 	Fetch(ctx context.Context, node string, from config.Version) (Update, error)
 }
 
--- a/config/load.go
+++ b/config/load.go
@@ -61,7 +61,7 @@
 // loader collects the objects of several files into one document.
 type loader struct {
 	document rawDocument
-	files    map[string]string // object -> file that declares it that declares it that declares it
+	files    map[string]string // object -> file that declares it
 	errs     []error
 }
 
--- a/config/property_test.go
+++ b/config/property_test.go
@@ -70,9 +70,9 @@
 	})
 )
 
-func genSection(name, prefix string, object *rapid.Generator[string], most int) *rapid.Generator[string] {
+func genSection(name, prefix string, object *rapid.Generator[string], maxObjects int) *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string {
-		names := rapid.SliceOfNDistinct(genName(prefix), 0, most, rapid.ID[string]).Draw(t, name)
+		names := rapid.SliceOfNDistinct(genName(prefix), 0, maxObjects, rapid.ID[string]).Draw(t, name)
 		var members []string
 		for _, n := range names {
 			members = append(members, fmt.Sprintf("%q: %s", n, object.Draw(t, n)))
--- a/config/route.go
+++ b/config/route.go
@@ -226,7 +226,7 @@
 func (o SnapshotOrder) String() string { return fmt.Sprintf("%d at %s", o.Version, o.Targets) }
 
 // SnapshotOrder ranks snapshots: by version, and within a version by the revision of
-// the target listing. A node never goes back to a snapshot of lower order.
+// the target listing. A router never goes back to a snapshot of lower order.
 type SnapshotOrder struct {
 	// Version is the configuration version.
 	Version Version
--- a/config/store/faults_test.go
+++ b/config/store/faults_test.go
@@ -36,6 +36,8 @@
 	return f.Table.Get(ctx, table, key)
 }
 
+// newFaultyStore returns a store over a faulty table, that table, and a healthy
+// store over the same backing table.
 func newFaultyStore(t *testing.T) (*Store, *faultyTable, *Store) {
 	t.Helper()
 	healthy, backing := newStore(t)
@@ -105,7 +107,8 @@
 	}
 }
 
-// Another router accepts the same patch between this router's lookup of the
+// TestPatchAcceptedMeanwhileElsewhereIsNoConflict checks that a patch succeeds
+// if another router accepts the same patch between this router's lookup of the
 // patch id and its reading of the newest version.
 func TestPatchAcceptedMeanwhileElsewhereIsNoConflict(t *testing.T) {
 	s, faulty, healthy := newFaultyStore(t)
@@ -318,8 +321,9 @@
 	}
 }
 
-// A router whose history differs from the store's must not chain a new version
-// to its own history.
+// TestSubmitWithForeignHistoryUsesTheStoredHistory checks that a router whose
+// history differs from the store's does not chain a new version to its own
+// history.
 func TestSubmitWithForeignHistoryUsesTheStoredHistory(t *testing.T) {
 	other, _ := newStore(t)
 	submitVersions(t, other, 3)
--- a/config/types.go
+++ b/config/types.go
@@ -1,8 +1,8 @@
 // Package config holds the operators' declarations of workspaces, pools,
 // targets and routes as numbered versions. A patch names the version that it
 // was made against; accepting it creates the next version. A Snapshot is
-// immutable once built: readers use it without locks, and a node replaces it as
-// a whole and only by a newer one.
+// immutable once built: readers use it without locks, and a router replaces it
+// as a whole and only by a newer one.
 //
 // A patch is a JSON merge patch (RFC 7396) over the Declarations document:
 //
@@ -156,8 +156,9 @@
 	// versions that the platform publishes. It distinguishes versions with the same number: a
 	// version that the platform lost may be written again with different content.
 	ConfigRevision Revision `json:"-"`
-	// TargetsLapsed counts the targets that this router removed itself, after it had at first
-	// kept them despite a listing without them. The result has no listing revision of its own.
+	// TargetsLapsed counts the targets that this router removed by its own decision: it had kept
+	// them for a while although they were missing from a listing. Such a removal has no listing
+	// revision of its own.
 	TargetsLapsed uint64 `json:"-"`
 
 	digestInputs digestInputs
