--- a/store/batch/batch_test.go
+++ b/store/batch/batch_test.go
@@ -117,20 +117,20 @@
 // TestConflictFailsOnlyItsCaller checks that a conflict fails only the commit that
 // caused it, if the rows can be read back and if it has to be found by halving.
 func TestConflictFailsOnlyItsCaller(t *testing.T) {
-	for _, noGet := range []bool{false, true} {
-		t.Run(fmt.Sprintf("noGet=%v", noGet), func(t *testing.T) {
+	for _, failReads := range []bool{false, true} {
+		t.Run(fmt.Sprintf("failReads=%v", failReads), func(t *testing.T) {
 			underlying := newHookedTable()
 			if err := underlying.Store.Commit(context.Background(), insert("taken")); err != nil {
 				t.Fatal(err)
 			}
-			underlying.failReads = noGet
+			underlying.failReads = failReads
 			table := newGatheringTable(t, underlying, 5)
 			errs := commitAll(table, insert("a"), insert("taken"), insert("b", "c"), insert("d"))
 			wantErrors(t, errs, nil, store.ErrConflict, nil, nil)
 			if rows, _ := underlying.Scan(context.Background(), "runs", "", 10); len(rows) != 5 {
 				t.Errorf("rows %+v", rows)
 			}
-			if !noGet && !slices.Equal(underlying.transactionSizes, []int{5, 4}) {
+			if !failReads && !slices.Equal(underlying.transactionSizes, []int{5, 4}) {
 				t.Errorf("transactions of %v rows", underlying.transactionSizes)
 			}
 		})
--- a/store/batch/bench_test.go
+++ b/store/batch/bench_test.go
@@ -24,20 +24,20 @@
 // and batched, without a limit and within a budget of 200 transactions a second,
 // and with some of the inserts failing because the row exists.
 func BenchmarkInsert(b *testing.B) {
-	for _, budget := range []float64{0, 200} {
+	for _, writesPerSecond := range []float64{0, 200} {
 		for _, batched := range []bool{false, true} {
-			for _, conflicts := range []float64{0, 0.01, 0.1} {
-				if !batched && conflicts > 0 {
+			for _, conflictFraction := range []float64{0, 0.01, 0.1} {
+				if !batched && conflictFraction > 0 {
 					continue
 				}
-				name := fmt.Sprintf("budget=%v/batched=%v/conflicts=%v", budget, batched, conflicts)
-				b.Run(name, func(b *testing.B) { benchInsert(b, budget, batched, conflicts) })
+				name := fmt.Sprintf("budget=%v/batched=%v/conflicts=%v", writesPerSecond, batched, conflictFraction)
+				b.Run(name, func(b *testing.B) { benchInsert(b, writesPerSecond, batched, conflictFraction) })
 			}
 		}
 	}
 }
 
-func benchInsert(b *testing.B, budget float64, batched bool, conflicts float64) {
+func benchInsert(b *testing.B, writesPerSecond float64, batched bool, conflictFraction float64) {
 	set := metrics.NewSet()
 	client := startClient(b, set)
 	var table store.RevisionTable = client
@@ -47,8 +47,8 @@
 		table = batcher
 	}
 	insertExistingRows(b, client)
-	if budget > 0 {
-		client.SetWriteRate(budget)
+	if writesPerSecond > 0 {
+		client.SetWriteRate(writesPerSecond)
 	}
 	var next, refused, waited atomic.Int64
 	b.SetParallelism(benchCallersPerProcessor)
@@ -57,7 +57,7 @@
 		random := rand.New(rand.NewPCG(1, uint64(next.Add(1))))
 		for pb.Next() {
 			key := fmt.Sprintf("k%d", next.Add(1))
-			if random.Float64() < conflicts {
+			if random.Float64() < conflictFraction {
 				key = existingKey(random.IntN(existingRows))
 			}
 			start := time.Now()
--- a/store/batch/counters.go
+++ b/store/batch/counters.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// refusals counts the commits that were given up, by reason.
+// refusals returns the counter of the commits that were refused or given up for a
+// reason.
 func (c counters) refusals(reason string) *metrics.Counter {
 	return c.set.GetOrCreateCounter(fmt.Sprintf(`walnut_batch_refusals_total{reason=%q}`, reason))
 }
--- a/store/forward/forward.go
+++ b/store/forward/forward.go
@@ -4,10 +4,11 @@
 // transactions a second from all of them.
 //
 // The commits of a row go to the writer that rendezvous hashing selects among the
-// live routers in view. Views may differ: a writer applies every commit that it
-// receives, and correctness depends only on the conditions of the operations. A
-// commit that certainly did not reach a writer is sent to the next one, and then
-// made locally. One that may have reached a writer fails with store.ErrUnknown.
+// live routers in the sending router's view. Views may differ: a writer applies
+// every commit that it receives, and correctness depends only on the conditions of
+// the operations. A commit that certainly did not reach a writer is sent to the
+// next one, and in the end made locally. One that may have reached a writer fails
+// with store.ErrUnknown.
 package forward
 
 import (
@@ -106,8 +107,8 @@
 	return t
 }
 
-// SetMembers replaces the set of live routers in view, which includes this one
-// unless it is leaving. It reports whether this router is now a writer.
+// SetMembers replaces the set of live routers in this router's view, which
+// includes the router itself unless it is leaving. It reports whether this router is now a writer.
 func (t *Table) SetMembers(alive []control.NodeID) (isWriter bool) {
 	writers := pickWriters(alive)
 	t.writers.Store(&writers)
--- a/store/forward/forward_test.go
+++ b/store/forward/forward_test.go
@@ -113,8 +113,9 @@
 	}
 }
 
-// A commit that certainly did not reach a writer, or was refused there, is made by
-// another router. In all other cases its outcome is unknown, and it is not repeated.
+// TestFailedWriterCalls checks that a commit that certainly did not reach a writer,
+// or was refused there, is made by another router. In all other cases its outcome
+// must be unknown, and it must not be repeated.
 func TestFailedWriterCalls(t *testing.T) {
 	lost := fmt.Errorf("call: %w", peer.ErrSessionEnded)
 	for _, c := range []struct {
@@ -176,8 +177,9 @@
 	}
 }
 
-// Routers with different views commit a row through different writers. The
-// operation's condition still lets only one of the commits succeed.
+// TestRoutersWithDifferentViewsUseDifferentWriters checks that if routers with
+// different views commit a row through different writers, the operation's condition
+// still lets only one of the commits succeed.
 func TestRoutersWithDifferentViewsUseDifferentWriters(t *testing.T) {
 	f := newTestFleet(100)
 	a, writers := f.nonWriter("k")
@@ -217,8 +219,8 @@
 	}
 }
 
-// The routers on all sides of a partition together must not exceed the fleet's
-// write budget.
+// TestSharesStayWithinTheBudget checks that the routers on all sides of a partition
+// together do not exceed the fleet's write budget.
 func TestSharesStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const budget = 300.0
@@ -237,8 +239,8 @@
 	})
 }
 
-// If a writer leaves the fleet, only the keys of that writer move, apart from those
-// that its successor takes over.
+// TestWriterSelectionIsStable checks that if a writer leaves the fleet, only the
+// keys of that writer move, apart from those that its successor takes over.
 func TestWriterSelectionIsStable(t *testing.T) {
 	all := nodeNames(340)
 	writers := pickWriters(all)
