--- a/runrecord/bench_test.go
+++ b/runrecord/bench_test.go
@@ -58,9 +58,9 @@
 	slow := &countingSlowTable{Store: memory.New(memory.Options{})}
 	var table store.Table = slow
 	if batched {
-		joined := batch.New(slow, batch.Options{Metrics: metrics.NewSet()})
-		defer joined.Close()
-		table = joined
+		batcher := batch.New(slow, batch.Options{Metrics: metrics.NewSet()})
+		defer batcher.Close()
+		table = batcher
 	}
 	k := New(Options{Table: table, Node: "ikeja-1", Incarnation: 1 << 62, Metrics: metrics.NewSet()})
 	var next atomic.Int64
--- a/runrecord/forward_test.go
+++ b/runrecord/forward_test.go
@@ -110,8 +110,9 @@
 	return startKeeper(t, table, "a")
 }
 
-// The writer is killed before or after it commits a claim, or is paused and
-// commits late. The claim must be acquired once, by the router that requested it.
+// TestWriterFailureDuringClaim has the writer killed before or after it commits a
+// claim, or paused so that it commits late. The claim must be acquired once, by the
+// router that requested it.
 func TestWriterFailureDuringClaim(t *testing.T) {
 	for _, w := range []*failingWriter{{}, {commits: true}, {commitsLate: true}} {
 		w.table, w.failuresLeft = newFaultyTable(), 1
@@ -129,8 +130,8 @@
 	}
 }
 
-// The writer fails while it writes the end of a record. The end must be written
-// once, by the next writer.
+// TestWriterFailureDuringEnd has the writer fail while it writes the end of a
+// record. The end must be written once, by the next writer.
 func TestWriterFailureDuringEnd(t *testing.T) {
 	for _, w := range []*failingWriter{{}, {commits: true}, {commitsLate: true}} {
 		w.table = newFaultyTable()
--- a/runrecord/keeper.go
+++ b/runrecord/keeper.go
@@ -39,7 +39,7 @@
 	revision uint64
 	// unresolved means that a write of the claim may or may not have taken effect.
 	unresolved bool
-	// ended means that record holds the outcome, which is to be written.
+	// ended means that record holds the outcome, which the writer still has to write.
 	ended bool
 	// done is closed once the entry has been removed from the keeper.
 	done chan struct{}
--- a/runrecord/model_test.go
+++ b/runrecord/model_test.go
@@ -31,7 +31,7 @@
 	sweepers    []*sweeper
 	now         control.Instant
 	openRuns    []*openRun
-	runs        map[string]int
+	runs        map[string]int // number of runs, by key
 	// lastRunEpoch is the epoch in which the last run of a key was claimed.
 	lastRunEpoch map[string]uint64
 	// takeover makes the table return the claims of restarted routers as given
@@ -251,7 +251,7 @@
 
 const (
 	modelSteps     = 100
-	modelRetention = 1
+	modelRetention = 1 // epochs
 )
 
 func TestRunsAtMostOnce(t *testing.T) {
@@ -267,9 +267,9 @@
 	}
 }
 
-// A design that takes over the claims of routers believed dead would run a
-// request twice. The test shows that the model reaches the critical
-// interleavings.
+// TestTakeoverWouldRunTwice checks that a design that takes over the claims of
+// routers believed dead would run a request twice. It shows that the model reaches
+// the critical interleavings.
 func TestTakeoverWouldRunTwice(t *testing.T) {
 	for _, useWriters := range []bool{false, true} {
 		if !findsSecondRun(t, useWriters) {
--- a/runrecord/options.go
+++ b/runrecord/options.go
@@ -20,8 +20,8 @@
 	defaultRetryEvery       = 250 * time.Millisecond
 	defaultEndDelay         = 200 * time.Millisecond
 	defaultEpochLength      = time.Hour
-	defaultRetention        = 24
-	defaultClaimedRetention = 7 * 24
+	defaultRetention        = 24     // epochs
+	defaultClaimedRetention = 7 * 24 // epochs
 	defaultSweepEvery       = time.Minute
 )
 
@@ -66,7 +66,7 @@
 	// it a resend does not run again. Default 24.
 	Retention int
 	// ClaimedRetention is the same for records that their owner never ended.
-	// Default 168 (7 days).
+	// Default 168: 7 days of epochs of one hour.
 	ClaimedRetention int
 	// SweepEvery is the mean interval between sweeps for expired records. Default 1m.
 	SweepEvery time.Duration
--- a/runrecord/runrecord_test.go
+++ b/runrecord/runrecord_test.go
@@ -112,8 +112,9 @@
 	}
 }
 
-// If the outcome of the insert stays unknown, the request is refused as not run,
-// and a resend to another router can run once the table is available again.
+// TestUnresolvedClaimIsReleased checks that if the outcome of the insert stays
+// unknown, the request is refused as not run, and a resend to another router can
+// run once the table is available again.
 func TestUnresolvedClaimIsReleased(t *testing.T) {
 	for _, f := range []commitFault{faultReplyLost, faultLate} {
 		table := newFaultyTable()
@@ -137,7 +138,8 @@
 	}
 }
 
-// A resend to the same router waits for the release of the claim and then runs.
+// TestResendToSameRouterRunsAfterUnresolvedClaim checks that a resend to the same
+// router waits for the release of the claim and then runs.
 func TestResendToSameRouterRunsAfterUnresolvedClaim(t *testing.T) {
 	table := newFaultyTable()
 	k := startKeeper(t, table, "a")
@@ -148,8 +150,8 @@
 	mustClaim(t, k, testRequest)
 }
 
-// After a claim was given up, nothing can be dispatched under it, and a resend
-// can run.
+// TestReleasedClaimCannotDispatch checks that after a claim was given up, nothing
+// can be dispatched under it, and a resend can run.
 func TestReleasedClaimCannotDispatch(t *testing.T) {
 	table := newFaultyTable()
 	a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b")
@@ -188,8 +190,8 @@
 	}
 }
 
-// A request whose owner died is never run again, whether or not the owner
-// dispatched it.
+// TestRecordOfDeadOwnerIsNotRunAgain checks that a request whose owner died is
+// never run again, whether or not the owner dispatched it.
 func TestRecordOfDeadOwnerIsNotRunAgain(t *testing.T) {
 	table := newFaultyTable()
 	gone := func(o *Options) {
@@ -243,7 +245,8 @@
 	}
 }
 
-// While the table is unavailable, the ended records wait in bounded memory.
+// TestPendingEndsAreBounded checks that ended records that wait for the table take
+// bounded memory.
 func TestPendingEndsAreBounded(t *testing.T) {
 	k := newKeeper(Options{Table: newFaultyTable(), Node: "a", MaxPending: 2, MaxPendingBytes: 5, Metrics: metrics.NewSet()})
 	for _, key := range []string{"1", "2", "3"} {
@@ -259,8 +262,9 @@
 	}
 }
 
-// The update that replaces a given-up claim can fail in the same ways as an
-// insert: once its request was refused, it must not take effect later.
+// TestLateReclaimIsFenced checks the update that replaces a given-up claim. It can
+// fail in the same ways as an insert: once its request was refused, it must not
+// take effect later.
 func TestLateReclaimIsFenced(t *testing.T) {
 	table := newFaultyTable()
 	a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b")
@@ -319,8 +323,8 @@
 	}
 }
 
-// A router that was paused must record the epoch in force in its claims, not
-// the one that it has cached.
+// TestClaimUsesCurrentEpoch checks that a router that was paused records the epoch
+// in force in its claims, not the one that it has cached.
 func TestClaimUsesCurrentEpoch(t *testing.T) {
 	table := newFaultyTable()
 	var now control.Instant
