--- a/operator/backend.go
+++ b/operator/backend.go
@@ -36,7 +36,7 @@
 	// Ready returns whether the router takes callers' requests. It must not block.
 	Ready() Readiness
 
-	// Config returns an accepted version. Zero asks for the newest: the head
+	// Config returns an accepted version. Zero asks for the newest: the newest one
 	// in the table, or the version in force on this router while the table cannot
 	// be reached. If no version was ever accepted, it returns a snapshot with
 	// Version zero and empty declarations. Errors: store.ErrUnavailable
--- a/operator/routes.go
+++ b/operator/routes.go
@@ -18,7 +18,7 @@
 // route is one path of the API.
 type route struct {
 	method string
-	// open says that the route needs no key.
+	// open is set if the route needs no key.
 	open bool
 	// fallback is the result code of errors that have none.
 	fallback result.Code
--- a/operator/server.go
+++ b/operator/server.go
@@ -39,7 +39,7 @@
 	result.RouterUnreachable,
 )
 
-// Options configure a Server.
+// Options configures a Server.
 type Options struct {
 	// Address is the listener's "ip:port". It decides whether KeyHashes may be empty.
 	Address string
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -210,10 +210,10 @@
 	}{
 		{"conflict", good, &config.VersionConflictError{Base: 3, Newest: 9}, 409, result.VersionConflict, 9},
 		{"invalid", good, &config.ValidationError{Problems: []config.Problem{{Object: "workspaces.a"}}}, 422, result.InvalidDeclaration, 0},
-		{"store down", good, result.New(result.PlatformUnavailable, "down"), 503, result.PlatformUnavailable, 0},
-		{"store refused", good, fmt.Errorf("read: %w", store.ErrUnavailable), 503, result.PlatformUnavailable, 0},
-		{"store unknown", good, &configstore.CommitUnknownError{Cause: store.ErrUnavailable}, 504, result.CommitUnknown, 0},
-		{"unnumbered", good, errors.New("socket"), 504, result.CommitUnknown, 0},
+		{"unavailable, with a code", good, result.New(result.PlatformUnavailable, "down"), 503, result.PlatformUnavailable, 0},
+		{"unavailable, without a code", good, fmt.Errorf("read: %w", store.ErrUnavailable), 503, result.PlatformUnavailable, 0},
+		{"outcome unknown", good, &configstore.CommitUnknownError{Cause: store.ErrUnavailable}, 504, result.CommitUnknown, 0},
+		{"another error", good, errors.New("socket"), 504, result.CommitUnknown, 0},
 		{"no id", `{"base":3,"changes":{}}`, nil, 400, result.InvalidPatch, 0},
 		{"no changes", `{"id":"` + testID + `","base":3}`, nil, 400, result.InvalidPatch, 0},
 		{"unknown field", `{"id":"` + testID + `","basis":3,"changes":{}}`, nil, 400, result.InvalidPatch, 0},
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestMergeStatusKeepsYoungerReportAndSums(t *testing.T) {
+func TestMergeStatusKeepsNewerReportAndSums(t *testing.T) {
 	merged := MergeStatus([]Status{
 		{
 			Targets: []TargetStatus{{Name: "t", LoadAgeMillis: -1}, {Name: "s", LoadAgeMillis: 5, Scheduler: "a"}},
--- a/operator/status.go
+++ b/operator/status.go
@@ -6,7 +6,7 @@
 type Member struct {
 	Node       string `json:"node"`
 	DataCentre string `json:"data_centre"`
-	// Leaving says that the platform is about to stop the VM.
+	// Leaving is set if the platform is about to stop the VM.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -63,9 +63,9 @@
 	// Version is the configuration version in force; zero if none, or if the
 	// router is unreachable.
 	Version config.Version `json:"version"`
-	// Listed says that the router is in the platform's list of VMs.
+	// Listed is set if the router is in the platform's list of VMs.
 	Listed bool `json:"listed"`
-	// Leaving says that the platform is about to stop the VM.
+	// Leaving is set if the platform is about to stop the VM.
 	Leaving bool `json:"leaving,omitempty"`
 	// Waiting and Running count the requests that entered at this router.
 	Waiting int `json:"waiting"`
@@ -93,7 +93,7 @@
 	Orders string `json:"orders,omitempty"`
 }
 
-// OrdersDone says that a target is in its declared state.
+// OrdersDone is the value of TargetStatus.Orders for a target in its declared state.
 const OrdersDone = "done"
 
 // WorkspaceBacklog counts one workspace's requests.
