--- a/settings/settings.go
+++ b/settings/settings.go
@@ -74,7 +74,7 @@
 	TargetHeartbeat Duration `toml:"target_heartbeat"`
 	// Timeout bounds each call. Default 2s.
 	Timeout Duration `toml:"timeout"`
-	// PollEvery is the period of reading the configuration's head. Default 1s.
+	// PollEvery is the period of reading the newest configuration version. Default 1s.
 	PollEvery Duration `toml:"poll_every"`
 	// VMListEvery is the period of reading the list of VMs. Default 2s.
 	VMListEvery Duration `toml:"vm_list_every"`
@@ -130,7 +130,8 @@
 	ReadTimeout Duration `toml:"read_timeout"`
 	// IdleTimeout is after how long an idle caller connection is closed. Default 60s.
 	IdleTimeout Duration `toml:"idle_timeout"`
-	// DefaultDeadline is the time to dispatch if the caller sets none. Default 30s.
+	// DefaultDeadline is the time allowed until dispatch if the caller sets no deadline.
+	// Default 30s.
 	DefaultDeadline Duration `toml:"default_deadline"`
 	// FirstByteTimeout bounds the wait for the first byte of a target's answer. Default 60s.
 	FirstByteTimeout Duration `toml:"first_byte_timeout"`
