--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -245,9 +245,9 @@
 type blockedRouter struct{ release chan struct{} }
 
 // Shutdown implements shutdowner.
-func (h blockedRouter) Shutdown(ctx context.Context) error {
+func (r blockedRouter) Shutdown(ctx context.Context) error {
 	select {
-	case <-h.release:
+	case <-r.release:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
