--- a/ctl/cli/summary.go
+++ b/ctl/cli/summary.go
@@ -8,11 +8,13 @@
 	"github.com/walnutcove/walnutcove/operator"
 )
 
-// maxListedRows is up to how many routers, targets or workspaces the status lists all: as
-// many as fit on a screen. With more, it prints a summary and lists those that need attention.
+// maxListedRows is the number of routers, targets or workspaces up to which the status lists
+// all of them: as many as fit on a screen. Of more, it prints a summary and lists those that
+// need attention.
 const maxListedRows = 24
 
-// group is a line of a summary of routers or targets. The pool is empty for routers.
+// group identifies the routers or targets that one line of a summary covers. The pool is
+// empty for routers.
 type group struct{ pool, dataCentre string }
 
 func compareGroups(a, b group) int {
--- a/ctl/client.go
+++ b/ctl/client.go
@@ -32,7 +32,7 @@
 // that is planned for has less than 10 MB.
 const maxAnswerBytes = 64 << 20
 
-// Options configure a Client. Zero durations and counts take the defaults.
+// Options configures a Client. Zero durations and counts take the defaults.
 type Options struct {
 	// Routers are "ip:port" of operator listeners, tried in order. Required.
 	Routers []string
@@ -99,7 +99,7 @@
 // neverRetry disables fasthttp's own retries.
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// dialError says that no connection was opened, so that nothing was sent.
+// dialError reports that no connection was opened, so that nothing was sent.
 type dialError struct{ cause error }
 
 func (e *dialError) Error() string { return e.cause.Error() }
@@ -124,7 +124,7 @@
 	body   any // encoded as JSON; nil for none
 }
 
-// transportError says that a router could not be reached, or gave no valid answer.
+// transportError reports that a router could not be reached, or gave no valid answer.
 type transportError struct {
 	router string
 	cause  error
