--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -27,13 +27,13 @@
 	// send the id, and it is the one in logs.
 	RequestID    string
 	CallerSetsID bool
-	// EchoesID says that targets repeat the request's id in each answer, so that an
+	// EchoesID means that targets repeat the request's id in each answer, so that an
 	// answer with another id belongs to another request.
 	EchoesID bool
-	// StatusTellsNotRun says that callers look at the HTTP status alone: 408, 421, 429
+	// StatusTellsNotRun means that callers look at the HTTP status alone: 408, 421, 429
 	// and 503 promise that the request did not run.
 	StatusTellsNotRun bool
-	// FractionalRetryAfter says that callers accept fractions of a second in Retry-After.
+	// FractionalRetryAfter means that callers accept fractions of a second in Retry-After.
 	FractionalRetryAfter bool
 	// Key carries a workspace's key from callers.
 	Key string
@@ -53,7 +53,7 @@
 	Seal string
 	// Reserved are headers that only this fleet sets: those of callers are dropped.
 	Reserved []string
-	// CloseDelimited says that an answer without a length is complete when its
+	// CloseDelimited means that an answer without a length is complete when its
 	// connection is closed.
 	CloseDelimited bool
 	// RefusedNotRun reports by an answer's head whether the target refused the request
@@ -69,7 +69,7 @@
 const (
 	// HeaderRequestID carries the request id.
 	HeaderRequestID = "Walnut-Request-Id"
-	// HeaderNotRun with the value "true" on a 503 says that the target refused
+	// HeaderNotRun with the value "true" on a 503 means that the target refused
 	// the request before running it.
 	HeaderNotRun = "Walnut-Not-Run"
 )
