--- a/cmd/walnutctl/main.go
+++ b/cmd/walnutctl/main.go
@@ -1,4 +1,5 @@
-// Command walnutctl drives a walnutcove fleet: see docs/OPERATORS.md.
+// Command walnutctl is the operators' command line for a walnutcove fleet: see
+// docs/OPERATORS.md.
 package main
 
 import (
--- a/config/apply_test.go
+++ b/config/apply_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestIndex(t *testing.T) {
+func TestIndexLookups(t *testing.T) {
 	index := sample(t).Index()
 	for key, want := range map[string]string{"bread": "bakery", "chalk": "school", "sand": "", "": ""} {
 		if name, ok := index.WorkspaceByKey([]byte(key)); name != want || ok != (want != "") {
--- a/config/follower/fleet_test.go
+++ b/config/follower/fleet_test.go
@@ -346,7 +346,7 @@
 	}
 }
 
-func TestServe(t *testing.T) {
+func TestServeReturnsEntriesOrSnapshot(t *testing.T) {
 	entries, snapshots := makeHistory(t, 6)
 	f := New(Options{KeepEntries: 2})
 	if update, err := f.Serve(0); err != nil || len(update.Entries)+len(update.Snapshot) != 0 {
--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -39,7 +39,7 @@
 	Key string
 	// Deadline carries how many milliseconds are left, from callers and to targets.
 	Deadline string
-	// Workspace tells targets the name of the key's workspace.
+	// Workspace carries the name of the key's workspace to targets.
 	Workspace string
 	// ExpectTarget names the target incarnation that is to run the request, so that
 	// another one at the same address refuses it.
--- a/operator/backend.go
+++ b/operator/backend.go
@@ -36,9 +36,9 @@
 	// Ready returns whether the router takes callers' requests. It must not block.
 	Ready() Readiness
 
-	// Config returns an accepted version. Zero asks for the newest: the newest one
-	// in the table, or the version in force on this router while the table cannot
-	// be reached. If no version was ever accepted, it returns a snapshot with
+	// Config returns an accepted version. Zero asks for the newest one of the
+	// table, or, while the table cannot be reached, for the version in force on
+	// this router. If no version was ever accepted, it returns a snapshot with
 	// Version zero and empty declarations. Errors: store.ErrUnavailable
 	// (1004), *configstore.UnknownVersionError (1005).
 	Config(ctx context.Context, version config.Version) (*config.Snapshot, error)
--- a/operator/server_test.go
+++ b/operator/server_test.go
@@ -132,7 +132,7 @@
 	return resp.StatusCode, string(raw)
 }
 
-func TestKeys(t *testing.T) {
+func TestKeysPathsAndMethodsAreChecked(t *testing.T) {
 	backend := &stubBackend{statuses: map[string]Status{"": {}}}
 	url := startServer(t, backend)
 	cases := []struct {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -15,7 +15,7 @@
 const examplePath = "../docs/walnutd.example.toml"
 
 // minimal is a file with the required keys only.
-const minimal = `
+const minimalSettings = `
 [node]
 name = "vm-1"
 data_centre = "ikeja"
@@ -33,7 +33,7 @@
 	datadriven.RunTest(t, "testdata/problems", func(t *testing.T, d *datadriven.TestData) string {
 		text := d.Input
 		if d.Cmd == "with" {
-			text = merge(minimal, d.Input)
+			text = merge(minimalSettings, d.Input)
 		}
 		path := filepath.Join(t.TempDir(), "walnutd.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -122,7 +122,7 @@
 // FuzzParse checks that no text makes Parse panic, fail without a problem, or accept what
 // Validate refuses.
 func FuzzParse(f *testing.F) {
-	f.Add(minimal)
+	f.Add(minimalSettings)
 	f.Add("[limits]\nread_timeout = 5\nmax_body_bytes = \"x\"\n[a.b]\nc = 1979-05-27")
 	f.Add("limits = 1\nnode.name = []")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -150,7 +150,7 @@
 		"excess = { slotz = 0.5 }":    "scheduling.tokens.excess.slotz",
 		"returning = { wait = -0.1 }": "scheduling.tokens.returning.wait",
 	} {
-		_, err := Parse([]byte(minimal + "\n[scheduling.tokens]\n" + line + "\n"))
+		_, err := Parse([]byte(minimalSettings + "\n[scheduling.tokens]\n" + line + "\n"))
 		if err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", line, err)
 		}
--- a/store/failure.go
+++ b/store/failure.go
@@ -52,7 +52,7 @@
 
 	op        operation
 	reason    reason
-	retryRead bool
+	retryRead bool // whether a read may be retried after this failure
 }
 
 // Error implements error.
