--- a/directory/evacuation.go
+++ b/directory/evacuation.go
@@ -19,7 +19,7 @@
 type evacuation struct {
 	revision config.Revision
 	ended    bool
-	// until is when an evacuation expires that is missing from a later era of the platform's
+	// until is when the evacuation expires, if it is missing from a later era of the platform's
 	// store; zero if it does not expire. Operators write it again if the platform lost it.
 	until time.Time
 }
@@ -36,8 +36,9 @@
 	return !next.ended || known && !before.ended
 }
 
-// endMissingEvacuations ends the evacuations that are missing from a whole listing. If the
-// listing is of a later era, whose copy of the store may predate them, they expire at until.
+// endMissingEvacuations ends the evacuations that are missing from a complete listing. Those
+// from before the listing's era expire at until instead, because the copy that the store was
+// restored from may predate them.
 func (s *state) endMissingEvacuations(listing Listing[Directive], until time.Time) bool {
 	listed := make(map[string]bool)
 	for _, entry := range listing.Entries {
--- a/directory/exchange.go
+++ b/directory/exchange.go
@@ -19,9 +19,9 @@
 	OperatorRevision config.Revision               `json:"directed,omitempty"`
 	Targets          map[string]exportedTarget     `json:"targets"`
 	Gone             map[string]config.Revision    `json:"gone"`
-	// Lapsed holds removals that are not applied yet. The other router needs them together with
+	// DeferredRemovals holds removals that are not applied yet. The other router needs them together with
 	// the later changes, because it never asks again for anything older than its revision.
-	Lapsed map[string]exportedLapse `json:"lapsed,omitempty"`
+	DeferredRemovals map[string]exportedRemoval `json:"lapsed,omitempty"`
 	// Unconfirmed holds entries that are not used yet, for the same reason.
 	Unconfirmed map[string]exportedUnconfirmed `json:"unconfirmed,omitempty"`
 	Revision    config.Revision                `json:"revision"`
@@ -44,7 +44,7 @@
 	Left time.Duration `json:"left,omitempty"`
 }
 
-type exportedLapse struct {
+type exportedRemoval struct {
 	Revision config.Revision `json:"revision"`
 	// Left is the time, in nanoseconds, until the removal is applied.
 	Left time.Duration `json:"left"`
@@ -84,9 +84,9 @@
 }
 
 // Export encodes what this router knows and the router with the given cursor does not.
-func (f *Follower) Export(known Cursor) ([]byte, error) {
+func (f *Follower) Export(cursor Cursor) ([]byte, error) {
 	f.mu.Lock()
-	content := f.state.export(known, time.Now())
+	content := f.state.export(cursor, time.Now())
 	f.mu.Unlock()
 	encoded, err := json.Marshal(content)
 	if err != nil {
@@ -108,36 +108,36 @@
 // export copies what another router does not know yet: all targets changed, removed or missing
 // after its revision, and the configuration if that router's is older. For a router in an
 // earlier era, that is everything.
-func (s *state) export(known Cursor, now time.Time) peerExport {
+func (s *state) export(cursor Cursor, now time.Time) peerExport {
 	content := peerExport{
-		Targets:     make(map[string]exportedTarget),
-		Gone:        make(map[string]config.Revision),
-		Lapsed:      make(map[string]exportedLapse),
-		Unconfirmed: make(map[string]exportedUnconfirmed),
-		Revision:    s.revision,
-		EraListed:   s.eraListed,
+		Targets:          make(map[string]exportedTarget),
+		Gone:             make(map[string]config.Revision),
+		DeferredRemovals: make(map[string]exportedRemoval),
+		Unconfirmed:      make(map[string]exportedUnconfirmed),
+		Revision:         s.revision,
+		EraListed:        s.eraListed,
 	}
 	own := s.configuration
-	if s.operatorRevision > known.ConfigRevision {
+	if s.operatorRevision > cursor.ConfigRevision {
 		content.OperatorRevision, content.Evacuations = s.operatorRevision, s.exportEvacuations(now)
 	}
-	if own.Version > known.Version || own.Version == known.Version && own.Revision > known.ConfigRevision {
+	if own.Version > cursor.Version || own.Version == cursor.Version && own.Revision > cursor.ConfigRevision {
 		content.Version, content.ConfigRevision = own.Version, own.Revision
 		content.Declarations = own.Declarations
 	}
 	for name, k := range s.targets {
-		if k.revision > known.Revision || k.corrected && known.PlatformOnly {
+		if k.revision > cursor.Revision || k.corrected && cursor.PlatformOnly {
 			content.Targets[name] = exportedTarget{Target: k.target, Revision: k.revision, Corrected: k.corrected}
 		}
 	}
 	for name, r := range s.gone {
-		if r.revision > known.Revision {
+		if r.revision > cursor.Revision {
 			content.Gone[name] = r.revision
 		}
 	}
-	for name, l := range s.lapsed {
-		if l.revision > known.Revision {
-			content.Lapsed[name] = exportedLapse{Revision: l.revision, Left: l.until.Sub(now)}
+	for name, d := range s.deferredRemovals {
+		if d.revision > cursor.Revision {
+			content.DeferredRemovals[name] = exportedRemoval{Revision: d.revision, Left: d.until.Sub(now)}
 		}
 	}
 	for name, u := range s.unconfirmed {
@@ -223,8 +223,8 @@
 	for name, u := range content.Unconfirmed {
 		changed = s.suspend(name, unconfirmed{target: u.Target, revision: u.Revision, until: now.Add(u.Left)}) || changed
 	}
-	for name, l := range content.Lapsed {
-		changed = s.remove(name, l.Revision, now.Add(l.Left)) || changed
+	for name, d := range content.DeferredRemovals {
+		changed = s.remove(name, d.Revision, now.Add(d.Left)) || changed
 	}
 	return changed
 }
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -19,9 +19,9 @@
 	lapseWindow = time.Second
 	// graceMargin is added to ReturnGrace for the delays of the platform and of this router.
 	graceMargin = 500 * time.Millisecond
-	// batchDelayPerRouter is how long changes are batched after an answer that held some, for
-	// each router of the fleet, and maxBatchDelay the upper limit. Without it, many targets
-	// that start together would cost one call of every router per change. The first change is
+	// batchDelayPerRouter, times the number of routers, is how long changes are batched after
+	// an answer that held some; maxBatchDelay is the upper limit. Without the delay, many
+	// targets that start together would cost one call of every router per change. The first change is
 	// applied at once; peers report the others in between.
 	batchDelayPerRouter = 10 * time.Millisecond
 	maxBatchDelay       = 800 * time.Millisecond
@@ -83,9 +83,9 @@
 
 	mu    sync.Mutex
 	state state
-	// returnedAt is when the targets feed last recovered after it was lost; zero if it never
-	// did.
-	returnedAt time.Time
+	// recoveredAt is when the targets feed last recovered from a loss or was restored from an
+	// older copy; zero if it never did.
+	recoveredAt time.Time
 	// turn tracks whether this router follows the feeds.
 	turn *turn
 	// callTimes holds the call and answer times of each feed. The map itself is not modified.
@@ -144,11 +144,11 @@
 // removalAcceptTime returns when a removal that the platform reports now takes effect; zero for
 // immediately. f.mu must be held.
 func (f *Follower) removalAcceptTime() time.Time {
-	if f.returnedAt.IsZero() || time.Since(f.returnedAt) > lapseWindow {
+	if f.recoveredAt.IsZero() || time.Since(f.recoveredAt) > lapseWindow {
 		return time.Time{}
 	}
 	removalsDeferred.Inc()
-	return f.returnedAt.Add(f.grace())
+	return f.recoveredAt.Add(f.grace())
 }
 
 // grace returns how long entries may take to reappear once the platform has recovered.
@@ -188,7 +188,7 @@
 			entries = s.withRemovals(listing)
 		}
 		if info.afterOutage || restored {
-			f.returnedAt = time.Now()
+			f.recoveredAt = time.Now()
 		}
 		acceptAt := f.removalAcceptTime()
 		if acceptAt.IsZero() && s.emptiesPool(entries) {
@@ -223,8 +223,8 @@
 	f.readyOnce.Do(func() { close(f.ready) })
 }
 
-// noteEra logs and reports that the platform's store was restored from an older copy. f.mu must
-// be held.
+// noteEra logs, counts and reports a new era, which shows that the platform's store was restored
+// from an older copy. f.mu must be held.
 func (f *Follower) noteEra(source string, before config.Revision) {
 	now := f.state.revision
 	if before == 0 || before.Era() == now.Era() {
@@ -257,8 +257,8 @@
 	}
 }
 
-// runExpiry applies deferred removals, ended evacuations and unconfirmed entries when they are
-// due, until ctx ends.
+// runExpiry applies deferred removals, ends evacuations and confirms unconfirmed entries when
+// they are due, until ctx ends.
 func (f *Follower) runExpiry(ctx context.Context) {
 	for ctx.Err() == nil {
 		var due time.Time
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -92,7 +92,7 @@
 				listing.Entries = append(listing.Entries, entry)
 			}
 		}
-		down, forgetful, changed := f.down, f.historyLost, f.changed
+		down, historyLost, changed := f.down, f.historyLost, f.changed
 		f.mu.Unlock()
 		switch {
 		case !down && listing.Revision.Era() != after.Era():
@@ -100,7 +100,7 @@
 		case !down && after > listing.Revision:
 			return Listing[T]{}, ErrHistoryLost
 		}
-		if forgetful {
+		if historyLost {
 			return Listing[T]{}, ErrHistoryLost
 		}
 		if down {
@@ -152,7 +152,7 @@
 	s.runWith(t, Options{Directives: s.configurations, Targets: s.targets})
 }
 
-// runWith does the same with the given options, to which it adds those of the harness.
+// runWith is run with the given options, to which it adds those of the harness.
 func (s *harness) runWith(t *testing.T, options Options) {
 	options.OnChange = func(snapshot *config.Snapshot) {
 		s.mu.Lock()
@@ -344,8 +344,8 @@
 func TestReadySoonAfterSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &harness{configurations: newFeed[Directive](), targets: newFeed[config.Target]()}
-		returns := time.Now().Add(200 * time.Millisecond)
-		s.configurations.silentUntil, s.targets.silentUntil = returns, returns
+		recovery := time.Now().Add(200 * time.Millisecond)
+		s.configurations.silentUntil, s.targets.silentUntil = recovery, recovery
 		s.populate()
 		s.run(t)
 		select {
@@ -353,7 +353,7 @@
 		case <-time.After(10 * time.Second):
 			t.Fatal("no snapshot")
 		}
-		if late := time.Since(returns); late > 300*time.Millisecond {
+		if late := time.Since(recovery); late > 300*time.Millisecond {
 			t.Errorf("ready %s after the platform's recovery", late)
 		}
 	})
--- a/directory/lapse_test.go
+++ b/directory/lapse_test.go
@@ -15,7 +15,7 @@
 // deferred the removals for 2.5 s. Meanwhile later changes arrived and were passed on. When the
 // removals took effect, they still had their own, older revisions. Peers only ask for what is
 // newer than the newest revision they have, so they never learned of the removals; and the
-// routers' own control, which only accepts newer listings, ignored the smaller one.
+// package control of each router, which only accepts newer listings, ignored the smaller one.
 //
 // The log lines of the followers showed 136 targets at revision 263, those of the other routers
 // 147 at the same revision, and grants to one of the eleven targets carried that revision.
--- a/directory/poller.go
+++ b/directory/poller.go
@@ -33,12 +33,12 @@
 	// and each detects the platform's recovery within 0.75 s.
 	minRetryPause = 50 * time.Millisecond
 	maxRetryPause = 500 * time.Millisecond
-	// loadPausePerRouter is, for each router of the fleet, the lower limit of the maximum retry
-	// pause for calls that load everything. If the platform goes silent, all routers eventually
+	// loadPausePerRouter, times the number of routers, is the maximum mean pause between calls
+	// that load everything, if it exceeds maxRetryPause. If the platform goes silent, all routers eventually
 	// try to follow its feeds, and a load of 3,800 targets takes eight calls: 340 routers then
 	// make about 100 loads a second of each feed, or 900 calls of the 2,000 that the platform
-	// allows. Routers that followed the feeds before do not load everything and receive its
-	// changes soon.
+	// allows. Routers that followed the feeds before do not have to load everything and learn
+	// of the platform's changes soon after its recovery.
 	loadPausePerRouter = 10 * time.Millisecond
 	// callTimeout is how long a call may take in addition to its hold. Longer calls are of no
 	// use, because the next one follows within maxRetryPause.
@@ -54,7 +54,7 @@
 	errReprobe = errors.New("directory: the pending calls may be lost")
 	// errOthersFollow reports that other routers follow the feed now.
 	errOthersFollow = errors.New("directory: other routers follow the feed")
-	// errUnanswered is the reason logged for a loss without an error.
+	// errUnanswered is the error logged for a feed that is lost because no call is answered.
 	errUnanswered = errors.New("directory: calls are not answered")
 )
 
@@ -69,6 +69,8 @@
 	deliver  func(Listing[T], listingInfo)
 	times    *callTimes
 
+	// loaded reports that the feed was loaded, and after is the revision that the next call
+	// for changes continues from.
 	loaded bool
 	after  config.Revision
 	// verified reports that the next call for changes may wait for long, unless reprobe was
@@ -122,7 +124,8 @@
 	}
 }
 
-// ask makes calls until one is answered, and returns its answer. Further calls are made
+// ask makes calls until one is answered, and returns its answer, or until there is a reason to
+// abandon them, which it returns as the error. Further calls are made
 // alongside overdue ones: a store that was silent never answers the calls made during the
 // silence, and a slow one may need longer than the pause.
 func (p *poller[T]) ask(ctx context.Context) (Listing[T], error) {
--- a/directory/reprobes.go
+++ b/directory/reprobes.go
@@ -31,6 +31,8 @@
 	return r.signal
 }
 
+// request makes a reprobe take effect now or, if the last one was less than minReprobeInterval
+// ago, once that has passed.
 func (r *reprobes) request() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/directory/restore_test.go
+++ b/directory/restore_test.go
@@ -120,8 +120,9 @@
 	})
 }
 
-// TestListingAfterLostHistory guards against an order that only a reload for a new era
-// maintains: here the platform also loses its history after the restore.
+// TestListingAfterLostHistory guards against ordering the entries of two eras correctly only if
+// the reload was made because of the new era: here the platform also loses its history after
+// the restore.
 func TestListingAfterLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := startRestoreHarness(t)
@@ -223,8 +224,8 @@
 	})
 }
 
-// versionFor returns a version with an additional pool.
-func versionFor(number config.Version, pool string) Entry[Directive] {
+// versionWithPool returns a version with an additional pool.
+func versionWithPool(number config.Version, pool string) Entry[Directive] {
 	entry := version(number)
 	entry.Value.Declarations.Pools[pool] = config.Pool{}
 	return entry
@@ -238,13 +239,13 @@
 		for range 20 {
 			d.write(targetEntry("a"))
 		}
-		d.harness.configurations.set(versionFor(9, "lost"))
+		d.harness.configurations.set(versionWithPool(9, "lost"))
 		synctest.Wait()
 		d.restoreStore()
 		if got := d.last().Version; got != 9 {
 			t.Errorf("version %d is in force", got)
 		}
-		d.harness.configurations.set(versionFor(9, "written"))
+		d.harness.configurations.set(versionWithPool(9, "written"))
 		synctest.Wait()
 		if _, known := d.last().Declarations.Pools["written"]; !known {
 			t.Error("the rewritten content is not in force")
--- a/directory/silence_test.go
+++ b/directory/silence_test.go
@@ -34,12 +34,12 @@
 type silentStore struct {
 	mu    sync.Mutex
 	until time.Time
-	// waiting is closed when the waiting calls are lost.
-	waiting chan struct{}
-	calls   int
+	// callsLost is closed and replaced when the waiting calls are lost.
+	callsLost chan struct{}
+	calls     int
 }
 
-func newSilentStore() *silentStore { return &silentStore{waiting: make(chan struct{})} }
+func newSilentStore() *silentStore { return &silentStore{callsLost: make(chan struct{})} }
 
 func (s *silentStore) begin(length time.Duration) {
 	s.mu.Lock()
@@ -52,8 +52,8 @@
 func (s *silentStore) loseWaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.waiting)
-	s.waiting = make(chan struct{})
+	close(s.callsLost)
+	s.callsLost = make(chan struct{})
 }
 
 // count counts a call and returns a channel that is closed when it is lost.
@@ -61,7 +61,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	return s.waiting
+	return s.callsLost
 }
 
 func (s *silentStore) callCount() int {
@@ -153,26 +153,27 @@
 func TestNewsSoonAfterSilence(t *testing.T) {
 	const (
 		step     = 40 * time.Millisecond
-		maxBegin = 1200 * time.Millisecond
+		maxDelay = 1200 * time.Millisecond
 	)
 	for _, length := range []time.Duration{200 * time.Millisecond, time.Second, 5 * time.Second, 40 * time.Second} {
-		for begins := time.Duration(0); begins < maxBegin; begins += step {
-			t.Run(fmt.Sprintf("%s/%s", length, begins), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { checkUpdatesAfterSilence(t, begins, length) })
+		for delay := time.Duration(0); delay < maxDelay; delay += step {
+			t.Run(fmt.Sprintf("%s/%s", length, delay), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { checkUpdatesAfterSilence(t, delay, length) })
 			})
 		}
 	}
 }
 
-// checkUpdatesAfterSilence silences the store some time after a change of each feed, changes
-// both during the silence and again after it, and checks that the changes become known.
-func checkUpdatesAfterSilence(t *testing.T, begins, length time.Duration) {
+// checkUpdatesAfterSilence silences the store for a length of time, which begins with a delay
+// after a change of each feed. It changes the feeds during the silence and after it, and checks
+// that the changes become known.
+func checkUpdatesAfterSilence(t *testing.T, delay, length time.Duration) {
 	s, store := startOnSilentStore(t)
 	s.configurations.set(version(5))
 	leaving := targetEntry("a")
 	leaving.Value.Leaving = true
 	s.targets.set(leaving)
-	time.Sleep(begins)
+	time.Sleep(delay)
 	store.begin(length)
 	time.Sleep(length / 2)
 	s.configurations.set(version(6))
@@ -305,18 +306,18 @@
 		s, store := startOnSilentStore(t)
 		stale := func() time.Duration { return s.follower.FeedAges()[feedConfigurations].Stale }
 		if got := stale(); got != 0 {
-			t.Errorf("%s old before the silence", got)
+			t.Errorf("stale by %s before the silence", got)
 		}
 		s.configurations.set(version(5))
 		time.Sleep(50 * time.Millisecond)
 		store.begin(10 * time.Second)
 		time.Sleep(9 * time.Second)
 		if got := stale(); got != 9050*time.Millisecond {
-			t.Errorf("%s old 9 s into the silence", got)
+			t.Errorf("stale by %s 9 s into the silence", got)
 		}
 		time.Sleep(2 * time.Second)
 		if got := stale(); got != 0 {
-			t.Errorf("%s old after the silence", got)
+			t.Errorf("stale by %s after the silence", got)
 		}
 	})
 }
--- a/directory/state.go
+++ b/directory/state.go
@@ -6,7 +6,7 @@
 	"github.com/walnutcove/walnutcove/config"
 )
 
-// state is what is known of the directory. It is not safe for concurrent use.
+// state holds what this router knows of the directory. It is not safe for concurrent use.
 type state struct {
 	configuration Configuration
 	// listed reports that the targets were listed at least once.
@@ -14,9 +14,9 @@
 	targets map[string]knownTarget
 	// gone holds the removals of targets, so that an older listing does not add them again.
 	gone map[string]removal
-	// lapsed holds the targets whose entries are missing, with the time at which their removal
-	// takes effect: see Options.ReturnGrace.
-	lapsed map[string]lapse
+	// deferredRemovals holds the removals of targets whose entries may have lapsed, until they
+	// take effect; see Options.ReturnGrace.
+	deferredRemovals map[string]deferredRemoval
 	// unconfirmed holds the entries that may exist only because the platform's store was
 	// restored from an older copy; see state.isSuperseded.
 	unconfirmed map[string]unconfirmed
@@ -52,19 +52,20 @@
 	start    int64
 }
 
-// lapse is a removal that has not taken effect yet.
-type lapse struct {
+// deferredRemoval is a removal that has not taken effect yet.
+type deferredRemoval struct {
 	revision config.Revision
-	until    time.Time
+	// until is when the removal takes effect.
+	until time.Time
 }
 
 func newState() state {
 	return state{
-		targets:     make(map[string]knownTarget),
-		gone:        make(map[string]removal),
-		lapsed:      make(map[string]lapse),
-		unconfirmed: make(map[string]unconfirmed),
-		evacuations: make(map[string]evacuation),
+		targets:          make(map[string]knownTarget),
+		gone:             make(map[string]removal),
+		deferredRemovals: make(map[string]deferredRemoval),
+		unconfirmed:      make(map[string]unconfirmed),
+		evacuations:      make(map[string]evacuation),
 	}
 }
 
@@ -94,13 +95,14 @@
 	return changed
 }
 
+// put applies the entry of a listed target. It reports whether the target changed.
 func (s *state) put(entry Entry[config.Target]) bool {
 	old, exists := s.targets[entry.Key]
 	if entry.Revision <= s.gone[entry.Key].revision || (exists && entry.Revision < old.revision) {
 		return false
 	}
 	if !exists && entry.Revision.Era() < s.revision.Era() {
-		return false // Its removal would never be reported.
+		return false // An entry of an earlier era, whose removal the current era would never report.
 	}
 	next := knownTarget{target: entry.Value, revision: entry.Revision}
 	if exists && s.mayPredate(entry.Revision, old.revision) && entry.Value.Start == old.target.Start && old.target.Leaving {
@@ -108,7 +110,7 @@
 		next.target.Leaving = true
 	}
 	delete(s.gone, entry.Key)
-	delete(s.lapsed, entry.Key)
+	delete(s.deferredRemovals, entry.Key)
 	delete(s.unconfirmed, entry.Key)
 	if exists && entry.Revision == old.revision {
 		return false
@@ -118,6 +120,8 @@
 	return true
 }
 
+// remove applies the removal of a target, or of its unconfirmed entry. The removal of a target is
+// deferred until acceptAt if that is not zero. It reports whether anything changed now.
 func (s *state) remove(key string, revision config.Revision, acceptAt time.Time) bool {
 	if u, pending := s.unconfirmed[key]; pending && u.revision < revision {
 		delete(s.unconfirmed, key)
@@ -130,13 +134,13 @@
 		return false
 	}
 	if !acceptAt.IsZero() {
-		if _, pending := s.lapsed[key]; !pending {
-			s.lapsed[key] = lapse{revision: revision, until: acceptAt}
+		if _, pending := s.deferredRemovals[key]; !pending {
+			s.deferredRemovals[key] = deferredRemoval{revision: revision, until: acceptAt}
 		}
 		return false
 	}
 	delete(s.targets, key)
-	delete(s.lapsed, key)
+	delete(s.deferredRemovals, key)
 	s.gone[key] = removal{revision: revision, start: old.target.Start}
 	s.revision = max(s.revision, revision)
 	return true
@@ -186,8 +190,8 @@
 	return entries
 }
 
-// expire applies the removals and entries that are due and returns when the next one is due;
-// zero if there is none.
+// expire applies the deferred removals, the ends of evacuations and the unconfirmed entries that
+// are due, and returns when the next one is due; zero if there is none.
 func (s *state) expire(now time.Time) (changed bool, next time.Time) {
 	due := func(until time.Time) bool {
 		if !now.Before(until) {
@@ -198,8 +202,8 @@
 		}
 		return false
 	}
-	for key, l := range s.lapsed {
-		if due(l.until) && s.remove(key, l.revision, time.Time{}) {
+	for key, d := range s.deferredRemovals {
+		if due(d.until) && s.remove(key, d.revision, time.Time{}) {
 			s.unversionedChanges++
 			changed = true
 		}
@@ -218,7 +222,7 @@
 	return changed, next
 }
 
-// snapshot combines what is known; nil before there are a configuration and a listing of the
+// snapshot combines what is known into a snapshot; nil before there are a configuration and a listing of the
 // targets.
 func (s *state) snapshot() *config.Snapshot {
 	if s.configuration.Version == 0 || !s.listed {
--- a/directory/turn.go
+++ b/directory/turn.go
@@ -20,6 +20,7 @@
 
 // Turn describes whether a router follows the feeds.
 type Turn struct {
+	// Wanted reports that this router has to follow the feeds.
 	Wanted bool
 	// Proves reports that this router is the prover: it verifies for the others that calls
 	// waiting for changes wait at a platform that answers.
@@ -28,7 +29,7 @@
 	Ahead int
 }
 
-// Names of the feeds in logs.
+// Names of the feeds in logs and metrics.
 const (
 	feedConfigurations = "configurations"
 	feedTargets        = "targets"
@@ -67,8 +68,8 @@
 }
 
 // SetTurn sets whether this router follows the feeds from now on. A router that becomes the
-// prover reissues its calls, because the previous prover was lost, possibly together with calls
-// that the platform did not answer.
+// prover reissues its calls, because the previous prover was lost, possibly while the platform
+// was silent and lost calls.
 func (f *Follower) SetTurn(to Turn) {
 	if f.turn.set(to) {
 		f.Reprobe()
