--- a/targets/body.go
+++ b/targets/body.go
@@ -67,7 +67,7 @@
 	return status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// Read returns what has arrived, without waiting for more.
+// Read implements io.Reader. It waits only until some bytes have arrived and returns those.
 func (b *body) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
--- a/targets/cachewatch/cachewatch.go
+++ b/targets/cachewatch/cachewatch.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// meanInterval is the mean time between two calls to a target. A call that finds changes at
-	// once counts as a probe there; calling more often hardly improves the data.
+	// meanInterval is the mean pause between two calls to a target. A target counts a call that
+	// finds changes at once as a probe; calling more often hardly improves the data.
 	meanInterval = time.Second
 	// changesHold is how long one call waits for changes.
 	changesHold = time.Second
--- a/targets/callergone_test.go
+++ b/targets/callergone_test.go
@@ -28,7 +28,7 @@
 	return c.Conn.Close()
 }
 
-// callerGoneHook holds the function that a call registers with Request.OnCallerGone.
+// callerGoneHook holds the function that a call registers through Request.OnCallerGone.
 type callerGoneHook struct {
 	mu sync.Mutex
 	f  func()
--- a/targets/callerleft_test.go
+++ b/targets/callerleft_test.go
@@ -16,30 +16,30 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// TestNoRequestForCallerThatLeft checks that no request is sent for a caller that leaves while
-// the connection takes long to open.
-func TestNoRequestForCallerThatLeft(t *testing.T) {
+// TestNoRequestForGoneCaller checks that no request is sent for a caller that goes away while the
+// connection takes long to open.
+func TestNoRequestForGoneCaller(t *testing.T) {
 	var runs atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	defer server.Close()
 	for _, c := range []struct {
-		name  string
-		dials time.Duration
-		left  bool
-		sent  bool
+		name     string
+		dialTime time.Duration
+		gone     bool
+		sent     bool
 	}{
-		{"slow connection, caller left", 2 * callerCheckDelay, true, false},
+		{"slow connection, caller gone", 2 * callerCheckDelay, true, false},
 		{"slow connection, caller there", 2 * callerCheckDelay, false, true},
 		{"quick connection", 0, true, true},
 	} {
 		client := NewHTTPClient(Options{Dialect: dialect.Own, Metrics: metrics.NewSet(), Dial: func(ctx context.Context, address string) (net.Conn, error) {
-			time.Sleep(c.dials)
+			time.Sleep(c.dialTime)
 			return net.Dial("tcp4", address)
 		}})
 		runs.Store(0)
 		answer, err := client.Do(context.Background(), Request{
 			ID: "1", Address: server.Listener.Addr().String(), Method: http.MethodPost, Path: "/",
-			CallerLeft: func() bool { return c.left },
+			CallerLeft: func() bool { return c.gone },
 		})
 		var refusal *result.Error
 		switch {
--- a/targets/conn.go
+++ b/targets/conn.go
@@ -97,7 +97,7 @@
 	return c.idleLimit > 0 && now.Sub(c.idleSince) > c.idleLimit-idleMargin
 }
 
-// noDeadline means that there is no fixed time.
+// noDeadline is the readDeadline that makes readTimeout apply to each read instead.
 var noDeadline time.Time
 
 // Read reads from the network until readDeadline or within readTimeout.
@@ -113,7 +113,7 @@
 	if n > 0 || !isTimeout(err) {
 		return n, err
 	}
-	// This process may have been late itself: data that arrived in time can still be read.
+	// This process itself may have been delayed: data that arrived in time can still be read.
 	if err := c.Conn.SetReadDeadline(time.Now().Add(finalReadTimeout)); err != nil {
 		return 0, err
 	}
--- a/targets/exchange.go
+++ b/targets/exchange.go
@@ -88,8 +88,8 @@
 	maxStrayBytes = 1 << 20
 )
 
-// errStray reports that the connection holds an answer that belongs to another request and
-// whose end is not known.
+// errStray reports that the answer to this request could not be found: too many answers to other
+// requests precede it, or one of them cannot be skipped.
 var errStray = errors.New("target: answer of another request")
 
 // readOwnHead reads the head of the answer to this request. If targets echo the request id,
@@ -143,7 +143,7 @@
 	if ex.client.options.Dialect.RefusedNotRun(resp.Status, resp.header) {
 		ex.counters.countFailure(reasonNotRun)
 		refused := result.New(result.TargetRefused, "%s", result.TargetRefused.Info().Meaning)
-		ex.drainRefusal(req, header)
+		ex.skipRefusalBody(req, header)
 		return nil, refused.WithRetryAfter(dialect.RetryAfter(resp.header))
 	}
 	if req.ID != "" && !ex.isSealed(resp) {
@@ -182,9 +182,9 @@
 	return resp.Header[seal] != "" && resp.Header[fasthttp.HeaderContentEncoding] == ""
 }
 
-// drainRefusal reads the short body of a refusal, so that the connection can be reused. It
-// reads only what has arrived.
-func (ex *exchange) drainRefusal(req *Request, header *fasthttp.ResponseHeader) {
+// skipRefusalBody reads past the short body of a refusal, so that the connection can be reused.
+// If the body has not arrived completely, it closes the connection instead.
+func (ex *exchange) skipRefusalBody(req *Request, header *fasthttp.ResponseHeader) {
 	length := header.ContentLength()
 	b := newBody(ex, req.Method, header)
 	if b.err != nil { // no body: the connection has already been returned
@@ -244,7 +244,8 @@
 	return isTimeout(err) || errors.Is(ex.ctx.Err(), context.DeadlineExceeded)
 }
 
-// release returns the connection to the pool after an answer that was read completely.
+// release returns the connection to the pool after an answer that was read completely, or closes
+// it if it is not reusable.
 func (ex *exchange) release(reusable bool) {
 	ex.releaseOnce.Do(func() { ex.returnToPool(reusable) })
 }
--- a/targets/framing_test.go
+++ b/targets/framing_test.go
@@ -118,7 +118,7 @@
 			}
 		})
 	}
-	t.Run("503 without the mark is an answer", func(t *testing.T) {
+	t.Run("503 without Walnut-Not-Run is an answer", func(t *testing.T) {
 		client := newClient(t, targets.Options{})
 		resp, err := client.Do(context.Background(), targets.Request{
 			Address: scriptServer(t, replyOnce(plain503)), Method: "POST", Path: "/",
--- a/targets/httpclient.go
+++ b/targets/httpclient.go
@@ -56,10 +56,10 @@
 
 // callerCheckDelay is the wait for a connection after which it is worth a system call to check
 // whether the caller is still there. Targets accept a connection within a few milliseconds; on
-// a router without spare CPU time it took half a second and more, and callers had left by then.
+// a router without spare CPU time it took half a second and more, and callers had gone by then.
 const callerCheckDelay = 20 * time.Millisecond
 
-var errCallerLeft = errors.New("target: the caller left before the connection was established")
+var errCallerGone = errors.New("target: the caller was gone before the connection was established")
 
 // Do implements Client.
 func (c *HTTPClient) Do(ctx context.Context, req Request) (*Response, error) {
@@ -81,7 +81,7 @@
 	}
 	if req.CallerLeft != nil && time.Since(connectStart) >= callerCheckDelay && req.CallerLeft() {
 		c.pool.put(cn)
-		return nil, counters.newError(reasonCancelledEarly, result.CallerGone, result.RanNo, errCallerLeft)
+		return nil, counters.newError(reasonCancelledEarly, result.CallerGone, result.RanNo, errCallerGone)
 	}
 	// On a busy router, up to three seconds passed between grant and write; the target may have
 	// announced meanwhile that it is leaving.
@@ -157,7 +157,8 @@
 	}
 }
 
-// isCancelled reports whether the caller gave up, as opposed to ctx's deadline passing.
+// isCancelled reports whether ctx was cancelled, which means that the caller gave up, as opposed
+// to its deadline passing.
 func isCancelled(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
 // hideEOF prevents a broken answer from being taken for a clean end by a reader that checks
--- a/targets/late_test.go
+++ b/targets/late_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestReadFindsDataAfterDeadline checks that a reader that is late itself finds what arrived
-// before its deadline.
+// TestReadFindsDataAfterDeadline checks that a read that starts after its deadline still returns
+// the data that arrived before.
 func TestReadFindsDataAfterDeadline(t *testing.T) {
 	local, remote := net.Pipe()
 	defer local.Close()
@@ -21,6 +21,6 @@
 		t.Errorf("%q, %v", got[:n], err)
 	}
 	if _, err := c.Read(got); !isTimeout(err) {
-		t.Errorf("nothing more came, and the read gave %v", err)
+		t.Errorf("read without data after the deadline: %v", err)
 	}
 }
--- a/targets/loadpoll/loadpoll.go
+++ b/targets/loadpoll/loadpoll.go
@@ -106,7 +106,7 @@
 	done    chan struct{}
 
 	mu      sync.Mutex
-	targets map[string]*entry
+	targets map[string]*entry // by name
 	due     queue
 	random  *rand.Rand
 }
--- a/targets/loadpoll/pace.go
+++ b/targets/loadpoll/pace.go
@@ -18,12 +18,13 @@
 // pace decides when a target is polled next, and whether that poll requests the cached
 // prefixes. The zero value is that of a new target.
 type pace struct {
+	// known reports that the last poll returned a load, which is last.
 	known bool
 	last  targets.Load
 	// fastLeft is how many of the next pauses are short.
 	fastLeft int
-	// withoutPrefixes counts the polls since the last one that returned prefixes; prefixes are
-	// what it returned.
+	// withoutPrefixes counts the polls since the last one that requested or returned prefixes;
+	// prefixes are what that one returned.
 	withoutPrefixes int
 	prefixes        []uint64
 }
--- a/targets/loadpoll/queue.go
+++ b/targets/loadpoll/queue.go
@@ -9,7 +9,7 @@
 // notQueued is the index of an entry that is not in the queue.
 const notQueued = -1
 
-// entry is one target.
+// entry is one polled target.
 type entry struct {
 	name    string
 	address string
--- a/targets/options.go
+++ b/targets/options.go
@@ -41,7 +41,7 @@
 	Listing func() Listing
 	// OnNotice receives what answers announce about the targets that sent them, before the
 	// answers are returned. It must not block. Default: dropped.
-	OnNotice func(target string, start int64, said notice.Notice)
+	OnNotice func(target string, start int64, n notice.Notice)
 	// Metrics receives the counters. Default: a set of the client's own.
 	Metrics *metrics.Set
 	// Dial opens a connection. Default: TCP.
--- a/targets/pool.go
+++ b/targets/pool.go
@@ -12,7 +12,8 @@
 type pool struct {
 	options Options
 	dials   *metrics.Counter
-	stale   *metrics.Counter
+	// stale counts the idle connections that were closed, or about to be closed, by the target.
+	stale *metrics.Counter
 
 	mu     sync.Mutex
 	idle   map[string][]*conn
--- a/targets/target.go
+++ b/targets/target.go
@@ -31,15 +31,15 @@
 	// Deadline is when the caller gives up, if the dialect sends it to targets; zero if not
 	// known.
 	Deadline time.Time
-	// CallerLeft reports whether the caller has left; nil means that it has not. It is called
-	// right before anything is written, if getting a connection took long.
+	// IsCallerGone reports whether the caller has gone away; nil means that it has not. It is
+	// called right before anything is written, if getting a connection took long.
 	CallerLeft func() bool
 	// TargetServes reports whether the target still accepts work; nil means that it does. It is
 	// called right before anything is written.
 	TargetServes func() bool
 	// OnCallerGone registers a function that is run by whoever detects that the caller has gone
-	// away, and that must not block; see pipeline.Exchange. If it is nil, only ctx ends the
-	// call.
+	// away, and that must not block; see pipeline.Exchange.OnCallerGone. If OnCallerGone is nil,
+	// only ctx ends the call.
 	OnCallerGone func(f func()) (stop func() bool)
 	// FirstByteTimeout bounds the sending of the request and the wait for the head of the
 	// answer; zero means Options.FirstByteTimeout.
@@ -53,7 +53,7 @@
 	// AfterEvent asks to continue a stream after this event; empty means from the beginning, or
 	// from where the caller's own header says.
 	AfterEvent string
-	// Fence is the fencing number sent with the order; zero sends none.
+	// Fence is the fencing number sent with an order; zero sends none.
 	Fence uint64
 }
 
