--- a/peer/batch.go
+++ b/peer/batch.go
@@ -26,10 +26,10 @@
 	maxKeptBufferBytes = 16 << 10
 )
 
-// wake signals the writer that a number of messages are queued.
-func (s *session) wake(waiting int) {
+// wake signals the writer that messages are queued, and whether they make a full batch.
+func (s *session) wake(queued int) {
 	signal(s.pending)
-	if waiting >= fullBatchMessages {
+	if queued >= fullBatchMessages {
 		signal(s.batchFull)
 	}
 }
--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -12,8 +12,9 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// simulatedNode is a Handler that simulates a scheduler, which grants tickets and
-// acknowledges reports, and an entry, which reports the end of granted runs.
+// simulatedNode is a Handler that simulates both sides of a run: the scheduler, which
+// grants tickets and acknowledges reports, and the entry, which reports the end of
+// granted runs.
 type simulatedNode struct {
 	recorder
 	node
@@ -150,7 +151,7 @@
 
 func benchPair(b *testing.B, secure bool) (entry, scheduler *simulatedNode) {
 	keys := makeKeys(b, "ikeja-entry-1", "lekki-entry-2")
-	var players []*simulatedNode
+	var nodes []*simulatedNode
 	for i, name := range []control.NodeID{"ikeja-entry-1", "lekki-entry-2"} {
 		p := &simulatedNode{runEnded: make(chan struct{}, 1024)}
 		change := func(o *Options) {
@@ -159,13 +160,13 @@
 			}
 		}
 		p.node = startWith(b, p, name, control.Incarnation(i+1), change)
-		players = append(players, p)
+		nodes = append(nodes, p)
 	}
-	setAllPeers(players[0].node, players[1].node)
-	if _, err := players[0].Call(context.Background(), "lekki-entry-2", "echo", nil); err != nil {
+	setAllPeers(nodes[0].node, nodes[1].node)
+	if _, err := nodes[0].Call(context.Background(), "lekki-entry-2", "echo", nil); err != nil {
 		b.Fatal(err)
 	}
-	return players[0], players[1]
+	return nodes[0], nodes[1]
 }
 
 // BenchmarkSessionMemory opens b.N sessions from one node and reports the memory
--- a/peer/call.go
+++ b/peer/call.go
@@ -34,6 +34,7 @@
 	maxCallTries   = 5
 	callRetryDelay = 5 * time.Millisecond
 
+	// Values of the "result" label of the call counters.
 	resultAnswered     = "answered"
 	resultUnreachable  = "unreachable"
 	resultTooLarge     = "too-large"
--- a/peer/counters.go
+++ b/peer/counters.go
@@ -13,14 +13,14 @@
 type dropReason string
 
 const (
-	dropQueueFull    dropReason = "queue-full"
-	dropUnreachable  dropReason = "unreachable"
-	dropNoAddress    dropReason = "no-address"
-	dropClosed       dropReason = "closed"
-	dropSelf         dropReason = "self"
-	dropNotEncodable dropReason = "not-encodable"
-	dropWriteFailed  dropReason = "write-failed"
-	dropReplaced     dropReason = "session-replaced"
+	dropQueueFull    dropReason = "queue-full"       // Options.MaxQueuedMessages were queued
+	dropUnreachable  dropReason = "unreachable"      // the last dial failed
+	dropNoAddress    dropReason = "no-address"       // the node's address is not known
+	dropClosed       dropReason = "closed"           // the mesh or the link was closed
+	dropSelf         dropReason = "self"             // the message was addressed to this node
+	dropNotEncodable dropReason = "not-encodable"    // package wire could not encode the message
+	dropWriteFailed  dropReason = "write-failed"     // writing the batch failed
+	dropReplaced     dropReason = "session-replaced" // received on a session that was replaced or had ended
 )
 
 // endReason is the reason for which a session ended.
@@ -45,17 +45,17 @@
 type failReason string
 
 const (
-	failConnect   failReason = "connect"
-	failTLS       failReason = "tls"
-	failHello     failReason = "hello"
-	failProtocol  failReason = "protocol"
-	failIdentity  failReason = "identity"
-	failWrongNode failReason = "wrong-node"
-	failStale     failReason = "stale-incarnation"
-	failDuplicate failReason = "duplicate"
-	failLimit     failReason = "limit"
-	failPlain     failReason = "plain-not-loopback"
-	failClosed    failReason = "closed"
+	failConnect   failReason = "connect"            // the TCP connection could not be opened
+	failTLS       failReason = "tls"                // the TLS handshake failed
+	failHello     failReason = "hello"              // a hello was invalid, incomplete or late
+	failProtocol  failReason = "protocol"           // the protocol versions differ
+	failIdentity  failReason = "identity"           // the certificate is not for the node
+	failWrongNode failReason = "wrong-node"         // the connection reached another node than expected
+	failStale     failReason = "stale-incarnation"  // another incarnation of the node replaced this one
+	failDuplicate failReason = "duplicate"          // another connection of the pair takes precedence
+	failLimit     failReason = "limit"              // Options.MaxSessions or maxHandshakes was reached
+	failPlain     failReason = "plain-not-loopback" // an address outside loopback needs TLS
+	failClosed    failReason = "closed"             // the mesh or the link was closed
 )
 
 // All label values, so that each counter is exported from the start.
@@ -102,7 +102,7 @@
 	flushes      *metrics.Counter
 }
 
-// kindCounters count one kind of message in one direction.
+// kindCounters count the messages of one kind in one direction, and their encoded bytes.
 type kindCounters struct {
 	messages *metrics.Counter
 	bytes    *metrics.Counter
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -28,7 +28,8 @@
 }
 
 // awaitPreferred waits for the connection that the other side prefers. It returns
-// false if no session is open after a back-off; another dial may then be tried.
+// false if after a back-off no session is open and the link is not closed; another
+// dial may then be tried.
 func (l *link) awaitPreferred() bool {
 	l.mu.Lock()
 	changed := l.changed
--- a/peer/fault_test.go
+++ b/peer/fault_test.go
@@ -141,9 +141,10 @@
 	}
 }
 
-// TestHalfOpenSessionIsReplaced: b lost the session that a dialled, and dials
-// while a has not noticed the loss. a must keep its own session only until a ping
-// on it fails.
+// TestHalfOpenSessionIsReplaced checks that a session that only one side still has
+// does not prevent a new one: b lost the session that a dialled, and dials while a
+// has not noticed the loss. a must keep its own session only until a ping on it
+// fails.
 func TestHalfOpenSessionIsReplaced(t *testing.T) {
 	a := start(t, "a", 1, func(o *Options) {
 		o.WriteTimeout = time.Second
--- a/peer/link.go
+++ b/peer/link.go
@@ -38,7 +38,8 @@
 	// nextDialAt.
 	failedDials int
 	nextDialAt  time.Time
-	dialCount   uint64
+	// dialCount counts the dials, which numbers them; see session.seq.
+	dialCount uint64
 	// retired maps replaced incarnations to the time until which they are refused.
 	retired map[control.Incarnation]time.Time
 	// lastEndFailed is set if the last session was lost or the last dial failed,
@@ -56,7 +57,7 @@
 
 // notifiedState is the state of a node that the handler was last notified of.
 type notifiedState struct {
-	set         bool
+	set         bool // false before the first notification
 	connected   bool
 	incarnation control.Incarnation
 }
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -83,7 +83,7 @@
 	return n
 }
 
-// startWith is start with a handler of the caller's.
+// startWith is start with the given handler. It leaves the node's recorder unset.
 func startWith(t testing.TB, handler Handler, name control.NodeID, incarnation control.Incarnation, change ...func(*Options)) node {
 	t.Helper()
 	options := Options{
--- a/peer/raw_test.go
+++ b/peer/raw_test.go
@@ -15,8 +15,8 @@
 	"github.com/walnutcove/walnutcove/peer/wire"
 )
 
-// rawConn is a connection on which the test speaks the protocol itself, in place of
-// a Mesh.
+// rawConn is a connection on which the test itself sends and reads the protocol's
+// messages, in place of a Mesh.
 type rawConn struct{ net.Conn }
 
 type rawListener struct{ net.Listener }
--- a/peer/serve.go
+++ b/peer/serve.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// serveCall answers one call, or refuses it if Options.MaxCalls are open.
+// serveCall answers one call, or refuses it if Options.MaxCalls of the other side's
+// calls are open.
 func (s *session) serveCall(stream *yamux.Stream) {
 	defer stream.Close()
 	ctx, cancel := context.WithTimeout(s.ctx, s.mesh.options.CallTimeout)
--- a/peer/wire/bench_test.go
+++ b/peer/wire/bench_test.go
@@ -49,7 +49,7 @@
 // tables are full.
 func BenchmarkFullTables(b *testing.B) {
 	before := memoryInUse()
-	var pipes []codecPair
+	var pairs []codecPair
 	for range b.N {
 		p := newCodecPair()
 		for i := range 3 * nameSlots {
@@ -58,10 +58,10 @@
 				b.Fatal(err)
 			}
 		}
-		pipes = append(pipes, p)
+		pairs = append(pairs, p)
 	}
 	b.ReportMetric(float64(memoryInUse()-before)/float64(b.N), "B/session-end")
-	runtime.KeepAlive(pipes)
+	runtime.KeepAlive(pairs)
 }
 
 func memoryInUse() uint64 {
--- a/peer/wire/decoder.go
+++ b/peer/wire/decoder.go
@@ -78,22 +78,22 @@
 	return nil
 }
 
-func (d *Decoder) defineOrigin(define *peerpb.OriginDefinition) error {
-	node, err := d.name(define.GetNode())
+func (d *Decoder) defineOrigin(definition *peerpb.OriginDefinition) error {
+	node, err := d.name(definition.GetNode())
 	if err != nil {
 		return err
 	}
-	incarnation := control.Incarnation(define.GetIncarnation())
+	incarnation := control.Incarnation(definition.GetIncarnation())
 	d.origins.define(Origin{Node: control.NodeID(node), Incarnation: incarnation})
 	return nil
 }
 
-func (d *Decoder) defineShard(define *peerpb.ShardDefinition) error {
-	pool, err := d.name(define.GetPool())
+func (d *Decoder) defineShard(definition *peerpb.ShardDefinition) error {
+	pool, err := d.name(definition.GetPool())
 	if err != nil {
 		return err
 	}
-	dataCentre, err := d.name(define.GetDataCentre())
+	dataCentre, err := d.name(definition.GetDataCentre())
 	if err != nil {
 		return err
 	}
--- a/peer/wire/encoder.go
+++ b/peer/wire/encoder.go
@@ -9,6 +9,7 @@
 	"github.com/walnutcove/walnutcove/peer/peerpb"
 )
 
+// A reference is what a message contains in place of a name, an origin or a shard.
 // References below the first*Ref values have fixed meanings; the others are slot
 // numbers offset by these values.
 const (
@@ -131,8 +132,8 @@
 		return 0, err
 	}
 	slot = e.origins.define(origin)
-	define := &peerpb.OriginDefinition{Node: name, Incarnation: uint64(incarnation)}
-	e.append(&peerpb.Entry{Kind: &peerpb.Entry_Origin{Origin: define}}, KindDefinition)
+	definition := &peerpb.OriginDefinition{Node: name, Incarnation: uint64(incarnation)}
+	e.append(&peerpb.Entry{Kind: &peerpb.Entry_Origin{Origin: definition}}, KindDefinition)
 	return uint32(slot + firstOriginRef), nil
 }
 
@@ -154,7 +155,7 @@
 		return 0, err
 	}
 	slot = e.shards.define(shard)
-	define := &peerpb.ShardDefinition{Pool: pool, DataCentre: dataCentre}
-	e.append(&peerpb.Entry{Kind: &peerpb.Entry_Shard{Shard: define}}, KindDefinition)
+	definition := &peerpb.ShardDefinition{Pool: pool, DataCentre: dataCentre}
+	e.append(&peerpb.Entry{Kind: &peerpb.Entry_Shard{Shard: definition}}, KindDefinition)
 	return uint32(slot + firstShardRef), nil
 }
--- a/peer/wire/table.go
+++ b/peer/wire/table.go
@@ -19,8 +19,8 @@
 	size   int
 	margin int
 	slots  []K
-	index  map[K]int
-	next   int
+	index  map[K]int // the latest slot of each value
+	next   int       // the slot that the next definition uses
 }
 
 func newEncodingTable[K comparable](size, margin int) *encodingTable[K] {
--- a/peer/wire/wire_test.go
+++ b/peer/wire/wire_test.go
@@ -109,7 +109,7 @@
 	case reflect.Uint32, reflect.Uint64:
 		value.SetUint(uint64(*next))
 	default:
-		panic(fmt.Sprintf("fill has no case for %s", value.Type()))
+		panic(fmt.Sprintf("fillValue has no case for %s", value.Type()))
 	}
 }
 
