--- a/orders/fleet_test.go
+++ b/orders/fleet_test.go
@@ -103,11 +103,11 @@
 // declareStates declares the same state for every engine, in the next version.
 func (f *fleet) declareStates(role string, models ...string) *config.Snapshot {
 	f.t.Helper()
-	targets := make(map[string]any)
+	changes := make(map[string]any)
 	for _, name := range f.names {
-		targets[name] = map[string]any{"role": role, "load_models": models}
+		changes[name] = map[string]any{"role": role, "load_models": models}
 	}
-	return f.submitPatch(map[string]any{"targets": targets})
+	return f.submitPatch(map[string]any{"targets": changes})
 }
 
 // reconciler is the reconciler of one router, with its metrics.
@@ -130,7 +130,7 @@
 		MaxBackoff:    50 * time.Millisecond,
 		Metrics:       set,
 	}
-	// Most tests do not test these timeouts: they must not expire on a busy machine.
+	// Most tests are not about these timeouts, which must not expire on a busy machine.
 	options.ConfirmationTTL = testTimeout
 	options.Timeout = testTimeout / 3
 	if edit != nil {
--- a/orders/options.go
+++ b/orders/options.go
@@ -21,8 +21,8 @@
 	DefaultWorkers         = 32
 )
 
-// intervalJitterRatio is the fraction of a pause by which jitter shortens or
-// lengthens it at most.
+// intervalJitterRatio is the largest fraction of a pause by which jitter shortens or
+// lengthens it.
 const intervalJitterRatio = 0.25
 
 // Client reads the order state of targets and sends them orders.
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -34,9 +34,10 @@
 	}
 }
 
-// A router with an outdated version reads the target's state before, and sends its
-// order after, a router with the newest version sends one. The target must reject the
-// outdated fencing number.
+// TestFencingTargetRejectsOutdatedRouter checks that a target rejects an outdated
+// fencing number: a router with an outdated version reads the target's state before
+// a router with the newest version sends its order, and sends its own order after
+// that.
 func TestFencingTargetRejectsOutdatedRouter(t *testing.T) {
 	f := newFleet(t, engine.Options{ChecksFencing: true})
 	e := f.engines[0]
@@ -64,8 +65,9 @@
 	}
 }
 
-// The table holds a newer version than the only router, which must not send an order
-// to a target that would accept it.
+// TestOutdatedRouterSendsNoOrderWithoutFencing checks that a router sends no order to
+// a target that would accept it while the table holds a newer version than the
+// router, even if it is the only router.
 func TestOutdatedRouterSendsNoOrderWithoutFencing(t *testing.T) {
 	for _, checks := range []bool{false, true} { // the target that checks has not stored a number yet
 		f := newFleet(t, engine.Options{ChecksFencing: checks})
@@ -81,9 +83,9 @@
 	}
 }
 
-// A router process is paused before its permit request, or after its last
-// confirmation, and resumes with an outdated version. It must not send an order to a
-// target that ignores fencing numbers.
+// TestResumedRouterSendsNoOutdatedOrder checks that a router that is paused before
+// its permit request, or after its last confirmation, and resumes with an outdated
+// version, sends no order to a target that ignores fencing numbers.
 func TestResumedRouterSendsNoOutdatedOrder(t *testing.T) {
 	pausePoints := map[string]func(o *orders.Options, c *movableClock, pause func()){
 		"before the permit": func(o *orders.Options, _ *movableClock, pause func()) {
@@ -128,8 +130,9 @@
 	}
 }
 
-// No check can prevent that a target that ignores fencing numbers applies an outdated
-// order late, if the order was sent in time. The next check must correct its effect.
+// TestLateOutdatedOrderIsCorrected checks that the next check of a target corrects
+// the effect of an outdated order. No check can prevent that a target that ignores
+// fencing numbers applies such an order late, if it was sent in time.
 func TestLateOutdatedOrderIsCorrected(t *testing.T) {
 	f := newFleet(t, engine.Options{})
 	e := f.engines[0]
@@ -146,8 +149,8 @@
 	}
 }
 
-// While the table is unavailable, only a target that checks fencing numbers, and has
-// stored one, must be sent orders.
+// TestTableOutage checks that, while the table is unavailable, orders are sent only to
+// a target that checks fencing numbers and has stored one.
 func TestTableOutage(t *testing.T) {
 	f := newFleet(t, engine.Options{}, engine.Options{ChecksFencing: true}, engine.Options{ChecksFencing: true})
 	ignoring, checking, fresh := f.engines[0], f.engines[1], f.engines[2]
@@ -164,8 +167,9 @@
 	eventually(t, "the others", func() bool { return isInState(ignoring, "decode", "a") && isInState(fresh, "decode", "a") })
 }
 
-// A change of the whole fleet must not load more models at the same time than the
-// weight store permits, although two routers send orders to each target.
+// TestConcurrentLoadsStayWithinPermits checks that a change of the whole fleet loads
+// no more models at the same time than the weight store permits, although two routers
+// send orders to each target.
 func TestConcurrentLoadsStayWithinPermits(t *testing.T) {
 	options := make([]engine.Options, 6)
 	for n := range options {
--- a/orders/permits.go
+++ b/orders/permits.go
@@ -21,18 +21,18 @@
 // permitClient requests permits to load models from the platform's weight store.
 // After a denial the whole router pauses its requests, longer with each denial in a
 // row, so that a change of the whole fleet overloads neither the weight store nor
-// the front end before it.
+// the front end that it is reached through.
 type permitClient struct {
 	weights store.Weights
 	now     func() time.Time
-	random  func() float64
-	// askSlot is a semaphore held by the goroutine that requests a new permit, so
+	random  func() float64 // from 0 to 1, for the jitter
+	// requestSlot is a semaphore held by the goroutine that requests a new permit, so
 	// that one denial applies to all goroutines that wait for it.
 	requestSlot chan struct{}
 
 	mu           sync.Mutex
 	denialsInRow int
-	// nextAskAt is the time before which no new permit is requested.
+	// nextRequestAt is the time before which no new permit is requested.
 	nextRequestAt time.Time
 }
 
--- a/orders/permits_test.go
+++ b/orders/permits_test.go
@@ -24,12 +24,13 @@
 	return store.WeightPermit{RetryAfter: time.Second}, nil
 }
 
-// However many targets wait for a permit, a router must send one request per pause,
-// and the pauses must double up to a bound.
-func TestDeniedRouterAsksOncePerPause(t *testing.T) {
-	store := &denyingWeights{}
+// TestDeniedRouterRequestsOncePerPause checks that a router sends one request per
+// pause, however many targets wait for a permit, and that the pauses double up to a
+// bound.
+func TestDeniedRouterRequestsOncePerPause(t *testing.T) {
+	weights := &denyingWeights{}
 	now := time.Unix(1000, 0)
-	p := newPermitClient(store, func() time.Time { return now })
+	p := newPermitClient(weights, func() time.Time { return now })
 	p.random = func() float64 { return 0.5 }
 	for round, want := range []time.Duration{1, 2, 4, 8, 8} {
 		var all sync.WaitGroup
@@ -42,8 +43,8 @@
 			})
 		}
 		all.Wait()
-		if store.requests != round+1 {
-			t.Fatalf("asked %d times in %d pauses", store.requests, round+1)
+		if weights.requests != round+1 {
+			t.Fatalf("%d requests in %d pauses", weights.requests, round+1)
 		}
 		now = now.Add(want * time.Second)
 	}
--- a/orders/plan_test.go
+++ b/orders/plan_test.go
@@ -35,9 +35,9 @@
 
 var modelsGenerator = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 0, 4, rapid.ID[string])
 
-// Orders of one version that were planned from any earlier state, and are applied
-// late, twice or out of order, must never undo each other; after that a few checks
-// must lead to the declared state.
+// TestOrdersOfOneVersionCommute checks that orders of one version that were planned
+// from any earlier state, and are applied late, twice or out of order, never undo
+// each other, and that a few checks after that lead to the declared state.
 func TestOrdersOfOneVersionCommute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		declared := config.Target{LoadModels: modelsGenerator.Draw(t, "declared"), Role: rapid.SampledFrom([]string{"", "x"}).Draw(t, "role")}
--- a/orders/reconciler.go
+++ b/orders/reconciler.go
@@ -28,7 +28,7 @@
 
 	mu       sync.Mutex
 	snapshot *config.Snapshot
-	names    []string
+	names    []string                // the targets that this router schedules
 	states   map[string]*targetState // the targets in names with a declared state
 }
 
@@ -36,7 +36,8 @@
 // permitModel, lastOrder and lastOrderVersion, which only the pass may use while
 // busy is set.
 type targetState struct {
-	name  string
+	name string
+	// dueAt is when the next pass is due, and busy is set while one is running.
 	dueAt time.Time
 	busy  bool
 	// recheck is set if the next pass must follow right after the current one.
@@ -141,9 +142,9 @@
 	r.states = kept
 }
 
-// releasePermit returns the permit of a target whose state was dropped while this
-// router still schedules it. Otherwise the target's next scheduler takes over the
-// permit. The caller holds r.mu.
+// releasePermit returns the permit of a target whose state was dropped, if this
+// router still schedules the target. Otherwise the target's next scheduler takes
+// over the permit. The caller holds r.mu.
 func (r *Reconciler) releasePermit(target *targetState) {
 	if target.permitModel == "" || !slices.Contains(r.names, target.name) {
 		return
