--- a/processes/process.go
+++ b/processes/process.go
@@ -65,14 +65,14 @@
 	return run(built)
 }
 
-// Process is a process that was started. Its output is kept for failure reports.
+// Process is a process that was started. The end of its output is kept for failure reports.
 type Process struct {
 	// Name identifies the process in reports.
 	Name string
 
 	cmd    *exec.Cmd
-	exited chan struct{}
-	err    error
+	exited chan struct{} // closed when the process has ended
+	err    error         // the result of cmd.Wait; set before exited is closed
 
 	mu        sync.Mutex
 	lines     []string
--- a/processes/router.go
+++ b/processes/router.go
@@ -40,8 +40,7 @@
 	return r, r.start()
 }
 
-// Restart starts a new process with the same settings, after the previous one has
-// ended.
+// Restart starts a new process with the same settings. The previous one must have ended.
 func (r *Router) Restart() error { return r.start() }
 
 func (r *Router) start() error {
--- a/processes/standin.go
+++ b/processes/standin.go
@@ -63,14 +63,19 @@
 // EngineOptions configure a stand-in engine.
 type EngineOptions struct {
 	// Listen is the address to listen on; a free port on loopback if empty.
-	Listen  string
-	Slots   int
-	Step    time.Duration
+	Listen string
+	// Slots is the maximum number of requests that run at once.
+	Slots int
+	// Step is the time in which every running request gets one token. Zero means the default.
+	Step time.Duration
+	// LoadLag is the interval at which the load report is refreshed. Zero means that every
+	// report shows the current load.
 	LoadLag time.Duration
+	// Resumes allows a broken stream to be resumed.
 	Resumes bool
 	// PrefixEntries bounds the cache of prompt prefixes. Zero means the default.
 	PrefixEntries int
-	// PrefixGap is the fraction of the cached prefixes that reports omit.
+	// PrefixGap is the probability, from 0 to 1, that a load report omits a cached prefix.
 	PrefixGap float64
 }
 
--- a/processes/way.go
+++ b/processes/way.go
@@ -36,9 +36,10 @@
 	upstreamDialTimeout = time.Second
 )
 
-// Proxy is a TCP proxy before an address that can inject network faults. It is safe
+// Proxy is a TCP proxy in front of an address. It can inject network faults. It is safe
 // for concurrent use.
 type Proxy struct {
+	// upstream is the proxied address, and address the one that the proxy listens on.
 	name, upstream, address string
 
 	mu sync.Mutex
@@ -51,13 +52,14 @@
 	closed  bool
 }
 
-// impairment is the fault injected into one direction.
+// impairment is the fault injected into one direction. The zero value is no fault.
 type impairment struct {
+	// held stops forwarding, and delay delays what is forwarded.
 	held  bool
 	delay time.Duration
 }
 
-// NewProxy starts a proxy before upstream ("ip:port"), on a free port of ip. The name
+// NewProxy starts a proxy in front of upstream ("ip:port"), on a free port of ip. The name
 // is used in reports.
 func NewProxy(name, ip, upstream string) (*Proxy, error) {
 	p := &Proxy{
@@ -231,10 +233,11 @@
 	return p.impairments != [2]impairment{}
 }
 
-// Hold stops forwarding in one direction. Connections stay open.
+// Hold stops forwarding in one direction. Connections stay open. It ends a delay of that
+// direction.
 func (p *Proxy) Hold(direction Direction) { p.setImpairment(direction, impairment{held: true}) }
 
-// Delay delays all data in one direction.
+// Delay delays all data in one direction. It ends a hold of that direction.
 func (p *Proxy) Delay(direction Direction, by time.Duration) {
 	p.setImpairment(direction, impairment{delay: by})
 }
