--- a/filters/dispatch/dispatch.go
+++ b/filters/dispatch/dispatch.go
@@ -123,7 +123,7 @@
 		request.Deadline = ex.Deadline
 		request.AfterEvent = ex.LastEventID
 		request.FetchAddress = ex.FetchAddress
-		request.CallerLeft = ex.IsCallerGoneNow
+		request.IsCallerGone = ex.IsCallerGoneNow
 		request.TargetServes = ex.TargetServes
 		if !ex.OutlivesCaller() {
 			request.OnCallerGone = ex.OnCallerGone
--- a/targets/callerleft_test.go
+++ b/targets/callerleft_test.go
@@ -39,7 +39,7 @@
 		runs.Store(0)
 		answer, err := client.Do(context.Background(), Request{
 			ID: "1", Address: server.Listener.Addr().String(), Method: http.MethodPost, Path: "/",
-			CallerLeft: func() bool { return c.gone },
+			IsCallerGone: func() bool { return c.gone },
 		})
 		var refusal *result.Error
 		switch {
--- a/targets/httpclient.go
+++ b/targets/httpclient.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, dialError(ctx, counters, err)
 	}
-	if req.CallerLeft != nil && time.Since(connectStart) >= callerCheckDelay && req.CallerLeft() {
+	if req.IsCallerGone != nil && time.Since(connectStart) >= callerCheckDelay && req.IsCallerGone() {
 		c.pool.put(cn)
 		return nil, counters.newError(reasonCancelledEarly, result.CallerGone, result.RanNo, errCallerGone)
 	}
--- a/targets/target.go
+++ b/targets/target.go
@@ -33,7 +33,7 @@
 	Deadline time.Time
 	// IsCallerGone reports whether the caller has gone away; nil means that it has not. It is
 	// called right before anything is written, if getting a connection took long.
-	CallerLeft func() bool
+	IsCallerGone func() bool
 	// TargetServes reports whether the target still accepts work; nil means that it does. It is
 	// called right before anything is written.
 	TargetServes func() bool
