--- a/directory/exchange.go
+++ b/directory/exchange.go
@@ -19,8 +19,9 @@
 	OperatorRevision config.Revision               `json:"directed,omitempty"`
 	Targets          map[string]exportedTarget     `json:"targets"`
 	Gone             map[string]config.Revision    `json:"gone"`
-	// DeferredRemovals holds removals that are not applied yet. The other router needs them together with
-	// the later changes, because it never asks again for anything older than its revision.
+	// DeferredRemovals holds removals that are not applied yet. The other router needs them
+	// together with the later changes, because it never asks again for anything older than its
+	// revision.
 	DeferredRemovals map[string]exportedRemoval `json:"lapsed,omitempty"`
 	// Unconfirmed holds entries that are not used yet, for the same reason.
 	Unconfirmed map[string]exportedUnconfirmed `json:"unconfirmed,omitempty"`
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -19,9 +19,9 @@
 	lapseWindow = time.Second
 	// graceMargin is added to ReturnGrace for the delays of the platform and of this router.
 	graceMargin = 500 * time.Millisecond
-	// batchDelayPerRouter, times the number of routers, is how long changes are batched after
-	// an answer that held some; maxBatchDelay is the upper limit. Without the delay, many
-	// targets that start together would cost one call of every router per change. The first change is
+	// batchDelayPerRouter, times the number of routers, is how long changes are batched after an
+	// answer that held some; maxBatchDelay is the upper limit. Without the delay, many targets
+	// that start together would cost one call of every router per change. The first change is
 	// applied at once; peers report the others in between.
 	batchDelayPerRouter = 10 * time.Millisecond
 	maxBatchDelay       = 800 * time.Millisecond
@@ -83,8 +83,8 @@
 
 	mu    sync.Mutex
 	state state
-	// recoveredAt is when the targets feed last recovered from a loss or was restored from an
-	// older copy; zero if it never did.
+	// recoveredAt is when the targets feed last recovered from an outage in which entries may
+	// have lapsed, or was restored from an older copy; zero if it never did.
 	recoveredAt time.Time
 	// turn tracks whether this router follows the feeds.
 	turn *turn
--- a/directory/poller.go
+++ b/directory/poller.go
@@ -34,11 +34,11 @@
 	minRetryPause = 50 * time.Millisecond
 	maxRetryPause = 500 * time.Millisecond
 	// loadPausePerRouter, times the number of routers, is the maximum mean pause between calls
-	// that load everything, if it exceeds maxRetryPause. If the platform goes silent, all routers eventually
-	// try to follow its feeds, and a load of 3,800 targets takes eight calls: 340 routers then
-	// make about 100 loads a second of each feed, or 900 calls of the 2,000 that the platform
-	// allows. Routers that followed the feeds before do not have to load everything and learn
-	// of the platform's changes soon after its recovery.
+	// that load everything, if it exceeds maxRetryPause. If the platform goes silent, all routers
+	// eventually try to follow its feeds, and a load of 3,800 targets takes eight calls: 340
+	// routers then make about 100 loads a second of each feed, or 900 calls of the 2,000 that the
+	// platform allows. Routers that followed the feeds before do not have to load everything and
+	// learn of the platform's changes soon after its recovery.
 	loadPausePerRouter = 10 * time.Millisecond
 	// callTimeout is how long a call may take in addition to its hold. Longer calls are of no
 	// use, because the next one follows within maxRetryPause.
--- a/directory/restore_test.go
+++ b/directory/restore_test.go
@@ -120,9 +120,8 @@
 	})
 }
 
-// TestListingAfterLostHistory guards against ordering the entries of two eras correctly only if
-// the reload was made because of the new era: here the platform also loses its history after
-// the restore.
+// TestListingAfterLostHistory guards against ignoring entries of a new era unless the reload was
+// caused by the restore: here the platform also loses its history after the restore.
 func TestListingAfterLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := startRestoreHarness(t)
--- a/directory/state.go
+++ b/directory/state.go
@@ -222,8 +222,8 @@
 	return changed, next
 }
 
-// snapshot combines what is known into a snapshot; nil before there are a configuration and a listing of the
-// targets.
+// snapshot combines the known configuration and targets; nil before there are a configuration
+// and a listing of the targets.
 func (s *state) snapshot() *config.Snapshot {
 	if s.configuration.Version == 0 || !s.listed {
 		return nil
--- a/peer/link.go
+++ b/peer/link.go
@@ -38,7 +38,7 @@
 	// nextDialAt.
 	failedDials int
 	nextDialAt  time.Time
-	// dialCount counts the dials, which numbers them; see session.seq.
+	// dialCount is the number of the latest dial; see session.seq.
 	dialCount uint64
 	// retired maps replaced incarnations to the time until which they are refused.
 	retired map[control.Incarnation]time.Time
