--- a/proctest/chaos_test.go
+++ b/proctest/chaos_test.go
@@ -68,8 +68,9 @@
 // chaos is one run of TestChaos.
 type chaos struct {
 	*fleet
-	random  *rand.Rand
-	watch   *versionWatch
+	random *rand.Rand
+	watch  *versionWatch
+	// crashes counts the requests that were sent to crash a target.
 	crashes int
 	// down marks the routers that a fault has killed, frozen the targets that a
 	// fault has frozen.
@@ -128,7 +129,7 @@
 	}
 }
 
-// fault is a fault that a run can inject.
+// fault is one fault that a run can inject, with its name in the log of actions.
 type fault struct {
 	name   string
 	inject func()
--- a/proctest/fair_test.go
+++ b/proctest/fair_test.go
@@ -13,6 +13,8 @@
 
 // The fairness test's fleet and its phases.
 const (
+	// fairSlots is the number of slots of each engine, fairTokens the length of
+	// each stream in tokens.
 	fairSlots  = 4
 	fairTokens = 20
 	// gapInterval is the length of the intervals over which the gap is checked.
@@ -107,7 +109,7 @@
 
 // runs pairs the starts and ends of runs in the journals. The callers' results
 // give the workspace of each request; a request that no caller knows, because
-// the head of its answer never came, is left out.
+// the headers of its answer never arrived, is left out.
 func (f *fleet) runs(all []load.Result) []targetRun {
 	f.t.Helper()
 	workspaces := make(map[string]string)
@@ -164,7 +166,7 @@
 	limit := gapMargin * f.gapBound()
 	f.t.Logf("%s: received %v, gap %.2f slot seconds per share, limit %.2f", when, received, highest-lowest, limit)
 	if highest-lowest > limit {
-		f.t.Errorf("%s the gap is %.2f slot seconds per share, over %.2f", when, highest-lowest, limit)
+		f.t.Errorf("%s: the gap is %.2f slot seconds per share, over %.2f", when, highest-lowest, limit)
 	}
 }
 
@@ -186,7 +188,7 @@
 		received := slotTimeByWorkspace(runs, interval{from, from.Add(time.Second)})
 		for name := range fairShares {
 			if received[name] == 0 {
-				f.t.Errorf("%s %s was not served for a second", when, name)
+				f.t.Errorf("%s: workspace %s was not served for a second", when, name)
 			}
 		}
 	}
@@ -200,7 +202,7 @@
 	for name, share := range fairShares {
 		fair := total * share / shares
 		if received[name].Seconds() < minPart*fair {
-			f.t.Errorf("%s %s received %s, under %.2f of its fair %.2f s", when, name, received[name], minPart, fair)
+			f.t.Errorf("%s: workspace %s received %s, less than %.2f of its fair share of %.2f s", when, name, received[name], minPart, fair)
 		}
 	}
 }
--- a/proctest/faults_test.go
+++ b/proctest/faults_test.go
@@ -43,8 +43,8 @@
 	f.post("http://"+f.platform.Address+"/_fault", faults, nil)
 }
 
-// setTargetFaults replaces a target's faults. It waits for a target that is
-// down.
+// setTargetFaults replaces a target's faults. If the target is down, it waits
+// until the target is up again.
 func (f *fleet) setTargetFaults(target string, faults engine.Faults) {
 	f.t.Helper()
 	f.note("%s faults %+v", target, faults)
--- a/proctest/fleet_test.go
+++ b/proctest/fleet_test.go
@@ -81,9 +81,11 @@
 	// targetProxies holds the proxy through which all routers reach a target.
 	targetProxies map[string]*proxy
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// version is the newest version that the test was told of.
 	version config.Version
-	notes   []string
+	// notes is the log of the test's actions.
+	notes []string
 }
 
 // startFleet starts a fleet and waits until every router is on version 1 and
@@ -165,14 +167,16 @@
 	}
 	for _, r := range f.routers {
 		output := r.Output()
-		const shown = 6000
-		if len(output) > shown {
-			output = "..." + output[len(output)-shown:]
+		const maxBytes = 6000
+		if len(output) > maxBytes {
+			output = "..." + output[len(output)-maxBytes:]
 		}
 		f.t.Logf("%s printed:\n%s", r.Name, output)
 	}
 }
 
+// startPlatform starts the platform. It returns the addresses of its views, one
+// for each router.
 func (f *fleet) startPlatform() []string {
 	f.t.Helper()
 	var views []string
@@ -248,8 +252,8 @@
 		return listens, err
 	}
 	for n := range routerCount {
-		ports := addresses[portsPerRouter*n:]
-		listens[n] = settings.Listen{Callers: ports[0], Operators: ports[1], Peers: ports[2]}
+		routerAddresses := addresses[portsPerRouter*n:]
+		listens[n] = settings.Listen{Callers: routerAddresses[0], Operators: routerAddresses[1], Peers: routerAddresses[2]}
 	}
 	return listens, nil
 }
--- a/proctest/judge_test.go
+++ b/proctest/judge_test.go
@@ -92,13 +92,15 @@
 	return strings.TrimSuffix(strings.TrimPrefix(fmt.Sprint(counts), "map["), "]")
 }
 
+// ranNo is the value of load.Result.Ran for a request that did not run.
 const ranNo = "no"
 
 // notRun reports whether a request was refused as not run.
 func notRun(r load.Result) bool { return r.Verdict == load.Refused && r.Ran == ranNo }
 
 // checkNotRun fails for every request that was refused as not run although a
-// target started it. It returns the number of requests refused as not run.
+// target started it, or without a request ID. It returns the number of requests
+// refused as not run.
 func (f *fleet) checkNotRun(all []load.Result) int {
 	f.t.Helper()
 	starts := make(map[string]string)
@@ -116,8 +118,8 @@
 		if r.RequestID == "" {
 			f.t.Errorf("a refusal with code %d of %s has no request ID", r.Code, r.Request.Mark)
 		}
-		if ran, found := starts[r.RequestID]; found {
-			f.t.Errorf("request %s (%s) was refused with code %d as not run, but %s started it", r.RequestID, r.Request.Mark, r.Code, ran)
+		if target, found := starts[r.RequestID]; found {
+			f.t.Errorf("request %s (%s) was refused with code %d as not run, but %s started it", r.RequestID, r.Request.Mark, r.Code, target)
 		}
 	}
 	return refused
@@ -170,8 +172,8 @@
 	}
 }
 
-// request makes one request, which takes a target the time of a number of
-// tokens.
+// request returns a request of the given kind. A chat call is answered with that
+// number of tokens; a service call takes 2 ms for each.
 func request(kind load.Kind, workspace, mark string, tokens int) load.Request {
 	r := load.Request{
 		Kind:      kind,
--- a/proctest/leaving_test.go
+++ b/proctest/leaving_test.go
@@ -11,12 +11,12 @@
 	standin "github.com/walnutcove/walnutcove/standin/platform"
 )
 
-// maxLeaveDelay is how long a leaving target may still get new requests.
-const maxLeaveDelay = 3 * time.Second
+// maxLeavingDelay is how long a leaving target may still get new requests.
+const maxLeavingDelay = 3 * time.Second
 
-// leaveWatchTime is how long after maxLeaveDelay the target is watched for new
-// requests.
-const leaveWatchTime = 1500 * time.Millisecond
+// leavingWatchTime is how long after maxLeavingDelay the target is watched for
+// new requests.
+const leavingWatchTime = 1500 * time.Millisecond
 
 // startLeavingFleet starts a fleet with two engines under load, of which
 // engine-1 is to leave.
@@ -43,13 +43,13 @@
 
 // checkLeft watches a target that began to leave at a given time, while the
 // other engine goes on serving. The target may get nothing later than
-// maxLeaveDelay after that time.
-func (f *fleet) checkLeft(target string, left time.Time, tr *traffic) {
+// maxLeavingDelay after that time, and no request may be cut.
+func (f *fleet) checkLeft(target string, leavingSince time.Time, tr *traffic) {
 	f.t.Helper()
-	deadline := left.Add(maxLeaveDelay)
-	time.Sleep(time.Until(deadline.Add(leaveWatchTime)))
+	deadline := leavingSince.Add(maxLeavingDelay)
+	time.Sleep(time.Until(deadline.Add(leavingWatchTime)))
 	if late := f.startsAfter(target, deadline); late > 0 {
-		f.t.Errorf("%s got %d new requests later than %s after it began to leave", target, late, maxLeaveDelay)
+		f.t.Errorf("%s got %d new requests later than %s after it began to leave", target, late, maxLeavingDelay)
 	}
 	if other := f.startsAfter("engine-2", deadline); other == 0 {
 		f.t.Error("the other engine got no requests either, so the test proves nothing")
@@ -85,9 +85,10 @@
 	f.checkLeft("engine-1", time.Now(), tr)
 }
 
-// TestLeavingByLoadReportAlone lets the target announce that it leaves while the
-// scheduling router is cut off from the other routers and from the platform.
-func TestLeavingByLoadReportAlone(t *testing.T) {
+// TestLeavingByLoadReportWhileCutOff lets the target announce that it leaves
+// while the scheduling router is cut off from the other routers and from the
+// platform.
+func TestLeavingByLoadReportWhileCutOff(t *testing.T) {
 	t.Parallel()
 	f, tr := startLeavingFleet(t)
 	scheduler := max(f.scheduler(enginePool, 0, 1, 2), 0)
@@ -121,7 +122,7 @@
 		f.platformProxies[n].Cut()
 	}
 	f.mustPatch(0, leavingPatch())
-	left := time.Now()
+	leavingSince := time.Now()
 	f.setPlatformFaults(standin.Faults{Outage: standin.OutageDrop})
-	f.checkLeft("engine-1", left, tr)
+	f.checkLeft("engine-1", leavingSince, tr)
 }
--- a/proctest/notrun_test.go
+++ b/proctest/notrun_test.go
@@ -49,7 +49,7 @@
 	}
 	f.note("the targets are cut off until callers are told that none serves")
 	f.cutTargets()
-	tr.awaitResults(f, "told that no target serves", 50, refusedWith(result.NoTarget))
+	tr.awaitResults(f, "refused because no target serves", 50, refusedWith(result.NoTarget))
 	f.healTargets()
 	tr.awaitAnswered(f, 50)
 	tr.stop()
@@ -133,14 +133,14 @@
 			f.forEachEngine(func(name string) { f.setTargetFaults(name, engine.Faults{Hang: true, Times: 1}) })
 			mark := "retried-" + kind.String()
 			outcome := f.sendAsync(0, request(kind, "bakery", mark, 5))
-			ran := f.awaitStart(mark, "engine-1", "engine-2")
-			f.note("%s began to run on %s", mark, ran)
+			target := f.awaitStart(mark, "engine-1", "engine-2")
+			f.note("%s began to run on %s", mark, target)
 			f.forEachEngine(func(name string) {
-				if name != ran {
+				if name != target {
 					f.targetProxies[name].Cut()
 				}
 			})
-			f.targetProxies[ran].Cut()
+			f.targetProxies[target].Cut()
 			got := <-outcome
 			t.Logf("code %d, ran=%s: %s", got.Code, got.Ran, got.Detail)
 			if got.Verdict == load.Answered {
@@ -200,7 +200,7 @@
 // that target. No other run may be in progress on them.
 func (f *fleet) awaitStart(what string, names ...string) string {
 	f.t.Helper()
-	ran := ""
+	target := ""
 	f.eventually(what+" runs on a target", func() bool {
 		for _, name := range names {
 			running := 0
@@ -213,11 +213,11 @@
 				}
 			}
 			if running > 0 {
-				ran = name
+				target = name
 				return true
 			}
 		}
 		return false
 	})
-	return ran
+	return target
 }
--- a/proctest/once_test.go
+++ b/proctest/once_test.go
@@ -31,7 +31,7 @@
 	} {
 		f.setPlatformFaults(faults)
 		f.pauseBriefly()
-		f.eventually("all replies to be lost were lost", func() bool {
+		f.eventually("the platform has lost as many replies as it should", func() bool {
 			var now standin.Faults
 			f.must(get("http://"+f.platform.Address+"/_fault", &now))
 			return now.LoseReplies == 0
--- a/proctest/recover_test.go
+++ b/proctest/recover_test.go
@@ -17,7 +17,7 @@
 	tr := f.startTraffic(10, mixedRequests("again"))
 	tr.awaitAnswered(f, 50)
 	f.forEachTarget(func(name string) { f.setTargetFaults(name, engine.Faults{Refuse: true}) })
-	tr.awaitResults(f, "told that no target serves", 200, refusedWith(result.NoTarget))
+	tr.awaitResults(f, "refused because no target serves", 200, refusedWith(result.NoTarget))
 	f.forEachTarget(func(name string) { f.setTargetFaults(name, engine.Faults{}) })
 	tr.awaitAnswered(f, 50)
 	tr.stop()
--- a/proctest/resend_test.go
+++ b/proctest/resend_test.go
@@ -19,9 +19,9 @@
 )
 
 // shouldResend reports whether a caller should send a request again: if the
-// answer broke off, no router was reached, or the refusal permits it. A
-// non-idempotent request that may have run is sent again with its key, which
-// must be safe.
+// answer broke off, if no router was reached, and after every refusal but
+// result.RecordUnknown. A non-idempotent request that may have run is sent again
+// with its key, which must be safe.
 func shouldResend(r load.Result) bool {
 	switch r.Verdict {
 	case load.Broken, load.Unreachable:
@@ -33,8 +33,9 @@
 	}
 }
 
-// sendUntilAnswered sends a request until it is answered, each time to the next
-// router, records each attempt in seen, and returns the last result.
+// sendUntilAnswered sends a request until it should not be sent again or
+// maxResendTime is over, each time to the next router. It adds the result of each
+// attempt to seen and returns the last one.
 func (f *fleet) sendUntilAnswered(client *load.Client, r load.Request, first int, seen *results) load.Result {
 	routers := f.callersAddresses()
 	deadline := time.Now().Add(maxResendTime)
@@ -123,15 +124,15 @@
 	l.f.t.Logf("outcomes: %v", &l.outcomes)
 }
 
-// checkAnsweredRan fails for every non-idempotent request that was answered
-// although no target started it.
+// checkAnsweredRan fails for every non-idempotent request that was answered but
+// was not started exactly once.
 func (f *fleet) checkAnsweredRan(all []load.Result) {
 	f.t.Helper()
 	starts := f.checkAtMostOnce()
 	for _, r := range all {
 		key := r.Request.IdempotencyKey
 		if r.Verdict == load.Answered && key != "" && starts[key] != 1 {
-			f.t.Errorf("request %s was answered and ran %d times", key, starts[key])
+			f.t.Errorf("request %s was answered, but ran %d times", key, starts[key])
 		}
 	}
 }
--- a/proctest/state_test.go
+++ b/proctest/state_test.go
@@ -8,7 +8,7 @@
 )
 
 // versionAt returns the version in force at a router, and whether the router is
-// ready.
+// ready. It returns 0 and false if the router does not answer.
 func (f *fleet) versionAt(n int) (config.Version, bool) {
 	var readiness operator.Readiness
 	if err := get(f.operatorsAddress(n)+operator.PathReadyz, &readiness); err != nil {
@@ -32,7 +32,8 @@
 }
 
 // scheduler returns the only one of the given routers that schedules a pool, in
-// a fleet with one data centre. It returns -1 if none or several do.
+// a fleet with one data centre. It returns -1 if none or several do, or if a
+// router does not answer.
 func (f *fleet) scheduler(pool string, routers ...int) int {
 	found := -1
 	for _, n := range routers {
@@ -72,7 +73,8 @@
 	})
 }
 
-// schedulersByShard counts the routers that schedule each shard.
+// schedulersByShard counts the routers that schedule each shard, by
+// "pool/data centre". It returns nil if a router does not answer.
 func (f *fleet) schedulersByShard() map[string]int {
 	counts := make(map[string]int)
 	for n := range routerCount {
--- a/proctest/versionwatch_test.go
+++ b/proctest/versionwatch_test.go
@@ -192,7 +192,9 @@
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
-	mu         sync.Mutex
+	mu sync.Mutex
+	// accepted maps each accepted version to the ID of its patch, and duplicates
+	// holds the versions that were given to two patches.
 	accepted   map[config.Version]string
 	duplicates []config.Version
 }
@@ -207,8 +209,9 @@
 	return o
 }
 
-// patch sends each patch until its outcome is known, and then the next one. An
-// attempt that fails is repeated at the next router.
+// patch sends one patch after another, each until it is accepted, refused because
+// of a conflict, or has failed 20 times. A failed attempt is repeated at the next
+// router.
 func (o *operators) patch(ctx context.Context, f *fleet, router int) {
 	for n := 1; ctx.Err() == nil; n++ {
 		patch := newPatch(f.newest(), float64(n))
@@ -228,7 +231,8 @@
 	}
 }
 
-// catchUp takes the newest version from a conflict.
+// catchUp records the newest version, which the refusal because of a conflict
+// states.
 func (o *operators) catchUp(f *fleet, conflict error) {
 	var status *statusError
 	var body operator.ErrorBody
--- a/proctest/whole_test.go
+++ b/proctest/whole_test.go
@@ -125,9 +125,9 @@
 	f.checkResults([]load.Result{got})
 }
 
-// TestStreamEndsBrokenWhenItsTargetIsCutOff cuts all connections to the targets,
-// which can resume, while a stream reaches the caller, and does not restore
-// them. The caller must see a broken stream.
+// TestStreamEndsBrokenWhenItsTargetIsCutOff cuts off all targets for good while a
+// stream reaches the caller. The targets can resume streams, but no router can
+// reach them. The caller must see a broken stream.
 func TestStreamEndsBrokenWhenItsTargetIsCutOff(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{tokenTime: 20 * time.Millisecond})
@@ -142,8 +142,8 @@
 	}
 }
 
-// openStream sends a request and returns the body of its answer once the head
-// of the answer has come.
+// openStream sends a request and returns the body of its answer once the headers
+// of the answer have arrived.
 func (f *fleet) openStream(router int, r load.Request) io.ReadCloser {
 	f.t.Helper()
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"mark:%s"}]}`,
@@ -159,10 +159,10 @@
 	return answer.Body
 }
 
-// TestAnswersCompleteBesideCallersThatLeave lets impatient callers close their
-// connections in the middle of answers. All other callers must still get the
-// complete answers to their own requests.
-func TestAnswersCompleteBesideCallersThatLeave(t *testing.T) {
+// TestAnswersCompleteBesideCallersThatDisconnect lets impatient callers close
+// their connections in the middle of answers. All other callers must still get
+// the complete answers to their own requests.
+func TestAnswersCompleteBesideCallersThatDisconnect(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, options{})
 	l := f.startRetryingLoad(12, mixedRequests("patient"))
@@ -173,7 +173,7 @@
 		impatientResults.add(impatient.Send(f.callersAddresses()[n%routerCount], request(load.Stream, "school", fmt.Sprintf("leaves-%d", n), 20)))
 	}
 	if impatientResults.countVerdict(load.Broken) == 0 {
-		t.Error("no caller left early")
+		t.Error("no caller disconnected early")
 	}
 	t.Logf("impatient: %v", impatientResults)
 	l.awaitAnswered(10)
