--- a/managedtest/answernotice_test.go
+++ b/managedtest/answernotice_test.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	// maxNoticeDelay is how long after an answer in which a target announces something a
-	// router may still send the target requests that contradict it.
+	// maxNoticeDelay is how long a router may take to act on what a target announces in an
+	// answer.
 	maxNoticeDelay = 500 * time.Millisecond
 	// loadTime is how long the load continues after the targets have changed.
 	loadTime = 4 * time.Second
-	// sendersPerRouter is how many requests are in progress at each router.
+	// sendersPerRouter is the number of senders at each router. Each sends one request
+	// after another.
 	sendersPerRouter = 3
 )
 
@@ -62,8 +63,8 @@
 // headerCode is the header that carries the result code of a refusal.
 const headerCode = "Walnut-Code"
 
-// logRefusals logs the refusals by result code, and the routers' log lines about the first
-// request of each code.
+// logRefusals logs the refusals by result code, the routers' log lines about the first request
+// of each code, and their log lines about requests that were refused unread.
 func (f *fleet) logRefusals(log *sendLog) {
 	f.t.Helper()
 	for code, count := range log.byCode {
@@ -145,7 +146,7 @@
 				t.Errorf("%d requests reached the target after their router had passed on that it leaves", late)
 			}
 			if unanswered := len(log.router) - log.byStatus[http.StatusOK]; unanswered > 0 || log.incomplete > 0 {
-				t.Errorf("%d of %d requests were not answered while a target with room stayed: %v", unanswered, len(log.router), log.byStatus)
+				t.Errorf("%d of %d requests were not answered although the target that stayed had free slots: %v", unanswered, len(log.router), log.byStatus)
 				f.logRefusals(log)
 			}
 		})
@@ -153,7 +154,7 @@
 }
 
 // TestRetryAfterOfATargetIsHonoured guards against a router that sends requests to a target
-// before the time that the target asked it to wait when it refused a request.
+// before the Retry-After of the target's refusal of an earlier request is over.
 func TestRetryAfterOfATargetIsHonoured(t *testing.T) {
 	const retryAfter = 3 * time.Second
 	for _, every := range []int{1, 4, 8} {
@@ -181,23 +182,23 @@
 				t.Errorf("%d requests of one router reached the target before the end of its Retry-After", maxTooEarly)
 			}
 			if unanswered := len(log.router) - log.byStatus[http.StatusOK]; unanswered > 0 {
-				t.Errorf("%d of %d requests were not answered while another target had room: %v", unanswered, len(log.router), log.byStatus)
+				t.Errorf("%d of %d requests were not answered although the other target had free slots: %v", unanswered, len(log.router), log.byStatus)
 				f.logRefusals(log)
 			}
 		})
 	}
 }
 
-// TestRequestsAreRefusedWhileAllTargetsAskForLater requires that, once all targets have refused
-// a router with a Retry-After, its callers are refused immediately with a Retry-After, and the
-// targets get no requests.
-func TestRequestsAreRefusedWhileAllTargetsAskForLater(t *testing.T) {
+// TestRequestsAreRefusedWhileAllTargetsAskToRetryLater requires that, once all targets have
+// refused requests of a router with a Retry-After, the router refuses its callers immediately
+// with a Retry-After and sends the targets no requests meanwhile.
+func TestRequestsAreRefusedWhileAllTargetsAskToRetryLater(t *testing.T) {
 	const retryAfter = 3 * time.Second
 	faults := managed.ReplicaFaults{Refuse: true, RetryAfter: retryAfter}
 	f := startFleet(t, 1, opsReplicaForAllSenders("a"), opsReplicaForAllSenders("b"))
-	refusing := time.Now()
+	refusingSince := time.Now()
 	log := f.runLoad(func() {
-		refusing = time.Now()
+		refusingSince = time.Now()
 		for _, r := range f.replicas {
 			r.SetFaults(faults)
 		}
@@ -205,7 +206,7 @@
 	for _, id := range []string{"a", "b"} {
 		tooEarly := 0
 		for _, arrival := range f.journal.Arrivals(id) {
-			if since := arrival.At.Sub(refusing); since > maxNoticeDelay && since < retryAfter {
+			if since := arrival.At.Sub(refusingSince); since > maxNoticeDelay && since < retryAfter {
 				tooEarly++
 			}
 		}
--- a/managedtest/cold_test.go
+++ b/managedtest/cold_test.go
@@ -22,7 +22,7 @@
 )
 
 // TestColdReplicaIsLimited guards against several routers together exceeding the request rate that
-// a cold replica tolerates, after its first start and after a restart under the same id, and
+// a cold replica tolerates, after its first start and after a restart under the same ID, and
 // against refused requests while a warm replica has free slots.
 func TestColdReplicaIsLimited(t *testing.T) {
 	f := startFleet(t, 3, opsReplica("warm"))
@@ -40,7 +40,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		refused := f.sendFromAllRouters(coldTime - 500*time.Millisecond)
+		refused := f.sendThroughAllRouters(coldTime - 500*time.Millisecond)
 		starts := f.runStartTimes("cold", start)
 		if peak := maxInWindow(starts, time.Second); peak > maxColdPerSecond {
 			t.Errorf("the cold replica received %d requests within one second, want at most %v", peak, maxColdPerSecond)
@@ -56,9 +56,9 @@
 	}
 }
 
-// sendFromAllRouters sends requests through all routers concurrently for the given duration, one at
-// a time per router, and returns the number of requests whose status is not 200.
-func (f *fleet) sendFromAllRouters(d time.Duration) (refused int) {
+// sendThroughAllRouters sends requests through all routers concurrently for the given duration, one
+// at a time per router, and returns the number of requests whose status is not 200.
+func (f *fleet) sendThroughAllRouters(d time.Duration) (refused int) {
 	var mu sync.Mutex
 	var senders sync.WaitGroup
 	for n := range f.routers {
--- a/managedtest/endintime_test.go
+++ b/managedtest/endintime_test.go
@@ -86,7 +86,7 @@
 				f.caller.Deadline = limit.deadline
 				for _, path := range []string{pathNonIdempotent, pathIdempotent, pathStream} {
 					if path == pathStream && s.faults.MidAnswerPause > 0 {
-						continue // this fault applies to bodies sent whole, not to streams
+						continue // this fault does not affect streams
 					}
 					f.checkEndsInTime(path)
 				}
@@ -156,8 +156,8 @@
 	if waited := time.Since(sent); next.Status != http.StatusOK || waited < stallTime-shortLimit-endMargin {
 		t.Errorf("the next request got status %d after %s, while the previous run continued", next.Status, waited)
 	}
-	if run := f.journal.Runs(got.ID); len(run) != 1 || run[0].Cancelled {
-		t.Errorf("runs %+v", run)
+	if runs := f.journal.Runs(got.ID); len(runs) != 1 || runs[0].Cancelled {
+		t.Errorf("runs %+v, want one that is not cancelled", runs)
 	}
 	if arrivals := f.journal.Arrivals("o1"); len(arrivals) != 2 {
 		t.Errorf("%d requests reached the target: %+v", len(arrivals), arrivals)
@@ -181,7 +181,7 @@
 	if took := time.Since(sent); took < stallTime {
 		t.Errorf("the router shut down after %s, before the end of a run of %s", took, stallTime)
 	}
-	if run := f.journal.Runs(got.ID); len(run) != 1 || run[0].Cancelled {
-		t.Errorf("runs %+v", run)
+	if runs := f.journal.Runs(got.ID); len(runs) != 1 || runs[0].Cancelled {
+		t.Errorf("runs %+v, want one that is not cancelled", runs)
 	}
 }
--- a/managedtest/evacuation_test.go
+++ b/managedtest/evacuation_test.go
@@ -55,7 +55,7 @@
 			t.Fatalf("router %d: ran at %q, status %d", n%len(f.routers), replica, status)
 		}
 	}
-	if got := <-streamed; got.Status != http.StatusOK || !got.Complete || got.Body != wholeStream(got.ID) {
+	if got := <-streamed; got.Status != http.StatusOK || !got.Complete || got.Body != expectedStream(got.ID) {
 		t.Errorf("stream in the evacuated zone: status %d, complete %v", got.Status, got.Complete)
 	}
 
--- a/managedtest/fleet_test.go
+++ b/managedtest/fleet_test.go
@@ -43,7 +43,7 @@
 	routers  []*router.Router
 	settings []settings.Settings
 	logs     []*logBuffer // one for each router
-	version  uint64
+	version  uint64       // the newest published version
 	caller   *managed.Caller
 }
 
@@ -185,5 +185,5 @@
 	f.t.Errorf("timed out after %s waiting until %s", within, what)
 }
 
-// wholeStream returns the body of a complete stream, with each event once.
-func wholeStream(id string) string { return managed.ExpectedStream(id, streamEvents) }
+// expectedStream returns the body of a complete stream, with each event once.
+func expectedStream(id string) string { return managed.ExpectedStream(id, streamEvents) }
--- a/managedtest/managed_test.go
+++ b/managedtest/managed_test.go
@@ -13,10 +13,12 @@
 	"github.com/walnutcove/walnutcove/standin/managed"
 )
 
+// opsReplica describes a replica of the plain service.
 func opsReplica(id string) managed.ReplicaOptions {
 	return managed.ReplicaOptions{ID: id, Service: "ops", Slots: 4, Pause: 5 * time.Millisecond}
 }
 
+// genReplica describes a replica of the engine, which answers with streams.
 func genReplica(id string) managed.ReplicaOptions {
 	return managed.ReplicaOptions{ID: id, Service: "gen", Slots: 8, Events: streamEvents, Pause: 5 * time.Millisecond}
 }
@@ -33,7 +35,7 @@
 			got := f.send(f.routers[n%len(f.routers)], path)
 			want := managed.ExpectedAnswer(got.ID)
 			if path == pathStream {
-				want = wholeStream(got.ID)
+				want = expectedStream(got.ID)
 			}
 			switch {
 			case got.Status == http.StatusServiceUnavailable:
@@ -64,7 +66,7 @@
 	resumed := 0
 	for range 20 {
 		got := f.send(f.routers[0], pathStream)
-		if got.Status != http.StatusOK || !got.Complete || got.Body != wholeStream(got.ID) {
+		if got.Status != http.StatusOK || !got.Complete || got.Body != expectedStream(got.ID) {
 			t.Fatalf("status %d, complete %v:\n%s", got.Status, got.Complete, got.Body)
 		}
 		if runs := f.journal.Runs(got.ID); len(runs) == 2 && runs[1].AfterEvent == "3" {
@@ -102,15 +104,15 @@
 	f := startFleet(t, 3, opsReplica("o1"), opsReplica("o2"))
 	f.store.SetFaultAt(f.settings[0].Platform.Address, managed.Refusing)
 	f.publishConfig(func(c *wire.Config) { c.Tenants[0].Keys = []string{"another"} })
-	cut := f.routers[0]
+	refused := f.routers[0]
 	f.eventually(3*time.Second, "a router that the store refuses rejects a removed key", func() bool {
-		return f.send(cut, pathNonIdempotent).Status == http.StatusUnauthorized
+		return f.send(refused, pathNonIdempotent).Status == http.StatusUnauthorized
 	})
 }
 
 // TestReadyOnceOthersAreKnown requires that a router that cannot list the other
-// routers is not ready at first, because it could not learn of changes from them,
-// but becomes ready after a while.
+// routers is not ready at first, because it could not learn of changes from them.
+// It becomes ready as soon as it gets the list, or else after a while.
 func TestReadyOnceOthersAreKnown(t *testing.T) {
 	f := startFleet(t, 2, opsReplica("o1"))
 	f.store.RefuseReads(platform.TableRouters)
@@ -136,9 +138,9 @@
 	f.waitJoined()
 	f.store.SetFaultAt(f.settings[0].Platform.Address, managed.Refusing)
 	f.publishConfig(func(c *wire.Config) { c.Tenants[0].Keys = []string{"another"} })
-	cut := f.routers[0]
+	refused := f.routers[0]
 	f.eventually(3*time.Second, "a member that the store refuses rejects a removed key", func() bool {
-		return f.send(cut, pathNonIdempotent).Status == http.StatusUnauthorized
+		return f.send(refused, pathNonIdempotent).Status == http.StatusUnauthorized
 	})
 }
 
@@ -207,9 +209,9 @@
 	f.store.SetFault(managed.Healthy)
 }
 
-// TestRunIsCancelledWhenItsCallerLeaves requires that the run of a stream is
+// TestRunIsCancelledWhenItsCallerDisconnects requires that the run of a stream is
 // cancelled within half a second after its caller has disconnected.
-func TestRunIsCancelledWhenItsCallerLeaves(t *testing.T) {
+func TestRunIsCancelledWhenItsCallerDisconnects(t *testing.T) {
 	slow := genReplica("g1")
 	slow.Pause = 100 * time.Millisecond
 	f := startFleet(t, 2, slow)
@@ -220,7 +222,7 @@
 		time.AfterFunc(250*time.Millisecond, cancel)
 		got := f.sendWith(ctx, f.routers[0], pathStream, key)
 		if got.Complete {
-			t.Fatal("the stream ended before its caller left")
+			t.Fatal("the stream ended before its caller disconnected")
 		}
 		f.eventually(500*time.Millisecond, "the run is cancelled", func() bool {
 			runs := f.journal.Runs(got.ID)
@@ -259,7 +261,7 @@
 	var callers sync.WaitGroup
 	for range 6 {
 		callers.Go(func() {
-			if got := f.send(f.routers[0], pathStream); got.Status != http.StatusOK || !got.Complete || got.Body != wholeStream(got.ID) {
+			if got := f.send(f.routers[0], pathStream); got.Status != http.StatusOK || !got.Complete || got.Body != expectedStream(got.ID) {
 				t.Errorf("status %d, complete %v: %q", got.Status, got.Complete, got.Body)
 			}
 		})
@@ -296,14 +298,14 @@
 		}
 	}
 	sendIdempotent := func() {
-		safe := f.send(f.routers[0], pathIdempotent)
-		if safeRuns := f.journal.Runs(safe.ID); len(safeRuns) == 2 && safe.Status == http.StatusOK {
+		got := f.send(f.routers[0], pathIdempotent)
+		if runs := f.journal.Runs(got.ID); len(runs) == 2 && got.Status == http.StatusOK {
 			repeated++
 		}
 	}
 	// Routers avoid a failing replica for a while, so it gets few requests: mostly the
-	// first one after such a pause. Once it lost a non-idempotent request, an idempotent
-	// one is sent first.
+	// first one after each such pause. Once the answer of a non-idempotent request was
+	// lost, idempotent ones are sent first.
 	for end := time.Now().Add(testTimeout); (lost == 0 || repeated == 0) && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if lost == 0 {
 			sendNonIdempotent()
@@ -318,7 +320,7 @@
 	}
 }
 
-// TestUnsealedSuccessIsNotPassedOn guards against passing a success on to the caller
+// TestUnsealedSuccessIsNotPassedOn guards against passing on to the caller a success
 // that lacks the replica's seal.
 func TestUnsealedSuccessIsNotPassedOn(t *testing.T) {
 	unsealed := opsReplica("forges")
@@ -331,9 +333,10 @@
 	}
 }
 
-// TestFewRoutersFollowTheStore requires that a change costs one call each of three
-// routers, while all others get it from their peers, and that a change reaches all
-// routers while the store refuses half of them.
+// TestFewRoutersFollowTheStore requires that a change costs at most three calls to
+// the store, one of each router that follows it, while all others get the change from
+// their peers. A change must also reach all routers while the store refuses half of
+// them.
 func TestFewRoutersFollowTheStore(t *testing.T) {
 	const (
 		routers   = 8
--- a/managedtest/regions_test.go
+++ b/managedtest/regions_test.go
@@ -19,7 +19,8 @@
 }
 
 // TestRequestsRunInAllowedRegions guards against requests that run outside the allowed regions
-// of their route while new versions change these regions and requests wait for a slot.
+// of their route while new versions change these regions and requests wait for a slot. The ID
+// of each replica is the name of its zone.
 func TestRequestsRunInAllowedRegions(t *testing.T) {
 	north, south := withZone("north", opsReplica("north")), withZone("south", opsReplica("south"))
 	north.Slots, south.Slots = 1, 1
--- a/managedtest/restore_test.go
+++ b/managedtest/restore_test.go
@@ -69,13 +69,13 @@
 	time.Sleep(outageBeforeRestore)
 	f.store.Restore(backup)
 	f.store.SetFault(managed.Healthy)
-	returned := time.Now()
+	restoredAt := time.Now()
 	f.publishConfig(nil)
 	started := f.startReplicaWithoutCleanup(fmt.Sprintf("starts-%d", n))
 	leaving.Renew()
 	lost.Renew()
 	for i, r := range f.routers {
-		for !f.isUpToDateAfterRestore(r, started.ID(), leaving.ID(), lost.ID()) && time.Since(returned) < testTimeout {
+		for !f.isUpToDateAfterRestore(r, started.ID(), leaving.ID(), lost.ID()) && time.Since(restoredAt) < testTimeout {
 			known := r.InForce().Version
 			if known < highest[i] {
 				f.t.Fatalf("router %d returned to version %d from %d", i, known, highest[i])
@@ -83,7 +83,7 @@
 			highest[i] = known
 			time.Sleep(5 * time.Millisecond)
 		}
-		if took := time.Since(returned); took > maxUpdateDelay {
+		if took := time.Since(restoredAt); took > maxUpdateDelay {
 			f.t.Errorf("router %d was up to date %s after the restore", i, took)
 		}
 		got := f.send(r, pathNonIdempotent)
@@ -201,7 +201,7 @@
 		})
 	}
 	f.store.Restore(backup)
-	f.publishConfig(nil) // wakes the feeds
+	f.publishConfig(nil) // so that the waiting calls of the feeds are answered
 	for end := time.Now().Add(maxUpdateDelay); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		for n, r := range f.routers {
 			if _, listed := r.InForce().Declarations.Targets["removed"]; listed {
@@ -217,7 +217,7 @@
 // registers itself again, and makes hardly any other call.
 func TestStoreCallsAfterRestore(t *testing.T) {
 	const (
-		// maxCallsPerRouter is how many calls to the store the routers may make on average.
+		// maxCallsPerRouter is how many calls to the store each router may make on average.
 		maxCallsPerRouter = 3
 		watchTime         = 5 * time.Second
 	)
--- a/managedtest/silence_test.go
+++ b/managedtest/silence_test.go
@@ -15,8 +15,8 @@
 	"github.com/walnutcove/walnutcove/standin/managed"
 )
 
-// maxUpdateDelay is how long changes may take to be in force at every router, from the
-// store's first answer on.
+// maxUpdateDelay is how long changes may take to be in force at every router; after an
+// outage, from the store's first answer on.
 const maxUpdateDelay = time.Second
 
 // outageTime is how long the store does not answer in these tests; versions and targets
@@ -40,23 +40,23 @@
 	}
 	f.publishConfig(nil)
 	leaving.StartLeaving()
-	// The routers have received both changes, and wait for 10 ms a router to gather more
-	// before they call again.
+	// The routers have received both changes. Before they call again, they collect further
+	// changes for 10 ms per router of the fleet.
 	time.Sleep(10 * time.Millisecond)
 	f.store.SetFault(managed.Unresponsive)
 	time.Sleep(outageTime / 2)
 	f.publishConfig(nil)
 	time.Sleep(outageTime / 2)
 	f.store.SetFault(managed.Healthy)
-	returned := time.Now()
+	outageEnd := time.Now()
 	f.publishConfig(nil)
 	alsoLeaving := f.addReplica(opsReplica("o4"))
 	alsoLeaving.StartLeaving()
 	for n, r := range f.routers {
-		for !hasUpdate(r, f.version, "o4") && time.Since(returned) < testTimeout {
+		for !hasUpdate(r, f.version, "o4") && time.Since(outageEnd) < testTimeout {
 			time.Sleep(5 * time.Millisecond)
 		}
-		took := time.Since(returned)
+		took := time.Since(outageEnd)
 		t.Logf("router %d was up to date %s after the outage", n, took)
 		if took > maxUpdateDelay {
 			t.Errorf("router %d was up to date %s after the outage", n, took)
--- a/managedtest/together_test.go
+++ b/managedtest/together_test.go
@@ -6,9 +6,9 @@
 )
 
 // TestRoutersThatStartTogetherFindEachOther guards against routers that never learn of each
-// other because more of them start at the same time than the store lets wait for their
-// registration, as when a large fleet gets its power back. All must know each other soon after
-// the store could have written all registrations.
+// other because too many of them start at the same time, as when a large fleet gets its power
+// back: the store lets only some registrations wait and refuses the others. All must know each
+// other soon after the store could have written all registrations.
 func TestRoutersThatStartTogetherFindEachOther(t *testing.T) {
 	const (
 		routers         = 24
