--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -13,8 +13,8 @@
 const (
 	// maxActiveFaults limits how many faults are active at the same time.
 	maxActiveFaults = 4
-	// maxFaultTime limits how long a fault is active, maxFaultGap the pause before the
-	// next one begins.
+	// maxFaultTime limits how long a fault is active before it is ended, maxFaultGap the
+	// pause before the next one begins.
 	maxFaultTime = 1500 * time.Millisecond
 	maxFaultGap  = 300 * time.Millisecond
 	// maxProxyDelay limits the delay that a proxy adds.
@@ -41,9 +41,10 @@
 	*fleet
 	random *rand.Rand
 	active []fault
-	// busy holds the names of the subjects of active faults: a router, a replica, a
-	// proxy, a zone or the store.
-	busy   map[string]bool
+	// busy holds the names of the subjects of active faults, such as a router, a replica,
+	// a proxy, a zone or the store.
+	busy map[string]bool
+	// nextAt is when the next fault may begin.
 	nextAt time.Time
 	soakOptions
 	// begunByKind counts the faults that were begun by kind.
@@ -78,12 +79,12 @@
 // endDue ends the faults whose time is over at now.
 func (f *faultInjector) endDue(now time.Time) {
 	var remaining []fault
-	for _, one := range f.active {
-		if now.Before(one.until) || !one.end() {
-			remaining = append(remaining, one)
+	for _, current := range f.active {
+		if now.Before(current.until) || !current.end() {
+			remaining = append(remaining, current)
 			continue
 		}
-		f.note("end: %s", one.name)
+		f.note("end: %s", current.name)
 	}
 	f.active = remaining
 }
@@ -194,7 +195,8 @@
 const exitMargin = 2 * time.Second
 
 // startAfterEnd returns a function that checks the exit of a router that was asked to shut
-// down and starts it again. The function returns false while the process still runs.
+// down and starts it again. Exit code 0 means that the router has drained completely, 1 that
+// its drain was cut short. The function returns false while the process still runs.
 func (f *faultInjector) startAfterEnd(r *router) func() bool {
 	asked := time.Now()
 	return func() bool {
@@ -379,7 +381,7 @@
 // publishVersions publishes up to three versions in quick succession.
 func (f *faultInjector) publishVersions() (string, func() bool) {
 	for range 1 + f.random.IntN(3) {
-		f.configure()
+		f.publishNextVersion()
 	}
 	return "version", func() bool { return true }
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -66,9 +66,11 @@
 	// replicasMade counts all replicas ever started, for their names.
 	replicasMade int
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// version is the newest published version.
 	version uint64
-	notes   []string
+	// notes is the log of the test's actions.
+	notes []string
 }
 
 // startFleet starts a fleet and waits until every router is ready.
@@ -80,7 +82,7 @@
 	t.Cleanup(f.close)
 	var routerIP string
 	routerIP, f.proxyIP = processes.NewLoopbackIPs()
-	f.configure()
+	f.publishNextVersion()
 	for range plainReplicas {
 		f.addReplica(managed.ReplicaOptions{Service: managed.DemoService, Slots: plainSlots, Pause: plainRunTime})
 	}
@@ -153,16 +155,16 @@
 	return f.version
 }
 
-// configure publishes the next version.
-func (f *fleet) configure() {
+// publishNextVersion publishes the next version.
+func (f *fleet) publishNextVersion() {
 	f.mu.Lock()
-	f.version += 2 // versions need not be consecutive
+	f.version += 2 // versions need not be consecutive: these are 2, 4, 6 and so on
 	f.mu.Unlock()
-	f.publish()
+	f.writeNewestVersion()
 }
 
-// publish writes the newest version to the store, possibly again.
-func (f *fleet) publish() {
+// writeNewestVersion writes the newest version to the store, possibly again.
+func (f *fleet) writeNewestVersion() {
 	version := f.newestVersion()
 	content := managed.DemoConfig(version)
 	content.Tenants[0].Keys = append(content.Tenants[0].Keys, versionKey(version))
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -20,10 +20,11 @@
 	// answerMargin is how long after its deadline an answer may end, because a router may
 	// be frozen.
 	answerMargin = maxFaultTime + time.Second
-	// requestsPerEarlyLeave is the number of requests for each one whose caller leaves early.
-	requestsPerEarlyLeave = 10
-	// maxEarlyLeaveTime limits how long such a caller stays.
-	maxEarlyLeaveTime = 100 * time.Millisecond
+	// requestsPerDisconnect is the number of requests for each one whose caller disconnects
+	// early.
+	requestsPerDisconnect = 10
+	// maxTimeToDisconnect limits how long such a caller stays connected.
+	maxTimeToDisconnect = 100 * time.Millisecond
 	// failurePause is the pause of a caller after a request that was not served.
 	failurePause = 5 * time.Millisecond
 	// versionProbePause is the pause between two probes of the versions in force.
@@ -55,7 +56,8 @@
 	clock   pauseClock
 	stop    context.CancelFunc
 	workers sync.WaitGroup
-	served  atomic.Int64
+	// served counts the requests that were answered completely.
+	served atomic.Int64
 
 	mu       sync.Mutex
 	requests []sentRequest
@@ -88,16 +90,16 @@
 		r := c.routers[random.IntN(len(c.routers))]
 		request := sentRequest{path: paths[random.IntN(len(paths))], router: r.Name, sentAt: time.Now()}
 		limit := requestDeadline + answerMargin
-		leaves := random.IntN(requestsPerEarlyLeave) == 0
-		if leaves {
-			limit = time.Duration(random.Int64N(int64(maxEarlyLeaveTime)))
+		disconnects := random.IntN(requestsPerDisconnect) == 0
+		if disconnects {
+			limit = time.Duration(random.Int64N(int64(maxTimeToDisconnect)))
 		}
 		requestCtx, cancel := context.WithCancel(context.Background())
 		stopLimit := c.clock.afterRunTime(limit, cancel)
 		request.answer = c.caller.Send(requestCtx, r.Settings.Listen.Callers, request.path, managed.DemoKey)
 		request.endedAt = time.Now()
 		stopLimit()
-		if requestCtx.Err() != nil && !leaves {
+		if requestCtx.Err() != nil && !disconnects {
 			c.t.Errorf("%s did not end within %s at %s: status %d, %q", request.answer.ID, limit, r.Name, request.answer.Status, request.answer.Body)
 			c.logNoEnd(request)
 		}
@@ -112,16 +114,16 @@
 	}
 }
 
-// logNoEnd logs the details of a request that did not end, so that the reader can see whether
-// the request hung or this process did not run.
+// logNoEnd logs the details of a request that did not end in time, to show whether the request
+// hung or this process did not run.
 func (c *checker) logNoEnd(request sentRequest) {
-	targets := []string{}
+	runs := []string{}
 	for _, run := range c.journal.Runs(request.answer.ID) {
-		targets = append(targets, run.Replica+" from "+run.StartedAt.Format(noteTimeFormat))
+		runs = append(runs, run.Replica+" from "+run.StartedAt.Format(noteTimeFormat))
 	}
 	c.t.Logf("%s: %s, sent at %s, took %s, of which this process did not run for %s; runs %q",
 		request.answer.ID, request.path, request.sentAt.Format(noteTimeFormat), request.endedAt.Sub(request.sentAt),
-		c.clock.pausedBetween(request.sentAt, request.endedAt), targets)
+		c.clock.pausedBetween(request.sentAt, request.endedAt), runs)
 }
 
 // checkAnswer checks one answer, without the journal of runs.
@@ -150,7 +152,8 @@
 }
 
 // watchVersions probes which versions are in force at the routers: no router may return to an
-// older version while its process runs. Each version accepts a key of its own.
+// older version while its process runs. A probe is a request with the key that only the probed
+// version accepts.
 func (c *checker) watchVersions(ctx context.Context) {
 	type process struct {
 		router *router
--- a/soak/notice_test.go
+++ b/soak/notice_test.go
@@ -13,7 +13,8 @@
 	holdOff = 3 * time.Second
 	// maxNoticeDelay is how long a router may take to act on what an answer announces.
 	maxNoticeDelay = 500 * time.Millisecond
-	// maxRefuseEvery limits the number of requests of which such a replica refuses one.
+	// maxRefuseEvery limits ReplicaFaults.RefuseEvery: a replica that refuses some requests
+	// refuses at least one in this many.
 	maxRefuseEvery = 8
 )
 
@@ -54,42 +55,43 @@
 	begin := time.Now()
 	time.Sleep(holdOff + inFlightTime)
 	shedding.SetFaults(managed.ReplicaFaults{})
-	router, heard := c.heardLeaving(leaving.ID(), begin)
+	routerOf, heardAt := c.heardLeaving(leaving.ID(), begin)
 	for _, arrival := range c.journal.Arrivals(leaving.ID()) {
-		at, known := heard[router[arrival.ID]]
+		at, known := heardAt[routerOf[arrival.ID]]
 		if known && arrival.At.After(at.Add(maxNoticeDelay)) {
-			c.t.Errorf("%s reached %s %s after %s had passed on that it leaves", arrival.ID, arrival.Replica, arrival.At.Sub(at), router[arrival.ID])
+			c.t.Errorf("%s reached %s %s after %s had passed on that it leaves", arrival.ID, arrival.Replica, arrival.At.Sub(at), routerOf[arrival.ID])
 			break
 		}
 	}
-	c.checkHoldOffs(shedding.ID(), begin, router)
+	c.checkHoldOffs(shedding.ID(), begin, routerOf)
 }
 
 // heardLeaving returns the router of each request sent since begin, and when each router passed
-// on the first answer in which a replica says that it leaves.
-func (c *checker) heardLeaving(replica string, begin time.Time) (router map[string]string, heard map[string]time.Time) {
-	router, heard = make(map[string]string), make(map[string]time.Time)
+// on the first answer in which a replica says that it leaves. The seal of an answer names its
+// replica.
+func (c *checker) heardLeaving(replica string, begin time.Time) (routerOf map[string]string, heardAt map[string]time.Time) {
+	routerOf, heardAt = make(map[string]string), make(map[string]time.Time)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, request := range c.requests {
 		if request.sentAt.Before(begin) {
 			continue
 		}
-		router[request.answer.ID] = request.router
+		routerOf[request.answer.ID] = request.router
 		saysSo := request.answer.Header.Get(wire.HeaderLeaving) != "" && request.answer.Header.Get(wire.HeaderSeal) == "seal-"+replica
-		if at, known := heard[request.router]; saysSo && (!known || request.endedAt.Before(at)) {
-			heard[request.router] = request.endedAt
+		if at, known := heardAt[request.router]; saysSo && (!known || request.endedAt.Before(at)) {
+			heardAt[request.router] = request.endedAt
 		}
 	}
-	return router, heard
+	return routerOf, heardAt
 }
 
 // checkHoldOffs checks that a replica got no requests from a router that it had asked to hold
 // off.
-func (c *checker) checkHoldOffs(replica string, begin time.Time, router map[string]string) {
+func (c *checker) checkHoldOffs(replica string, begin time.Time, routerOf map[string]string) {
 	asked := make(map[string]time.Time)
 	for _, arrival := range c.journal.Arrivals(replica) {
-		from, known := router[arrival.ID]
+		from, known := routerOf[arrival.ID]
 		if !known || arrival.At.Before(begin) {
 			continue
 		}
--- a/soak/restart_test.go
+++ b/soak/restart_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("%d calls to the store for %d routers", calls, len(f.routers))
 	}
 	callsBeforeChange := f.storeCalls()
-	f.configure()
+	f.publishNextVersion()
 	time.Sleep(settleTime)
 	t.Logf("%d routers served after %s; %d calls to the store for the start, %d for a change", len(f.routers), took, calls, f.storeCalls()-callsBeforeChange)
 	c.finish()
--- a/soak/restore_test.go
+++ b/soak/restore_test.go
@@ -31,7 +31,7 @@
 		f.store.Restore(backup)
 		f.store.SetFault(managed.Healthy)
 		f.note("store restored, era %d", f.store.Era())
-		f.publish()
+		f.writeNewestVersion()
 		for _, r := range f.replicas {
 			r.Renew()
 		}
