--- a/bench/measure/gap.go
+++ b/bench/measure/gap.go
@@ -8,9 +8,9 @@
 // Gap is the largest difference in normalised service between two workspaces
 // over any interval in which both were backlogged.
 type Gap struct {
-	// SlotSeconds is the gap in slot seconds for each unit of share.
+	// SlotSeconds is the gap in slot seconds per unit of share.
 	SlotSeconds float64
-	// Between holds the names of the two workspaces.
+	// Workspaces holds the names of the two workspaces.
 	Workspaces [2]string
 	// From and To bound the interval.
 	From, To time.Duration
@@ -30,22 +30,22 @@
 		backlog[name] = r.backlogIntervals(name)
 		curves[name] = newCurve(r.Runs, name)
 	}
-	var worst Gap
+	var largest Gap
 	for i, a := range names {
 		for _, b := range names[i+1:] {
 			for _, span := range intersect(backlog[a], backlog[b]) {
 				gap := largestGap(span, curves[a], shares[a], curves[b], shares[b])
-				if gap.SlotSeconds > worst.SlotSeconds {
+				if gap.SlotSeconds > largest.SlotSeconds {
 					gap.Workspaces = [2]string{a, b}
-					worst = gap
+					largest = gap
 				}
 			}
 		}
 	}
-	return worst
+	return largest
 }
 
-// largestGap returns the largest gap over any interval inside span. With D(t)
+// largestGap returns the largest gap over any interval inside span. If D(t) is
 // the difference in normalised service up to time t, the gap is the largest
 // rise or fall of D.
 func largestGap(span interval, a curve, shareA float64, b curve, shareB float64) Gap {
@@ -113,8 +113,8 @@
 	return used / offered
 }
 
-// Idle returns the slot seconds that were not used while a request that may use
-// the target was waiting. The arguments are those of Utilisation.
+// IdleSlotSeconds returns the slot seconds that were not used while a request that
+// may use the target was waiting. The arguments are those of Utilisation.
 func (r Record) IdleSlotSeconds(slots map[string]int, mayUse func(workspace, target string) bool) float64 {
 	used, offered := r.usedAndOffered(slots, mayUse)
 	return offered - used
@@ -179,7 +179,7 @@
 	return c.valueAt(r.To) - c.valueAt(r.From)
 }
 
-// Backlogged returns how long a workspace had at least one request waiting.
+// BacklogTime returns how long a workspace had at least one request waiting.
 func (r Record) BacklogTime(workspace string) time.Duration {
 	var total time.Duration
 	for _, span := range r.backlogIntervals(workspace) {
--- a/bench/measure/join.go
+++ b/bench/measure/join.go
@@ -7,9 +7,9 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// Join builds a record from the results that callers got and the entries that
-// targets journalled, with times relative to start. It takes the clocks of all
-// processes to agree, since they share one machine.
+// NewRecord builds a record from the results that callers got and the entries of
+// the targets' journals, with times relative to start. It assumes that the clocks of
+// all processes agree, because they share one machine.
 func NewRecord(start time.Time, results []load.Result, entries []journal.Entry) Record {
 	workspaceOf := make(map[string]string, len(results))
 	for _, r := range results {
--- a/bench/measure/processor.go
+++ b/bench/measure/processor.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ticksPerSecond is the unit of the times in /proc/PID/stat.
+// ticksPerSecond is the rate of the clock ticks in which /proc/PID/stat counts time.
 const ticksPerSecond = 100
 
 // ProcessorTime returns the user and system time that a process has used.
