--- a/bench/faults/faults.go
+++ b/bench/faults/faults.go
@@ -101,7 +101,7 @@
 	defer cancel()
 	done := make(chan callerResults, 1)
 	go func() {
-		results, summary := t.shape.Send(sendCtx, t.deployment, t.callers(), seed)
+		results, summary := t.shape.Send(sendCtx, t.deployment, t.callerAddresses(), seed)
 		done <- callerResults{results, summary}
 	}()
 	time.Sleep(beforeFault)
@@ -148,15 +148,17 @@
 		return n
 	}
 	return []table.Value{
-		{Name: "shard still ms", Number: longestPause(entries, faultAt, until, t.inShard)},
-		{Name: "target still ms", Number: longestPause(entries, faultAt, until, func(name string) bool { return name == t.target })},
+		{Name: "shard still ms", Number: longestPauseMillis(entries, faultAt, until, t.inShard)},
+		{Name: "target still ms", Number: longestPauseMillis(entries, faultAt, until, func(name string) bool { return name == t.target })},
 		{Name: "idle slot s", Number: t.idleSlotSeconds(record, start)},
 		{Name: "of slot s", Number: float64(slots*t.deployment.Targets) * f.interval.Seconds()},
 		{Name: "over-admitted", Number: float64(maxPresent(entries, faultAt, until) - slots)},
+		// A scheduler holds at most slots + max(1, slots/4) grants of a target; see
+		// "Over-admission" in package control.
 		{Name: "bound", Number: float64(f.maxSchedulers*(slots+max(1, slots/4)) - slots)},
 		{Name: "gap s/share", Number: record.FairnessGap(shares).SlotSeconds},
 		{Name: "bound", Number: t.gapBound(record)},
-		{Name: "starved s", Number: longestStarvation(record, shares)},
+		{Name: "starved s", Number: longestStarvationSeconds(record, shares)},
 		{Name: "answered", Number: count(load.Answered)},
 		{Name: "refused", Number: count(load.Refused)},
 		{Name: "broken", Number: count(load.Broken, load.Unreachable)},
--- a/bench/faults/judge.go
+++ b/bench/faults/judge.go
@@ -9,13 +9,13 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// messageSeconds is the message delay R in the bound of the gap. It is generous
-// for loopback.
+// messageSeconds is the maximum message delay, R in the bound on the fairness gap in
+// package control. It is generous for loopback.
 const messageSeconds = 0.01
 
-// longestPause returns the longest time between from and to without a start at
-// the targets that include selects, in milliseconds.
-func longestPause(entries []journal.Entry, from, to time.Time, include func(target string) bool) float64 {
+// longestPauseMillis returns the longest time between from and to without a start
+// at the targets that include selects.
+func longestPauseMillis(entries []journal.Entry, from, to time.Time, include func(target string) bool) float64 {
 	starts := []time.Time{from, to}
 	for _, e := range entries {
 		if e.Event == journal.Started && include(e.Target) && e.Wall.After(from) && e.Wall.Before(to) {
@@ -68,7 +68,7 @@
 }
 
 // gapBound returns the bound on the fairness gap that package control states, for
-// the longest run that overlaps the record's interval.
+// shares of 1 and the longest run that overlaps the record's interval.
 func (t *trial) gapBound(record measure.Record) float64 {
 	longest := time.Duration(0)
 	for _, run := range record.Runs {
@@ -88,9 +88,9 @@
 	return min(max(time.Duration(routers)*perRouter, minPeriod), maxPeriod)
 }
 
-// longestStarvation returns the longest time in seconds for which a backlogged
+// longestStarvationSeconds returns the longest time for which a backlogged
 // workspace held no slot.
-func longestStarvation(record measure.Record, shares map[string]float64) float64 {
+func longestStarvationSeconds(record measure.Record, shares map[string]float64) float64 {
 	longest := time.Duration(0)
 	for name := range shares {
 		longest = max(longest, record.LongestWithoutService(name))
--- a/bench/faults/judge_test.go
+++ b/bench/faults/judge_test.go
@@ -36,10 +36,10 @@
 		{Target: "a", Event: journal.Started, Wall: at(7)},
 	}
 	onlyA := func(target string) bool { return target == "a" }
-	if got := longestPause(entries, at(0), at(9), onlyA); got != 4000 {
+	if got := longestPauseMillis(entries, at(0), at(9), onlyA); got != 4000 {
 		t.Errorf("between starts: got %v ms, want 4000", got)
 	}
-	if got := longestPause(entries, at(0), at(20), onlyA); got != 13000 {
+	if got := longestPauseMillis(entries, at(0), at(20), onlyA); got != 13000 {
 		t.Errorf("after the last start: got %v ms, want 13000", got)
 	}
 }
--- a/bench/faults/list.go
+++ b/bench/faults/list.go
@@ -47,7 +47,7 @@
 		{name: "none", interval: defaultInterval, maxSchedulers: 1},
 		{name: "scheduler killed", interval: defaultInterval, maxSchedulers: 2, begin: (*trial).killScheduler, end: (*trial).restartScheduler},
 		{name: "scheduler frozen 10 s", interval: frozenFor + afterThaw, maxSchedulers: 2, begin: (*trial).freezeScheduler},
-		{name: "scheduler restarted", interval: defaultInterval, maxSchedulers: 2, begin: (*trial).replaceScheduler},
+		{name: "scheduler restarted", interval: defaultInterval, maxSchedulers: 2, begin: (*trial).killAndRestartScheduler},
 		{name: "target killed 3 s", interval: defaultInterval + downFor, maxSchedulers: 1, begin: (*trial).killTarget},
 		{name: "target slowed 10x", interval: defaultInterval, maxSchedulers: 1, begin: slowTarget, end: (*trial).clearTargetFault},
 		{name: "target says 0 running", interval: defaultInterval, maxSchedulers: 1, begin: reportIdle, end: (*trial).clearTargetFault},
@@ -67,7 +67,7 @@
 	return t.scheduler.WaitReady()
 }
 
-func (t *trial) replaceScheduler() error {
+func (t *trial) killAndRestartScheduler() error {
 	t.scheduler.Kill()
 	return t.scheduler.Restart()
 }
--- a/bench/faults/scene.go
+++ b/bench/faults/scene.go
@@ -33,8 +33,9 @@
 	// and target one of that shard's targets.
 	scheduler *processes.Router
 	target    string
-	// savedEntries holds the journal of the target if it was killed at killedAt
-	// and started again at restartedAt.
+	// savedEntries holds the target's journal up to killedAt, when the target was
+	// killed; restartedAt is when it was started again. All three are zero if it was
+	// not killed.
 	savedEntries          []journal.Entry
 	killedAt, restartedAt time.Time
 	// pending holds one channel for each call of runAfter; it receives the
@@ -42,8 +43,7 @@
 	pending []chan error
 }
 
-// newTrial returns a trial after sending requests for a while to find the
-// scheduler.
+// newTrial prepares a trial: it sends requests for searchTime to find the scheduler.
 func newTrial(ctx context.Context, f *fleet.Fleet, d workload.Deployment, shape workload.Shape) (*trial, error) {
 	t := &trial{fleet: f, deployment: d, shape: shape, target: workload.TargetName(0)}
 	time.Sleep(settleTime)
@@ -83,9 +83,9 @@
 
 func (t *trial) dataCentre() string { return t.deployment.DataCentres[0] }
 
-// callers returns the addresses of all routers except the scheduler, which may
-// fail: a load balancer would stop sending to it.
-func (t *trial) callers() []string {
+// callerAddresses returns the addresses at which the routers serve callers, without
+// the scheduler. The scheduler may fail, and a load balancer would stop sending to it.
+func (t *trial) callerAddresses() []string {
 	return slices.DeleteFunc(t.fleet.CallerAddresses(), func(address string) bool {
 		return address == t.scheduler.Settings.Listen.Callers
 	})
