--- a/bench/refusals/brownout.go
+++ b/bench/refusals/brownout.go
@@ -18,9 +18,10 @@
 
 const (
 	brownOutTargets = 6
-	beforeBrownOut  = 1500 * time.Millisecond
-	brownOutTime    = 5 * time.Second
-	afterBrownOut   = time.Second
+	// Callers send for these times before, during and after a brown-out.
+	beforeBrownOut   = 1500 * time.Millisecond
+	brownOutDuration = 5 * time.Second
+	afterBrownOut    = time.Second
 	// pathFault is the path at which a stand-in target accepts faults to simulate.
 	pathFault = "/_fault"
 )
@@ -94,7 +95,7 @@
 	if err := setFaults(f, b.targets, http.MethodPost, b.faults); err != nil {
 		return nil, err
 	}
-	time.Sleep(time.Until(from.Add(brownOutTime)))
+	time.Sleep(time.Until(from.Add(brownOutDuration)))
 	until := time.Now()
 	if err := setFaults(f, b.targets, http.MethodDelete, engine.Faults{}); err != nil {
 		return nil, err
@@ -195,7 +196,7 @@
 		{Name: "608 targets unavailable", Number: float64(outcomes[int(result.TargetsUnavailable)])},
 		{Name: "401 quarantined", Number: float64(outcomes[int(result.Quarantined)])},
 		{Name: "other failures", Number: float64(other)},
-		{Name: "failures p50 ms", Number: quantile(latencies, 0.5)},
-		{Name: "p99 ms", Number: quantile(latencies, 0.99)},
+		{Name: "failures p50 ms", Number: quantileMillis(latencies, 0.5)},
+		{Name: "p99 ms", Number: quantileMillis(latencies, 0.99)},
 	}
 }
--- a/bench/refusals/refusals.go
+++ b/bench/refusals/refusals.go
@@ -24,7 +24,7 @@
 	// MaxQueued bounds the requests of the workspace that wait at one router.
 	MaxQueued int
 	// Slots is the number of slots of each target, and Tokens the length of each
-	// answer, at 2 ms for each token.
+	// answer, at 2 ms per token.
 	Slots, Tokens int
 	Repeats       int
 	// WithoutBudget is the directory of a copy of the module whose routers have
@@ -100,7 +100,7 @@
 // settleTime is how long a new fleet gets to settle.
 const settleTime = 2 * time.Second
 
-// attempt is one sending of a caller's request.
+// attempt is the result of sending a caller's request once.
 type attempt struct {
 	load.Result
 	// Number counts the attempts at the request, from 1.
--- a/bench/refusals/wave.go
+++ b/bench/refusals/wave.go
@@ -20,14 +20,15 @@
 	bucketWidth = 100 * time.Millisecond
 	// meanFraction is the fraction of the retries that the mean is taken over.
 	meanFraction = 0.8
-	// slowRefusal is the time after which a refusal counts as held until late
-	// instead of given at once; the deadline is 30 s.
+	// slowRefusal is how long a refusal may take before it counts as given only after
+	// a wait; the deadline of a request is 30 s.
 	slowRefusal = time.Second
 	// callerTimeout bounds the wait for the next part of an answer.
 	callerTimeout = time.Minute
 )
 
-// runWave lets a wave of callers fill a workspace's queues beyond their bound.
+// runWave measures a wave of callers that send more requests than the queues of the
+// workspace may hold.
 func runWave(ctx context.Context, o Options) ([]table.Row, error) {
 	f, err := startFleet(ctx, o, waveTargets, o.MaxQueued, "")
 	if err != nil {
@@ -105,9 +106,9 @@
 		{Name: "answered", Number: float64(answered)},
 		{Name: "in s", Number: last.Sub(start).Seconds()},
 		{Name: "refused", Number: float64(refused)},
-		{Name: "p50 ms", Number: quantile(latencies, 0.5)},
-		{Name: "p99 ms", Number: quantile(latencies, 0.99)},
-		{Name: "most ms", Number: quantile(latencies, 1)},
+		{Name: "p50 ms", Number: quantileMillis(latencies, 0.5)},
+		{Name: "p99 ms", Number: quantileMillis(latencies, 0.99)},
+		{Name: "most ms", Number: quantileMillis(latencies, 1)},
 		{Name: "over 1 s", Number: float64(slow)},
 		{Name: "no Retry-After", Number: float64(withoutRetryAfter)},
 		{Name: "first returns: peak/100 ms", Number: firstPeak},
@@ -179,8 +180,8 @@
 	return float64(slices.Max(counts)), float64(sum) / float64(buckets)
 }
 
-// quantile returns a quantile q, from 0 to 1, in milliseconds.
-func quantile(latencies []time.Duration, q float64) float64 {
+// quantileMillis returns the quantile q, from 0 to 1, of latencies.
+func quantileMillis(latencies []time.Duration, q float64) float64 {
 	if len(latencies) == 0 {
 		return 0
 	}
