--- a/bench/workload/bound.go
+++ b/bench/workload/bound.go
@@ -6,11 +6,12 @@
 )
 
 // IdealGap returns the fairness gap that even a single queue for all slots,
-// without any delay, may reach, in slot seconds per unit of share. It is the sum,
-// over the two workspaces for which it is largest, of their runs in progress, each
-// counted at the length of the longest run because the cost of a run is known only
-// when it ends. A workspace counts with its fair number of runs in progress, rounded
-// up, plus one.
+// without any delay, may reach, in slot seconds per unit of share. It has a
+// term for each workspace, and is the sum of the two largest terms. The term is the
+// number of the workspace's runs in progress times the length of the longest run,
+// divided by the share. Each run counts at that length because the cost of a run is
+// known only when it ends. The number of runs is the fair part of the slots, rounded
+// up, plus one, and at most the number of the workspace's callers.
 func IdealGap(d Deployment, s Shape, longest time.Duration) float64 {
 	slots := float64(d.Targets * d.Slots)
 	shares := 0.0
--- a/bench/workload/send.go
+++ b/bench/workload/send.go
@@ -20,8 +20,8 @@
 	}}
 }
 
-// SlotsOf returns the number of slots of each target of a deployment, by target
-// name.
+// SlotsByTarget returns the number of slots of each target of a deployment, by
+// target name.
 func (d Deployment) SlotsOf() map[string]int {
 	slots := make(map[string]int)
 	for n := range d.Targets {
--- a/bench/workload/shapes.go
+++ b/bench/workload/shapes.go
@@ -17,9 +17,11 @@
 type Deployment struct {
 	Name        string
 	DataCentres []string
-	Targets     int
-	Slots       int
-	Step        time.Duration
+	// Targets is the number of engines, and Slots the number of slots of each.
+	Targets int
+	Slots   int
+	// Step is the time that an engine takes for each token.
+	Step time.Duration
 }
 
 // Deployments holds the present sizes of both users' deployments, without their
@@ -43,7 +45,7 @@
 
 // The configuration that all deployments share.
 const (
-	// Workspaces is the number of workspaces that send requests.
+	// WorkspaceCount is the number of workspaces that send requests.
 	Workspaces = 16
 	// Pool and Model are the names of the only pool and of its model.
 	Pool  = "shared"
@@ -77,7 +79,8 @@
 	OneRouter func(n int) bool
 	// Targets returns the targets that workspace n may use; nil for all.
 	Targets func(n int, d Deployment) []string
-	// Hint returns the cost hint of a request of workspace n.
+	// Hint returns the cost hint of a request of workspace n with the given cost; zero
+	// for none.
 	Hint func(n int, cost time.Duration) time.Duration
 	// Tokens returns the length in tokens of the answer to a request of workspace n.
 	Tokens func(n int, random *rand.Rand) int
@@ -88,8 +91,8 @@
 // Shapes holds the load patterns by name. Call WithDefaults before using one.
 var Shapes = map[string]Shape{
 	"burst":      {},
-	"one-router": {OneRouter: func(n int) bool { return n == 0 }, Callers: moreFromFirst},
-	"flood":      {Callers: floodFromFirst},
+	"one-router": {OneRouter: func(n int) bool { return n == 0 }, Callers: moreCallersForFirst},
+	"flood":      {Callers: floodCallersForFirst},
 	"hints":      {Hint: mixedHints},
 	"subsets":    {Targets: subsetForEveryFourth},
 	"shares":     {Share: func(n int) float64 { return float64(1 + n%8) }},
@@ -135,14 +138,14 @@
 	return time.Minute
 }
 
-func moreFromFirst(n int) int {
+func moreCallersForFirst(n int) int {
 	if n == 0 {
 		return 4 * callersPerWorkspace
 	}
 	return callersPerWorkspace
 }
 
-func floodFromFirst(n int) int {
+func floodCallersForFirst(n int) int {
 	if n == 0 {
 		return floodFactor * callersPerWorkspace
 	}
@@ -192,8 +195,8 @@
 	return callersPerWorkspace
 }
 
-// tinyOrHuge gives the even workspaces many tiny requests and the odd ones a few
-// requests of the greatest length.
+// tinyOrHuge gives the even workspaces, which have more callers, tiny requests and
+// the odd ones requests of the greatest length.
 func tinyOrHuge(n int, _ *rand.Rand) int {
 	if n%2 == 0 {
 		return tinyTokens
