--- a/bench/entry/entry.go
+++ b/bench/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry measures the processor time that one router of a managed platform spends
+// Package entry measures the processor time that one router on a managed platform spends
 // on a request, and at which stages. It shows how many callers a small VM can serve.
 package entry
 
@@ -29,7 +29,8 @@
 	Callers int
 	// Duration is how long each kind of request is measured.
 	Duration time.Duration
-	// Events is the number of events of a streamed answer, and Pause the time between two.
+	// Events is the number of events of a streamed answer, and Pause the time between two
+	// events.
 	Events int
 	Pause  time.Duration
 	// ProfileDir is the directory for the processor profiles; empty for none.
--- a/bench/entry/stages.go
+++ b/bench/entry/stages.go
@@ -20,7 +20,7 @@
 // modulePath is the prefix of the function names of the router's own packages.
 const modulePath = "github.com/walnutcove/walnutcove/"
 
-// The stages outside of the router's own packages.
+// The stages outside the router's own packages.
 const (
 	stageHTTP    = "HTTP library"
 	stageRuntime = "runtime"
@@ -58,8 +58,8 @@
 }
 
 // writeStages writes the processor time that a request spent in each stage, the largest
-// first. A sample counts for the innermost of the router's packages in its stack. Samples
-// taken during a system call are also counted separately.
+// first. A sample counts for the innermost of the router's packages in its stack. The
+// part that was taken during system calls is also written separately.
 func (p processorProfile) writeStages(out io.Writer, spent time.Duration, requests int64) error {
 	parsed, err := profile.Parse(bytes.NewReader(p.encoded))
 	if err != nil {
--- a/bench/entry/stages_test.go
+++ b/bench/entry/stages_test.go
@@ -10,9 +10,9 @@
 // its stack.
 func TestStageOf(t *testing.T) {
 	for _, c := range []struct {
-		stack  []string // innermost first
-		stage  string
-		inCall bool
+		stack        []string // innermost first
+		stage        string
+		inSystemCall bool
 	}{
 		{[]string{"syscall.Syscall", "net.(*conn).Write", modulePath + "front.(*callerConn).Write", "github.com/valyala/fasthttp.(*Server).serveConn"}, "front", true},
 		{[]string{"runtime.mallocgc", modulePath + "filters/events.(*stream).Read", modulePath + "front.(*answerStream).Read"}, "filters/events", false},
@@ -25,7 +25,7 @@
 			function := &profile.Function{Name: name}
 			sample.Location = append(sample.Location, &profile.Location{Line: []profile.Line{{Function: function}}})
 		}
-		if stage, inSystemCall := stageOf(&sample); stage != c.stage || inSystemCall != c.inCall {
+		if stage, inSystemCall := stageOf(&sample); stage != c.stage || inSystemCall != c.inSystemCall {
 			t.Errorf("%v: %s, %v", c.stack, stage, inSystemCall)
 		}
 	}
--- a/bench/fair/fair.go
+++ b/bench/fair/fair.go
@@ -17,9 +17,12 @@
 
 // Options configure the experiment.
 type Options struct {
+	// Deployment is the name of a size in workload.Deployments, and Shapes holds names
+	// of load patterns in workload.Shapes.
 	Deployment string
 	Shapes     []string
-	Policies   []string
+	// Policies holds names of scheduling policies.
+	Policies []string
 	// Routers is how many routers run.
 	Routers int
 	// Duration is how long callers send in each repeat.
@@ -35,7 +38,8 @@
 	Detail io.Writer
 }
 
-// settleTime is left out of the evaluation at the beginning of each repeat.
+// settleTime is how much is left out of the evaluation at the beginning of each
+// repeat.
 const settleTime = time.Second
 
 // Row holds the values of one repeat.
@@ -45,8 +49,8 @@
 	Policy     string
 	Routers    int
 	Repeat     int
-	// Gap is the fairness gap in slot seconds per unit of share, and IdealGap its
-	// bound for one ideal queue.
+	// Gap is the fairness gap in slot seconds per unit of share, and IdealGap the
+	// value of workload.IdealGap for comparison.
 	Gap         float64
 	IdealGap    float64
 	Utilisation float64
--- a/bench/fleet/control.go
+++ b/bench/fleet/control.go
@@ -39,14 +39,14 @@
 
 // The metrics that ControlCounters sums.
 const (
-	metricPeerBytes    = "walnut_peer_wire_bytes_total"
-	metricPeerMessages = "walnut_peer_messages_total"
-	metricSent         = "walnut_platform_sent_bytes_total"
-	metricReceived     = "walnut_platform_received_bytes_total"
-	metricControlBusy  = "walnut_control_busy_seconds_total"
-	metricSuspected    = "walnut_control_nodes_suspected_total"
-	metricUnanswering  = "walnut_control_schedulers_unanswering_total"
-	metricThaws        = "walnut_control_thaws_total"
+	metricPeerBytes        = "walnut_peer_wire_bytes_total"
+	metricPeerMessages     = "walnut_peer_messages_total"
+	metricPlatformSent     = "walnut_platform_sent_bytes_total"
+	metricPlatformReceived = "walnut_platform_received_bytes_total"
+	metricControlBusy      = "walnut_control_busy_seconds_total"
+	metricSuspected        = "walnut_control_nodes_suspected_total"
+	metricUnanswering      = "walnut_control_schedulers_unanswering_total"
+	metricThaws            = "walnut_control_thaws_total"
 )
 
 // ReadControlCounters reads the counters of every router.
@@ -59,7 +59,7 @@
 		}
 		counts.bytes += values[metricPeerBytes]
 		counts.messages += values[metricPeerMessages]
-		counts.platformBytes += values[metricSent] + values[metricReceived]
+		counts.platformBytes += values[metricPlatformSent] + values[metricPlatformReceived]
 		counts.busySeconds += values[metricControlBusy]
 		counts.disturbances += values[metricSuspected] + values[metricUnanswering] + values[metricThaws]
 	}
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -22,8 +22,8 @@
 
 // Options describe the fleet to start.
 type Options struct {
-	// DataCentres are the data centres that VMs and targets are assigned to, in
-	// turn. Required.
+	// DataCentres holds the data centres that VMs and targets are assigned to in
+	// turn. It must not be empty.
 	DataCentres []string
 	// Routers is how many routers run.
 	Routers int
@@ -34,7 +34,7 @@
 	// Workspaces holds the workspaces by name.
 	Workspaces map[string]config.Workspace
 	// Module is the directory of the module whose programs run; empty for the
-	// working directory. A changed copy can be named here to compare with.
+	// working directory. Another directory can hold a changed copy, to compare with.
 	Module string
 	// EditSettings, if set, changes a router's settings before it starts.
 	EditSettings func(s *settings.Settings)
--- a/bench/locality/judge.go
+++ b/bench/locality/judge.go
@@ -12,38 +12,38 @@
 	"github.com/walnutcove/walnutcove/standin/journal"
 )
 
-// lru is a set of prefixes that evicts the least recently used, like the prefix
+// lru is a set of prefixes that evicts the least recently used one, like the prefix
 // cache of an engine.
 type lru struct {
 	capacity int
 	order    *list.List // of strings, most recent first
-	byName   map[string]*list.Element
+	byPrefix map[string]*list.Element
 }
 
 func newLRU(entries int) *lru {
-	return &lru{capacity: entries, order: list.New(), byName: make(map[string]*list.Element)}
+	return &lru{capacity: entries, order: list.New(), byPrefix: make(map[string]*list.Element)}
 }
 
 // touch reports whether the set held a prefix, and makes the prefix the most
-// recent.
+// recently used, adding it if necessary.
 func (c *lru) touch(prefix string) bool {
-	if found, ok := c.byName[prefix]; ok {
+	if found, ok := c.byPrefix[prefix]; ok {
 		c.order.MoveToFront(found)
 		return true
 	}
-	c.byName[prefix] = c.order.PushFront(prefix)
+	c.byPrefix[prefix] = c.order.PushFront(prefix)
 	if c.order.Len() > c.capacity {
 		oldest := c.order.Back()
 		c.order.Remove(oldest)
-		delete(c.byName, oldest.Value.(string))
+		delete(c.byPrefix, oldest.Value.(string))
 	}
 	return false
 }
 
-// cacheModel models the prefix caches of the engines from the runs that they
-// started: an engine looks a prompt up when it starts the run.
+// cacheModel derives the contents of the engines' prefix caches from the runs that
+// they started: an engine looks a prompt up when it starts the run.
 type cacheModel struct {
-	entries  int
+	entries  int // of the cache of each target
 	byTarget map[string]*lru
 	// combined is one cache as large as those of all targets together: an upper
 	// limit for any choice of targets.
@@ -69,12 +69,12 @@
 	slices.SortStableFunc(starts, func(a, b journal.Entry) int { return a.Wall.Compare(b.Wall) })
 	var counts hitCounts
 	for _, e := range starts {
-		local := c.byTarget[e.Target]
-		if local == nil {
-			local = newLRU(c.entries)
-			c.byTarget[e.Target] = local
+		cache := c.byTarget[e.Target]
+		if cache == nil {
+			cache = newLRU(c.entries)
+			c.byTarget[e.Target] = cache
 		}
-		cached, combined := local.touch(prefixOf[e.RequestID]), c.combined.touch(prefixOf[e.RequestID])
+		cached, combined := cache.touch(prefixOf[e.RequestID]), c.combined.touch(prefixOf[e.RequestID])
 		if e.Wall.Before(from) {
 			continue
 		}
--- a/bench/main.go
+++ b/bench/main.go
@@ -77,7 +77,7 @@
 
 type fairCommand struct {
 	Deployment string        `default:"ilesanmi" help:"Size: ilesanmi or agroservis."`
-	Shapes     []string      `default:"burst,one-router,flood,hints,subsets,shares,sizes,impatient" help:"Patterns of work."`
+	Shapes     []string      `default:"burst,one-router,flood,hints,subsets,shares,sizes,impatient" help:"Load patterns."`
 	Policies   []string      `default:"shard-queue,alone" help:"Scheduling policies."`
 	Routers    int           `default:"9" help:"Routers to run."`
 	Duration   time.Duration `default:"8s" help:"How long callers send in each repeat."`
