--- a/bench/capacity/configuration.go
+++ b/bench/capacity/configuration.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// largeSnapshot returns the configuration of a size as the first version.
+// largeSnapshot returns the configuration of the given size as the first version.
 func largeSnapshot(size fleetSize) (*config.Snapshot, error) {
 	changes, _, err := config.Diff(config.Declarations{}, size.declarations())
 	if err != nil {
--- a/bench/capacity/machine.go
+++ b/bench/capacity/machine.go
@@ -236,7 +236,7 @@
 		for _, name := range unreachable {
 			n.machine.Step(n.now, control.PeerState{Node: name, Connected: false})
 		}
-		n.now += 300 * time.Millisecond
+		n.now += 300 * time.Millisecond // longer than the grace period of a lost connection
 		n.step(control.Tick{})
 	})
 	sentAtLoss := n.meter.total()
--- a/bench/capacity/meter.go
+++ b/bench/capacity/meter.go
@@ -54,7 +54,7 @@
 		m.encoders[to] = encoder
 	}
 	for _, message := range messages {
-		size := bytesPerFlush / float64(len(messages))
+		overhead := bytesPerFlush / float64(len(messages))
 		frame, _, err := encoder.EncodeFrame([]control.Message{message})
 		if err != nil {
 			panic(err) // every message of the state machine has an encoding
@@ -63,7 +63,7 @@
 		if _, err := protodelim.MarshalTo(&frameBytes, frame); err != nil {
 			panic(err)
 		}
-		m.add(wire.KindOf(message), 1, size+float64(frameBytes))
+		m.add(wire.KindOf(message), 1, overhead+float64(frameBytes))
 	}
 }
 
--- a/bench/capacity/node.go
+++ b/bench/capacity/node.go
@@ -35,8 +35,8 @@
 	mirror   *mirror
 	random   *rand.Rand
 	now      control.Instant
-	events   eventQueue
-	sequence uint64
+	timers   timerQueue
+	sequence uint64 // the last number given to a request or a timer
 	seed     uint64
 	load     nodeLoad
 	// arrivalsStopped is set when no new requests may arrive.
@@ -179,8 +179,9 @@
 	}
 }
 
-// pollTargets reports the load of the targets that the node polls. The load equals
-// what the node granted, so that the window learns nothing from it.
+// pollTargets reports the load of the targets that the node polls. The reports show
+// no load beyond what the node granted, so the windows of the targets leave no room for
+// other load.
 func (n *node) pollTargets() {
 	for _, name := range n.polledTargets {
 		n.step(control.TargetLoad{Target: name, Slots: n.fleet.size.slotsPerTarget})
@@ -263,8 +264,8 @@
 // advance advances simulated time by d and runs the functions that fall due.
 func (n *node) advance(d time.Duration) {
 	end := n.now + d
-	for len(n.events) > 0 && n.events[0].at <= end {
-		e := heap.Pop(&n.events).(scheduled)
+	for len(n.timers) > 0 && n.timers[0].at <= end {
+		e := heap.Pop(&n.timers).(timer)
 		n.now = e.at
 		e.run()
 	}
@@ -273,7 +274,7 @@
 
 func (n *node) after(d time.Duration, run func()) {
 	n.sequence++
-	heap.Push(&n.events, scheduled{n.now + d, n.sequence, run})
+	heap.Push(&n.timers, timer{n.now + d, n.sequence, run})
 }
 
 // every runs a function periodically, from a random time within the first period.
@@ -286,32 +287,32 @@
 	n.after(time.Duration(n.random.Int64N(int64(period)+1)), again)
 }
 
-// scheduled is a function to run at a time. Equal times run in order of seq.
-type scheduled struct {
+// timer is a function to run at a time. Timers of equal time run in order of seq.
+type timer struct {
 	at  control.Instant
 	seq uint64
 	run func()
 }
 
-// eventQueue is a heap of scheduled functions in order of time.
-type eventQueue []scheduled
+// timerQueue is a heap of timers in order of time.
+type timerQueue []timer
 
 // Len implements heap.Interface.
-func (q eventQueue) Len() int { return len(q) }
+func (q timerQueue) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (q eventQueue) Less(i, j int) bool {
+func (q timerQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].seq < q[j].seq)
 }
 
 // Swap implements heap.Interface.
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduled)) }
+func (q *timerQueue) Push(x any) { *q = append(*q, x.(timer)) }
 
 // Pop implements heap.Interface.
-func (q *eventQueue) Pop() any {
+func (q *timerQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
--- a/bench/capacity/platformcost.go
+++ b/bench/capacity/platformcost.go
@@ -52,8 +52,8 @@
 }
 
 // withPlatform makes a call many times to a stand-in for the platform. The first
-// call is preparation and isn't counted in the mean; for lists of VMs its bytes are
-// a value of their own.
+// call is preparation and isn't counted in the mean. If vms is set, the bytes of the
+// first call are returned as a separate value.
 func withPlatform(vms []store.VM, call func(*store.Client) error) ([]Value, error) {
 	server := standin.New(standin.Options{VMs: vms})
 	address, err := server.Start("127.0.0.1:0")
--- a/bench/capacity/processes.go
+++ b/bench/capacity/processes.go
@@ -120,6 +120,7 @@
 	return after.since(before, o.Duration), nil
 }
 
+// callersFor returns a run of callersPerRouter callers for each router.
 func callersFor(addresses []string, routers int) load.Run {
 	return load.Run{
 		Routers: addresses,
--- a/bench/capacity/relay.go
+++ b/bench/capacity/relay.go
@@ -101,7 +101,8 @@
 	return w
 }
 
-// relayCost returns what the first router spent on each token.
+// relayCost returns the cost of relaying to the first router, with the rate of the
+// tokens that it relayed.
 func relayCost(before, after usage, tokens int) []Value {
 	increase := func(name string) float64 { return after.routers[0][name] - before.routers[0][name] }
 	collections := increase("go_gc_duration_seconds_count")
--- a/bench/capacity/size.go
+++ b/bench/capacity/size.go
@@ -98,7 +98,8 @@
 }
 
 // equivalentWorkspace maps the workspace called name, which may use fromPool, to one
-// that may use toPool. Distinct workspaces map to distinct ones.
+// that may use toPool. Distinct workspaces map to distinct ones, except in the last
+// group of s.pools workspaces if that group is incomplete.
 func (s fleetSize) equivalentWorkspace(name, fromPool, toPool string) string {
 	var workspace, from, to int
 	_, _ = fmt.Sscanf(name, workspaceFormat, &workspace)
--- a/bench/capacity/slopes.go
+++ b/bench/capacity/slopes.go
@@ -23,7 +23,8 @@
 
 // mechanism is a part of a router whose cost is measured at several sizes.
 type mechanism struct {
-	name     string
+	name string
+	// variable is the name of the size that is varied, and sizes holds its values.
 	variable string
 	sizes    []int
 	measure  func(size int, seed uint64) ([]Value, error)
--- a/bench/capacity/starts.go
+++ b/bench/capacity/starts.go
@@ -44,8 +44,8 @@
 	return float64(count) / to.Sub(from).Seconds()
 }
 
-// millisUntilRate returns how long after from the first second begins in which runs
-// start at the given rate, or -1 if there is none.
+// millisUntilRate returns the time between from and the beginning of the first second
+// in which runs start at the given rate, or -1 if there is no such second.
 func millisUntilRate(starts []time.Time, from time.Time, rate float64) float64 {
 	for _, at := range starts {
 		if startsPerSecond(starts, at, at.Add(time.Second)) >= rate {
--- a/bench/capacity/usage.go
+++ b/bench/capacity/usage.go
@@ -83,7 +83,8 @@
 	return values
 }
 
-// amount returns the quantity of one router.
+// amount returns the value of the quantity for one router, from its metrics now and
+// earlier.
 func (q quantity) amount(now, earlier map[string]float64, elapsed time.Duration) float64 {
 	sum := 0.0
 	for _, name := range q.metrics {
--- a/bench/capacity/versions.go
+++ b/bench/capacity/versions.go
@@ -114,8 +114,8 @@
 	heapUse     = quantity{metrics: []string{"go_memstats_heap_inuse_bytes"}, scale: 1e-6}
 )
 
-// costs returns the cost of a version: the use during the patches less the use
-// during as long an idle time before them.
+// costs returns the cost of a version: the use during the patches minus the use
+// during an idle time of the same length before them.
 func (o Versions) costs(start, idle, busy usage) []Value {
 	perVersion := func(q quantity) float64 {
 		return (busy.mean(q, idle) - idle.mean(q, start)) * o.Every.Seconds()
