--- a/bench/fair/fair.go
+++ b/bench/fair/fair.go
@@ -164,7 +164,7 @@
 func evaluate(record measure.Record, d workload.Deployment, s workload.Shape) Row {
 	shares := make(map[string]float64)
 	allowedTargets := make(map[string]map[string]bool)
-	for n := range workload.Workspaces {
+	for n := range workload.WorkspaceCount {
 		shares[workload.WorkspaceName(n)] = s.Share(n)
 		for _, target := range s.Targets(n, d) {
 			if allowedTargets[workload.WorkspaceName(n)] == nil {
@@ -178,7 +178,7 @@
 	}
 	row := Row{
 		Gap:         record.FairnessGap(shares).SlotSeconds,
-		Utilisation: record.Utilisation(d.SlotsOf(), mayUse),
+		Utilisation: record.Utilisation(d.SlotsByTarget(), mayUse),
 	}
 	for name := range shares {
 		row.Starved = max(row.Starved, record.LongestWithoutService(name))
--- a/bench/fair/table.go
+++ b/bench/fair/table.go
@@ -91,7 +91,7 @@
 	shares := make(map[string]float64)
 	settling := record
 	settling.From, settling.To = 0, record.From
-	for n := range workload.Workspaces {
+	for n := range workload.WorkspaceCount {
 		name := workload.WorkspaceName(n)
 		shares[name] = s.Share(n)
 		fmt.Fprintf(out, "  %s %s: share %.0f, service %.2f slot s after %.2f while settling, backlogged %.2f s, longest without service %.2f s\n",
--- a/bench/faults/faults.go
+++ b/bench/faults/faults.go
@@ -137,7 +137,7 @@
 	record.From = faultAt.Sub(start)
 	record.To = until.Sub(start)
 	shares := make(map[string]float64)
-	for n := range workload.Workspaces {
+	for n := range workload.WorkspaceCount {
 		shares[workload.WorkspaceName(n)] = t.shape.Share(n)
 	}
 	slots := t.deployment.Slots
--- a/bench/faults/judge.go
+++ b/bench/faults/judge.go
@@ -52,7 +52,7 @@
 // idleSlotSeconds returns the slot seconds that idled while requests waited. A
 // killed target counts as having no slots until it is restarted.
 func (t *trial) idleSlotSeconds(record measure.Record, start time.Time) float64 {
-	slots := t.deployment.SlotsOf()
+	slots := t.deployment.SlotsByTarget()
 	anyTarget := func(string, string) bool { return true }
 	if t.killedAt.IsZero() {
 		return record.IdleSlotSeconds(slots, anyTarget)
--- a/bench/locality/judge.go
+++ b/bench/locality/judge.go
@@ -94,7 +94,7 @@
 
 func (e *experiment) evaluate(record measure.Record, results []load.Result, counts hitCounts, start time.Time) []table.Value {
 	shares := make(map[string]float64)
-	for n := range workload.Workspaces {
+	for n := range workload.WorkspaceCount {
 		shares[workload.WorkspaceName(n)] = 1
 	}
 	anyTarget := func(string, string) bool { return true }
@@ -114,7 +114,7 @@
 		{Name: "first part p50 ms", Number: summary.FirstPartLatency(50).Seconds() * 1000},
 		{Name: "p95 ms", Number: summary.FirstPartLatency(95).Seconds() * 1000},
 		{Name: "slots busy %", Number: 100 * busy / slots},
-		{Name: "utilisation %", Number: 100 * record.Utilisation(e.deployment.SlotsOf(), anyTarget)},
+		{Name: "utilisation %", Number: 100 * record.Utilisation(e.deployment.SlotsByTarget(), anyTarget)},
 		{Name: "gap s/share", Number: record.FairnessGap(shares).SlotSeconds},
 		{Name: "not answered", Number: float64(len(results) - countAnswered(results))},
 	}
--- a/bench/locality/locality.go
+++ b/bench/locality/locality.go
@@ -158,9 +158,9 @@
 	var mu sync.Mutex
 	var results []load.Result
 	var senders sync.WaitGroup
-	for n := range workload.Workspaces {
-		callersHere := callers / workload.Workspaces
-		if n < callers%workload.Workspaces {
+	for n := range workload.WorkspaceCount {
+		callersHere := callers / workload.WorkspaceCount
+		if n < callers%workload.WorkspaceCount {
 			callersHere++
 		}
 		run := load.Run{
--- a/bench/workload/bound.go
+++ b/bench/workload/bound.go
@@ -15,11 +15,11 @@
 func IdealGap(d Deployment, s Shape, longest time.Duration) float64 {
 	slots := float64(d.Targets * d.Slots)
 	shares := 0.0
-	for n := range Workspaces {
+	for n := range WorkspaceCount {
 		shares += s.Share(n)
 	}
 	var largest, secondLargest float64
-	for n := range Workspaces {
+	for n := range WorkspaceCount {
 		runs := min(math.Ceil(slots*s.Share(n)/shares)+1, float64(s.Callers(n)))
 		gapTerm := runs * longest.Seconds() / s.Share(n)
 		largest, secondLargest = max(largest, gapTerm), max(secondLargest, min(largest, gapTerm))
--- a/bench/workload/send.go
+++ b/bench/workload/send.go
@@ -22,7 +22,7 @@
 
 // SlotsByTarget returns the number of slots of each target of a deployment, by
 // target name.
-func (d Deployment) SlotsOf() map[string]int {
+func (d Deployment) SlotsByTarget() map[string]int {
 	slots := make(map[string]int)
 	for n := range d.Targets {
 		slots[TargetName(n)] = d.Slots
@@ -43,7 +43,7 @@
 		summary.Add(r)
 	}
 	var senders sync.WaitGroup
-	for n := range Workspaces {
+	for n := range WorkspaceCount {
 		entryRouters := routers
 		if s.OneRouter(n) {
 			entryRouters = routers[:1]
--- a/bench/workload/shapes.go
+++ b/bench/workload/shapes.go
@@ -46,7 +46,7 @@
 // The configuration that all deployments share.
 const (
 	// WorkspaceCount is the number of workspaces that send requests.
-	Workspaces = 16
+	WorkspaceCount = 16
 	// Pool and Model are the names of the only pool and of its model.
 	Pool  = "shared"
 	Model = "walnut-small"
@@ -216,7 +216,7 @@
 // DeclaredWorkspaces returns the configuration of the shape's workspaces.
 func (s Shape) DeclaredWorkspaces(d Deployment) map[string]config.Workspace {
 	workspaces := make(map[string]config.Workspace)
-	for n := range Workspaces {
+	for n := range WorkspaceCount {
 		w := fleet.Workspace(WorkspaceKey(n), s.Share(n), Pool)
 		w.Targets = s.Targets(n, d)
 		w.MaxQueued = floodFactor * callersPerWorkspace
