--- a/load/run.go
+++ b/load/run.go
@@ -64,7 +64,7 @@
 	return summary
 }
 
-// sendRequests is one caller: it sends requests until Requests are sent or ctx ends.
+// sendRequests runs one caller: it sends requests until Requests are sent or ctx ends.
 func (run Run) sendRequests(ctx context.Context, client *Client, caller uint64, sent *atomic.Int64, summary *Summary) {
 	random := rand.New(rand.NewPCG(run.Seed, caller))
 	for ctx.Err() == nil {
@@ -136,8 +136,8 @@
 	return s.verdicts[v]
 }
 
-// Failures returns the first results that were not answers; later ones are only
-// counted.
+// Failures returns the first results, at most maxKeptFailures, whose verdict is not
+// Answered. Later ones are only counted.
 func (s *Summary) Failures() []Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
