--- a/standin/managed/journal.go
+++ b/standin/managed/journal.go
@@ -13,7 +13,8 @@
 type Run struct {
 	// ID is the request's id, Replica the id of the replica that ran it.
 	ID, Replica string
-	// Workspace and AfterEvent are the values of the request's headers.
+	// Workspace and AfterEvent are the values of the headers wire.HeaderWorkspace and
+	// wire.HeaderAfterEvent.
 	Workspace, AfterEvent string
 	// LeavingFor is how long before the run the replica announced that it is
 	// leaving; zero if it did not.
--- a/standin/managed/replica.go
+++ b/standin/managed/replica.go
@@ -204,8 +204,8 @@
 	isList := string(ctx.Path()) == wire.PathCacheList
 	after := ctx.QueryArgs().GetUintOrZero(wire.ParamCacheAfter)
 	if !isList {
-		wait, _ := strconv.Atoi(string(ctx.Request.Header.Peek(wire.HeaderWait))) // zero if the header is absent
-		time.Sleep(time.Duration(wait) * time.Millisecond)
+		waitMillis, _ := strconv.Atoi(string(ctx.Request.Header.Peek(wire.HeaderWait))) // zero if the header is absent
+		time.Sleep(time.Duration(waitMillis) * time.Millisecond)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -323,10 +323,10 @@
 }
 
 // Read implements io.Reader.
-func (l *delayedReader) Read(p []byte) (int, error) {
-	time.Sleep(l.delay)
-	l.delay = 0
-	return l.Reader.Read(p)
+func (d *delayedReader) Read(p []byte) (int, error) {
+	time.Sleep(d.delay)
+	d.delay = 0
+	return d.Reader.Read(p)
 }
 
 // refuse answers that a request did not run, and returns the delay that the answer
@@ -334,11 +334,11 @@
 func (r *Replica) refuse(ctx *fasthttp.RequestCtx) time.Duration {
 	ctx.Response.Header.Set(wire.HeaderNotRun, "1")
 	ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
-	after := r.currentFaults().RetryAfter
-	if after > 0 {
-		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
+	retryAfter := r.currentFaults().RetryAfter
+	if retryAfter > 0 {
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 	}
-	return after
+	return retryAfter
 }
 
 // flushPause is the time for written data to be sent before the connection is closed.
--- a/standin/managed/restore.go
+++ b/standin/managed/restore.go
@@ -21,9 +21,9 @@
 }
 
 // Keys returns the sorted keys of a table's rows.
-func (c Backup) Keys(table string) []string {
+func (b Backup) Keys(table string) []string {
 	var keys []string
-	for key, row := range c.rows {
+	for key, row := range b.rows {
 		if key.table == table && !row.Removed {
 			keys = append(keys, key.key)
 		}
--- a/standin/managed/store.go
+++ b/standin/managed/store.go
@@ -32,7 +32,7 @@
 	// ended.
 	Unresponsive
 	// HistoryLost: feeds are answered with 410, because the history that they ask
-	// for is gone.
+	// for is gone. Feeds that were waiting when the fault began get 503.
 	HistoryLost
 )
 
@@ -394,7 +394,8 @@
 			return
 		}
 		// For revision zero, changedRows would return the rows that exist and omit
-		// removed ones. No row is older than revision 1.
+		// removed ones, so revision zero is treated as revision 1. No row has a
+		// lower revision, but rows of revision 1 itself are then not sent.
 		answer := s.changedRows(table, max(after, 1))
 		switch fault := s.currentFault(ctx); {
 		case fault == Unresponsive:
