--- a/standin/engine/call.go
+++ b/standin/engine/call.go
@@ -89,11 +89,11 @@
 
 // unmarshalOptional decodes one member of the body. If it is absent, into is left
 // unchanged.
-func unmarshalOptional(part json.RawMessage, into any) error {
-	if len(part) == 0 {
+func unmarshalOptional(member json.RawMessage, into any) error {
+	if len(member) == 0 {
 		return nil
 	}
-	if err := json.Unmarshal(part, into); err != nil {
+	if err := json.Unmarshal(member, into); err != nil {
 		return fmt.Errorf("engine: prompt: %w", err)
 	}
 	return nil
--- a/standin/engine/doc.go
+++ b/standin/engine/doc.go
@@ -5,5 +5,5 @@
 //
 // The text of an answer depends on its request alone (see ExpectedText), so that a
 // test can tell a complete answer from one that is truncated, belongs to another
-// request, or mixes several.
+// request, or mixes the answers to several requests.
 package engine
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// removeRun removes a run from its slot or from the queue.
+// removeRun removes a run from its slot or from the queue. The caller holds e.mu.
 func (e *Engine) removeRun(r *run) {
 	e.queue = slices.DeleteFunc(e.queue, func(other *run) bool { return other == r })
 	e.running = slices.DeleteFunc(e.running, func(other *run) bool { return other == r })
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -15,11 +15,11 @@
 	"github.com/walnutcove/walnutcove/targets"
 )
 
-// PathOrder is the path to send an order to (POST) and to read the state that the
-// orders led to (GET).
+// PathOrder is the path to send an order to (POST), and to read the state that results
+// from the orders (GET).
 const PathOrder = targets.PathOrder
 
-// orderState is the state that the orders led to. Engine.mu guards it.
+// orderState is the state that results from the orders. Engine.mu guards it.
 type orderState struct {
 	models       []string
 	role         string
@@ -27,7 +27,7 @@
 	loading      map[string]*time.Timer
 }
 
-// Orders returns the state that the orders carried out so far led to.
+// Orders returns the state that results from the orders carried out so far.
 func (e *Engine) Orders() targets.OrderState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/prefix.go
+++ b/standin/engine/prefix.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// use reports whether the prefix is cached, and makes it the most recently used.
+// use reports whether the prefix was cached, and makes it the most recently used. A
+// prefix that was not cached is added, and evicts another if the cache is full.
 // Hash zero stands for a prompt without a prefix and is never cached.
 func (c *prefixCache) use(hash uint64) bool {
 	if hash == 0 {
--- a/standin/engine/step.go
+++ b/standin/engine/step.go
@@ -84,7 +84,7 @@
 }
 
 // advanceAll gives every running request its next token and frees the slots of
-// complete ones.
+// complete ones. The caller holds e.mu.
 func (e *Engine) advanceAll() {
 	kept := e.running[:0]
 	for _, r := range e.running {
@@ -115,7 +115,7 @@
 }
 
 // startQueued starts queued requests while slots are free. It reports whether one
-// of them is to crash the engine.
+// of them is to crash the engine. The caller holds e.mu.
 func (e *Engine) startQueued() bool {
 	poisoned := false
 	for len(e.queue) > 0 && len(e.running) < e.options.Slots {
@@ -151,7 +151,8 @@
 	return steps
 }
 
-// expireResumable removes the runs that can no longer be resumed.
+// expireResumable removes the runs that can no longer be resumed. The caller holds
+// e.mu.
 func (e *Engine) expireResumable() {
 	if len(e.resumable) == 0 {
 		return
