--- a/standin/platform/handle.go
+++ b/standin/platform/handle.go
@@ -138,8 +138,8 @@
 	sleep(faults.ReplyDelayMillis, closing)
 }
 
-// writeHandler returns the function that applies the write, and how many rows the
-// write has for the rate limit.
+// writeHandler returns the function that applies the write, and the number of rows
+// that the write counts as for Faults.RowsPerSecond.
 func (s *Server) writeHandler(ctx *fasthttp.RequestCtx) (apply func() (writeResult, error), rows int, err error) {
 	switch method, path := string(ctx.Method()), string(ctx.Path()); {
 	case method == fasthttp.MethodPost && path == store.PathCommit:
--- a/standin/platform/journal.go
+++ b/standin/platform/journal.go
@@ -8,8 +8,8 @@
 	"github.com/walnutcove/walnutcove/store/memory"
 )
 
-// defaultMaxJournal is the default of Options.MaxJournal, in entries.
-const defaultMaxJournal = 1 << 20
+// defaultMinJournalEntries is the default of Options.MinJournalEntries.
+const defaultMinJournalEntries = 1 << 20
 
 // Entry is the journal's record of one written row or object.
 type Entry struct {
@@ -40,7 +40,7 @@
 
 // journal keeps the latest applied writes in the order of their application.
 type journal struct {
-	max     int // entries kept at least
+	max     int // a drop leaves this many entries; see Options.MinJournalEntries
 	started time.Time
 
 	mu      sync.Mutex
@@ -48,11 +48,11 @@
 	dropped uint64
 }
 
-func newJournal(maxEntries int) *journal {
-	if maxEntries <= 0 {
-		maxEntries = defaultMaxJournal
+func newJournal(minEntries int) *journal {
+	if minEntries <= 0 {
+		minEntries = defaultMinJournalEntries
 	}
-	return &journal{max: maxEntries, started: time.Now()}
+	return &journal{max: minEntries, started: time.Now()}
 }
 
 // add appends a change. The store calls it in the order in which it applies
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -29,8 +29,8 @@
 	Weights memory.WeightsOptions
 	// Faults are the initial faults. Default: none.
 	Faults Faults
-	// MaxJournal is how many journal entries are kept at least; older ones are
-	// dropped. Default 1<<20.
+	// MinJournalEntries is how many of the latest journal entries are kept at least;
+	// older ones are dropped once there are twice as many. Default 1<<20.
 	MaxJournal int
 }
 
