--- a/devfleet/fleet_test.go
+++ b/devfleet/fleet_test.go
@@ -75,8 +75,8 @@
 	t.Logf("%v", summary)
 	if answered := summary.Count(load.Answered); answered != requests {
 		t.Errorf("answered %d of %d: %v", answered, requests, summary)
-		for _, fault := range summary.Failures() {
-			t.Logf("%s at %s: %s code %d: %s", fault.Request.Mark, fault.Router, fault.Verdict, fault.Code, fault.Detail)
+		for _, failure := range summary.Failures() {
+			t.Logf("%s at %s: %s code %d: %s", failure.Request.Mark, failure.Router, failure.Verdict, failure.Code, failure.Detail)
 		}
 	}
 	for _, s := range fleet.Services {
@@ -100,21 +100,21 @@
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	firstResult := make(chan struct{}, 1)
 	addresses := callerAddresses(fleet)
-	var toldToLeave atomic.Bool
+	var leavingAnnounced atomic.Bool
 	run := load.Run{
 		Routers: addresses,
 		Callers: 20,
 		Seed:    2,
 		Next:    mixedRequest,
 		PickRouter: func(_ load.Request, random *rand.Rand) string {
-			if toldToLeave.Load() {
+			if leavingAnnounced.Load() {
 				return addresses[1+random.IntN(len(addresses)-1)]
 			}
 			return addresses[random.IntN(len(addresses))]
 		},
 		OnResult: func(r load.Result) {
 			if r.Verdict == load.Refused && r.Router == addresses[0] {
-				toldToLeave.Store(true)
+				leavingAnnounced.Store(true)
 			}
 			select {
 			case firstResult <- struct{}{}:
@@ -132,8 +132,8 @@
 	got := <-summary
 	if got.Count(load.Broken)+got.Count(load.Wrong)+got.Count(load.Unreachable) > 0 {
 		t.Errorf("requests were broken or did not reach a router: %v", got)
-		for _, fault := range got.Failures() {
-			t.Logf("%s: %s %s", fault.Request.Mark, fault.Verdict, fault.Detail)
+		for _, failure := range got.Failures() {
+			t.Logf("%s: %s %s", failure.Request.Mark, failure.Verdict, failure.Detail)
 		}
 	}
 }
--- a/devfleet/hangup_test.go
+++ b/devfleet/hangup_test.go
@@ -14,7 +14,8 @@
 	"github.com/walnutcove/walnutcove/result"
 )
 
-// call is one HTTP request of a caller that may disconnect before the answer.
+// call is one HTTP request of a caller that may disconnect before the answer. key is its
+// Idempotency-Key, header holds further header fields.
 type call struct {
 	path, key, body string
 	header          map[string]string
@@ -37,8 +38,8 @@
 	return all
 }
 
-// sendAndDisconnect sends the call, waits until waitBegun finds that its run has begun,
-// and closes the connection.
+// sendAndDisconnect sends the call, calls waitBegun, which returns once the run has
+// begun, and closes the connection.
 func (c call) sendAndDisconnect(t *testing.T, router string, waitBegun func(answer io.Reader)) {
 	t.Helper()
 	conn, err := net.Dial("tcp", router)
--- a/devfleet/managed.go
+++ b/devfleet/managed.go
@@ -85,12 +85,12 @@
 
 // ManagedSettings returns the settings of a router on loopback that uses the managed
 // platform's store at an address.
-func ManagedSettings(name, store string) settings.Settings {
+func ManagedSettings(name, storeAddress string) settings.Settings {
 	s := settings.Defaults()
 	s.Node = settings.Node{Name: name, DataCentre: "dc"}
 	s.Listen = settings.Listen{Callers: "127.0.0.1:0", Operators: "127.0.0.1:0", Peers: "127.0.0.1:0", Health: "127.0.0.1:0"}
 	s.Platform.Kind = settings.KindManaged
-	s.Platform.Address = store
+	s.Platform.Address = storeAddress
 	s.Peers.TrustNetwork = true
 	s.Scheduling.HeartbeatEvery = settings.Duration(250 * time.Millisecond)
 	s.Scheduling.MemberTimeout = settings.Duration(time.Second)
--- a/devfleet/metrics_test.go
+++ b/devfleet/metrics_test.go
@@ -109,7 +109,7 @@
 			t.Errorf("%s has two rows", name)
 		}
 		if total := strings.HasSuffix(name, "_total"); total != (kind == "counter") {
-			t.Errorf("%s is documented as a %s, but only counters end in _total", name, kind)
+			t.Errorf("%s is documented as a %s, but counters, and no other metrics, end in _total", name, kind)
 		}
 		labelsByName[name] = []string{}
 		for _, l := range label.FindAllStringSubmatch(match[3], -1) {
--- a/devfleet/operator_test.go
+++ b/devfleet/operator_test.go
@@ -15,7 +15,7 @@
 func TestDrainThroughAnotherRouter(t *testing.T) {
 	fleet := startFleet(t, devfleet.Options{Routers: 2, Engines: 1})
 	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
-		status, body := orderDrain(t, fleet, "vm-2")
+		status, body := requestDrain(t, fleet, "vm-2")
 		if status == http.StatusOK {
 			break
 		}
@@ -36,8 +36,8 @@
 	}
 }
 
-// orderDrain requests the drain of a router through vm-1.
-func orderDrain(t *testing.T, fleet *devfleet.Fleet, node string) (status int, body string) {
+// requestDrain requests the drain of a router through vm-1.
+func requestDrain(t *testing.T, fleet *devfleet.Fleet, node string) (status int, body string) {
 	t.Helper()
 	url := "http://" + fleet.Routers[0].OperatorsAddress() + "/operator/v1/drain"
 	response, err := http.Post(url, "application/json", strings.NewReader(`{"node":"`+node+`"}`))
