--- a/deploy/template_test.go
+++ b/deploy/template_test.go
@@ -161,7 +161,8 @@
 }
 
 // TestTemplateErrorsNameTheKey checks that loading a value that cannot be used fails
-// with an error of one line that names the value's key.
+// with an error of one line that names the value's key. Only an empty value of a key in
+// limits may be accepted.
 func TestTemplateErrorsNameTheKey(t *testing.T) {
 	for field, key := range numberKeys {
 		for _, value := range []string{"", "none", "-1", "1.5.0", "{}"} {
