--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -31,7 +31,7 @@
 	Faults Faults
 	// MinJournalEntries is how many of the latest journal entries are kept at least;
 	// older ones are dropped once there are twice as many. Default 1<<20.
-	MaxJournal int
+	MinJournalEntries int
 }
 
 // Server is the stand-in. Create it with New, then call Start.
@@ -50,7 +50,7 @@
 
 // New returns a server that is not yet listening.
 func New(options Options) *Server {
-	journal := newJournal(options.MaxJournal)
+	journal := newJournal(options.MinJournalEntries)
 	s := &Server{
 		store:   memory.New(memory.Options{OnChange: journal.add}),
 		weights: memory.NewWeights(options.Weights),
--- a/standin/platform/server_test.go
+++ b/standin/platform/server_test.go
@@ -230,7 +230,7 @@
 }
 
 func TestJournalDropsOldestEntries(t *testing.T) {
-	server := New(Options{MaxJournal: 2})
+	server := New(Options{MinJournalEntries: 2})
 	for i := range 5 {
 		ops := []store.Op{{Kind: store.OpInsert, Table: "t", Key: fmt.Sprint(i)}}
 		if err := server.Store().Commit(context.Background(), ops); err != nil {
