--- a/directory/follower.go
+++ b/directory/follower.go
@@ -65,8 +65,8 @@
 	OnRestored func()
 	// ProbeEra returns the platform's current era; nil disables era probes.
 	ProbeEra func(context.Context) (era uint64, err error)
-	// Shared reports whether routers take turns: this router follows the feeds while SetTurn
-	// says so, and otherwise learns from its peers through Import.
+	// Shared reports whether routers share the feeds: this router follows them while SetFeedRole
+	// requires it, and otherwise learns from its peers through Import.
 	Shared bool
 	// OnLiveChange is called at each change with whether this router follows both feeds and
 	// they answer; may be nil.
@@ -86,8 +86,8 @@
 	// recoveredAt is when the targets feed last recovered from an outage in which entries may
 	// have lapsed, or was restored from an older copy; zero if it never did.
 	recoveredAt time.Time
-	// turn tracks whether this router follows the feeds.
-	turn *turn
+	// role tracks whether this router follows the feeds.
+	role *roleTracker
 	// callTimes holds the call and answer times of each feed. The map itself is not modified.
 	callTimes map[string]*callTimes
 	reprobes  *reprobes
@@ -103,7 +103,7 @@
 	return &Follower{
 		options:   options,
 		state:     newState(),
-		turn:      newTurn(options),
+		role:      newRoleTracker(options),
 		callTimes: map[string]*callTimes{feedConfigurations: {}, feedTargets: {}},
 		reprobes:  newReprobes(),
 		wake:      make(chan struct{}, 1),
--- a/directory/poller.go
+++ b/directory/poller.go
@@ -14,9 +14,9 @@
 	// maxHold is how long one call waits for changes. It is the longest that the platform
 	// allows, because each call has a cost.
 	maxHold = 30 * time.Second
-	// proverMaxHold is the maxHold of the router that verifies calls for the fleet, so that
+	// proberMaxHold is the maxHold of the router that verifies calls for the fleet, so that
 	// calls that were lost while waiting are detected within this time.
-	proverMaxHold = maxHold / 2
+	proberMaxHold = maxHold / 2
 	// verifyHold is how long a call waits whose purpose is to show that the store answers.
 	// Together with answerMargin and the first retry pauses, a call that was made while the
 	// store was silent is detected within a second, at the cost of one more call after each
@@ -103,17 +103,17 @@
 
 // run follows the feed until ctx ends.
 func (p *poller[T]) run(ctx context.Context) {
-	turn := p.follower.turn
-	defer turn.setLive(p.name, false)
+	role := p.follower.role
+	defer role.setLive(p.name, false)
 	for ctx.Err() == nil {
-		if p.loaded && turn.standBy(ctx, p.name) {
+		if p.loaded && role.standBy(ctx, p.name) {
 			// Peers reported what changed meanwhile, as far as they knew.
 			p.loaded, p.lost = false, false
 			p.times.noteStandBy()
 			continue
 		}
 		if p.loaded && !p.lost {
-			turn.setLive(p.name, true)
+			role.setLive(p.name, true)
 		}
 		listing, err := p.ask(ctx)
 		if err == nil {
@@ -142,8 +142,8 @@
 		if hold > verifyHold && !retry.hasFailed() {
 			reprobe = p.reprobe
 		}
-		wanted, turnChanged := p.follower.turn.mustFollow()
-		if p.loaded && !wanted {
+		follow, roleChanged := p.follower.role.mustFollow()
+		if p.loaded && !follow {
 			return Listing[T]{}, errOthersFollow
 		}
 		select {
@@ -157,7 +157,7 @@
 			p.call(ctx, 0, results)
 		case <-reprobe:
 			return Listing[T]{}, errReprobe
-		case <-turnChanged:
+		case <-roleChanged:
 		case <-ctx.Done():
 			return Listing[T]{}, ctx.Err()
 		}
@@ -270,8 +270,8 @@
 		return 0 // Learn at once whether the platform answers.
 	case !p.verified:
 		return verifyHold
-	case p.follower.turn.isProver():
-		return jitteredHold(proverMaxHold)
+	case p.follower.role.isProber():
+		return jitteredHold(proberMaxHold)
 	default:
 		return jitteredHold(maxHold)
 	}
@@ -289,7 +289,7 @@
 	p.follower.options.Log.Warn("directory: Feed lost.", "feed", p.name, "revision", p.after.String(), "waited", waited,
 		"answered_before", answered, "error", err)
 	p.times.noteOverdue()
-	p.follower.turn.setLive(p.name, false)
+	p.follower.role.setLive(p.name, false)
 	p.follower.Reprobe()
 }
 
@@ -308,7 +308,7 @@
 	}
 	// Another router verifies calls on behalf of this one, but not after a loss.
 	changed := len(listing.Entries) > 0
-	p.verified = !p.lost && (!changed || !p.follower.turn.isProver())
+	p.verified = !p.lost && (!changed || !p.follower.role.isProber())
 	p.loaded, p.lost = true, false
 	p.after = max(p.after, listing.Revision)
 	if changed {
--- a/directory/probe.go
+++ b/directory/probe.go
@@ -24,7 +24,7 @@
 )
 
 // runEraProbes polls the platform's era until ctx ends, and reissues the calls that wait for
-// changes when the era has advanced or the probe fails. Only the prover polls; other routers
+// changes when the era has advanced or the probe fails. Only the prober polls; other routers
 // learn of a new era from their peers.
 func (f *Follower) runEraProbes(ctx context.Context) {
 	if f.options.ProbeEra == nil {
@@ -32,7 +32,7 @@
 	}
 	for ctx.Err() == nil {
 		wait.For(ctx, eraProbeInterval)
-		if !f.turn.isLiveProver() {
+		if !f.role.isLiveProber() {
 			continue // Another router probes, or a feed is down and detects a restore when it reconnects.
 		}
 		if f.needsReprobe(ctx) {
--- a/directory/silence_test.go
+++ b/directory/silence_test.go
@@ -237,42 +237,42 @@
 		time.Sleep(5 * time.Second)
 		store.loseWaiting()
 		s.configurations.set(version(6))
-		time.Sleep(proverMaxHold + maxUpdateDelay)
+		time.Sleep(proberMaxHold + maxUpdateDelay)
 		if got := s.version(); got != 6 {
 			t.Errorf("version %d is in force", got)
 		}
 	})
 }
 
-// TestOnlyProverVerifiesCalls checks that a change costs a router one call of its feed, and the
-// prover, which verifies calls for the others, a second one; without changes no router makes
+// TestOnlyProberVerifiesCalls checks that a change costs a router one call of its feed, and the
+// prober, which verifies calls for the others, a second one; without changes no router makes
 // any.
-func TestOnlyProverVerifiesCalls(t *testing.T) {
-	for proves, want := range map[bool]int{true: 2, false: 1} {
+func TestOnlyProberVerifiesCalls(t *testing.T) {
+	for probe, want := range map[bool]int{true: 2, false: 1} {
 		synctest.Test(t, func(t *testing.T) {
 			s, store := startOnSilentStore(t)
-			s.follower.SetTurn(Turn{Wanted: true, Proves: proves})
+			s.follower.SetFeedRole(FeedRole{Follow: true, Probe: probe})
 			time.Sleep(5 * time.Second)
 			before := store.callCount()
 			s.configurations.set(version(5))
 			time.Sleep(3 * time.Second)
 			if calls := store.callCount() - before; calls != want {
-				t.Errorf("proves %v: %d calls for a change", proves, calls)
+				t.Errorf("probe %v: %d calls for a change", probe, calls)
 			}
 		})
 	}
 }
 
-// TestNewProverReissuesCalls checks that a router that becomes the prover does not trust the
+// TestNewProberReissuesCalls checks that a router that becomes the prober does not trust the
 // calls that another router verified before.
-func TestNewProverReissuesCalls(t *testing.T) {
+func TestNewProberReissuesCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, store := startOnSilentStore(t)
-		s.follower.SetTurn(Turn{Wanted: true})
+		s.follower.SetFeedRole(FeedRole{Follow: true})
 		time.Sleep(5 * time.Second)
 		store.loseWaiting()
 		s.configurations.set(version(6))
-		s.follower.SetTurn(Turn{Wanted: true, Proves: true})
+		s.follower.SetFeedRole(FeedRole{Follow: true, Probe: true})
 		time.Sleep(maxUpdateDelay)
 		if got := s.version(); got != 6 {
 			t.Errorf("version %d is in force", got)
--- a/directory/turn.go
+++ b/directory/turn.go
@@ -18,13 +18,13 @@
 	maxStandBy = time.Second
 )
 
-// Turn describes whether a router follows the feeds.
-type Turn struct {
-	// Wanted reports that this router has to follow the feeds.
-	Wanted bool
-	// Proves reports that this router is the prover: it verifies for the others that calls
+// FeedRole describes whether a router follows the feeds.
+type FeedRole struct {
+	// Follow reports that this router has to follow the feeds.
+	Follow bool
+	// Probe reports that this router is the prober: it verifies for the others that calls
 	// waiting for changes wait at a platform that answers.
-	Proves bool
+	Probe bool
 	// Ahead counts the routers that would follow before this one but do not follow yet.
 	Ahead int
 }
@@ -35,20 +35,20 @@
 	feedTargets        = "targets"
 )
 
-// turn tracks whether this router follows the feeds. It is safe for concurrent use.
-type turn struct {
+// roleTracker tracks whether this router follows the feeds. It is safe for concurrent use.
+type roleTracker struct {
 	shared       bool
 	onLiveChange func(bool)
 	// callbackMu is held while onLiveChange runs, so that its calls are in order. mu is not
-	// held then, because onLiveChange may wait for the caller of SetTurn.
+	// held then, because onLiveChange may wait for the caller of SetFeedRole.
 	callbackMu sync.Mutex
 
 	mu     sync.Mutex
-	wanted bool
-	proves bool
+	follow bool
+	probe  bool
 	// followFrom is when this router may start to follow; zero until the first load.
 	followFrom time.Time
-	// changed is closed and replaced when wanted or followFrom changes.
+	// changed is closed and replaced when follow or followFrom changes.
 	changed chan struct{}
 	// live holds the feeds that are followed and answer, and reportedLive the state last passed
 	// to onLiveChange.
@@ -56,58 +56,58 @@
 	reportedLive bool
 }
 
-func newTurn(options Options) *turn {
-	return &turn{
+func newRoleTracker(options Options) *roleTracker {
+	return &roleTracker{
 		shared:       options.Shared,
 		onLiveChange: options.OnLiveChange,
-		wanted:       true,
-		proves:       true,
+		follow:       true,
+		probe:        true,
 		changed:      make(chan struct{}),
 		live:         make(map[string]bool),
 	}
 }
 
-// SetTurn sets whether this router follows the feeds from now on. A router that becomes the
-// prover reissues its calls, because the previous prover was lost, possibly while the platform
+// SetFeedRole sets whether this router follows the feeds from now on. A router that becomes the
+// prober reissues its calls, because the previous prober was lost, possibly while the platform
 // was silent and lost calls.
-func (f *Follower) SetTurn(to Turn) {
-	if f.turn.set(to) {
+func (f *Follower) SetFeedRole(role FeedRole) {
+	if f.role.set(role) {
 		f.Reprobe()
 	}
 }
 
 // set reports whether this router has to verify its calls from now on.
-func (t *turn) set(to Turn) (mustVerify bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	mustVerify = to.Proves && !t.proves
-	t.proves = to.Proves
-	t.setWanted(to)
+func (r *roleTracker) set(role FeedRole) (mustVerify bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	mustVerify = role.Probe && !r.probe
+	r.probe = role.Probe
+	r.setFollow(role)
 	return mustVerify
 }
 
-// setWanted updates wanted and followFrom. t.mu must be held.
-func (t *turn) setWanted(to Turn) {
-	if t.wanted == to.Wanted {
+// setFollow updates follow and followFrom. r.mu must be held.
+func (r *roleTracker) setFollow(role FeedRole) {
+	if r.follow == role.Follow {
 		return
 	}
-	t.wanted = to.Wanted
-	t.followFrom = time.Now().Add(min(maxStandBy, time.Duration(to.Ahead)*standByPerRouter))
-	close(t.changed)
-	t.changed = make(chan struct{})
+	r.follow = role.Follow
+	r.followFrom = time.Now().Add(min(maxStandBy, time.Duration(role.Ahead)*standByPerRouter))
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-// standBy waits until it is this router's turn to follow a feed. It reports whether other
+// standBy waits until this router has to follow a feed. It reports whether other
 // routers followed it meanwhile, so that the feed has to be loaded again.
-func (t *turn) standBy(ctx context.Context, feed string) (stoodBy bool) {
-	for t.shared && ctx.Err() == nil {
-		wanted, pause, changed := t.followState()
-		if wanted && pause <= 0 {
+func (r *roleTracker) standBy(ctx context.Context, feed string) (stoodBy bool) {
+	for r.shared && ctx.Err() == nil {
+		follow, pause, changed := r.followState()
+		if follow && pause <= 0 {
 			break
 		}
-		if !wanted {
+		if !follow {
 			stoodBy = true
-			t.setLive(feed, false)
+			r.setLive(feed, false)
 			pause = foreverPause
 		}
 		awaitChange(ctx, changed, pause)
@@ -117,24 +117,24 @@
 
 // mustFollow reports whether this router has to follow; the result is valid until changed is
 // closed.
-func (t *turn) mustFollow() (wanted bool, changed <-chan struct{}) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.wanted || !t.shared, t.changed
+func (r *roleTracker) mustFollow() (follow bool, changed <-chan struct{}) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.follow || !r.shared, r.changed
 }
 
-// isProver reports whether this router verifies its calls for the others.
-func (t *turn) isProver() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.proves
+// isProber reports whether this router verifies its calls for the others.
+func (r *roleTracker) isProber() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.probe
 }
 
-// isLiveProver reports whether this router is the prover and both of its feeds are live.
-func (t *turn) isLiveProver() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.proves && t.reportedLive
+// isLiveProber reports whether this router is the prober and both of its feeds are live.
+func (r *roleTracker) isLiveProber() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.probe && r.reportedLive
 }
 
 // foreverPause is a pause that only a change ends.
@@ -152,31 +152,31 @@
 }
 
 // followState returns whether this router has to follow, and how long it waits before it does.
-func (t *turn) followState() (wanted bool, pause time.Duration, changed <-chan struct{}) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.followFrom.IsZero() {
-		t.followFrom = time.Now().Add(initialStandBy)
+func (r *roleTracker) followState() (follow bool, pause time.Duration, changed <-chan struct{}) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.followFrom.IsZero() {
+		r.followFrom = time.Now().Add(initialStandBy)
 	}
-	return t.wanted, time.Until(t.followFrom), t.changed
+	return r.follow, time.Until(r.followFrom), r.changed
 }
 
 // setLive records whether a feed is followed and answers.
-func (t *turn) setLive(feed string, live bool) {
-	t.callbackMu.Lock()
-	defer t.callbackMu.Unlock()
-	if both, changed := t.updateLive(feed, live); changed && t.onLiveChange != nil {
-		t.onLiveChange(both)
+func (r *roleTracker) setLive(feed string, live bool) {
+	r.callbackMu.Lock()
+	defer r.callbackMu.Unlock()
+	if allLive, changed := r.updateLive(feed, live); changed && r.onLiveChange != nil {
+		r.onLiveChange(allLive)
 	}
 }
 
 // updateLive returns whether both feeds are live, and whether that has changed.
-func (t *turn) updateLive(feed string, live bool) (both, changed bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.live[feed] = live
-	both = t.live[feedConfigurations] && t.live[feedTargets]
-	changed = both != t.reportedLive
-	t.reportedLive = both
-	return both, changed
+func (r *roleTracker) updateLive(feed string, live bool) (allLive, changed bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.live[feed] = live
+	allLive = r.live[feedConfigurations] && r.live[feedTargets]
+	changed = allLive != r.reportedLive
+	r.reportedLive = allLive
+	return allLive, changed
 }
--- a/directory/turn_test.go
+++ b/directory/turn_test.go
@@ -22,18 +22,18 @@
 }
 
 // TestStandsByWhileOthersFollow checks that a router makes no call while others follow the
-// feeds, and knows what changed meanwhile once its turn comes.
+// feeds, and knows what changed meanwhile once it has to follow them.
 func TestStandsByWhileOthersFollow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startShared(t)
-		s.follower.SetTurn(Turn{})
+		s.follower.SetFeedRole(FeedRole{})
 		time.Sleep(time.Minute)
 		s.targets.set(removalOf("a"))
 		if !s.serves("a") || s.live {
 			t.Errorf("follows although others do, live %v", s.live)
 		}
 		loads := s.targets.loads
-		s.follower.SetTurn(Turn{Wanted: true, Ahead: 2})
+		s.follower.SetFeedRole(FeedRole{Follow: true, Ahead: 2})
 		time.Sleep(3 * standByPerRouter)
 		if s.serves("a") || !s.live || s.targets.loads != loads+1 {
 			t.Errorf("does not follow, live %v, %d loads", s.live, s.targets.loads-loads)
@@ -45,9 +45,9 @@
 	})
 }
 
-// TestFollowsWithoutTurn checks that soon after its start a router follows the feeds on its
+// TestFollowsWithoutFeedRole checks that soon after its start a router follows the feeds on its
 // own, including what changed since its load.
-func TestFollowsWithoutTurn(t *testing.T) {
+func TestFollowsWithoutFeedRole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startShared(t)
 		s.targets.set(removalOf("a"))
@@ -77,24 +77,24 @@
 	})
 }
 
-// TestSetTurnDuringCallback guards against a deadlock: a turn can be set while OnLiveChange
-// runs, because OnLiveChange may wait for the caller of SetTurn.
-func TestSetTurnDuringCallback(t *testing.T) {
-	turns := newTurn(Options{Shared: true})
-	inCallback, turnSet := make(chan struct{}), make(chan struct{})
-	turns.onLiveChange = func(bool) { close(inCallback); <-turnSet }
+// TestSetFeedRoleDuringCallback guards against a deadlock: the role can be set while OnLiveChange
+// runs, because OnLiveChange may wait for the caller of SetFeedRole.
+func TestSetFeedRoleDuringCallback(t *testing.T) {
+	role := newRoleTracker(Options{Shared: true})
+	inCallback, roleSet := make(chan struct{}), make(chan struct{})
+	role.onLiveChange = func(bool) { close(inCallback); <-roleSet }
 	go func() {
-		turns.setLive(feedConfigurations, true)
-		turns.setLive(feedTargets, true)
+		role.setLive(feedConfigurations, true)
+		role.setLive(feedTargets, true)
 	}()
 	<-inCallback
 	go func() {
-		turns.set(Turn{})
-		close(turnSet)
+		role.set(FeedRole{})
+		close(roleSet)
 	}()
 	select {
-	case <-turnSet:
+	case <-roleSet:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the turn cannot be set while OnLiveChange runs")
+		t.Fatal("the role cannot be set while OnLiveChange runs")
 	}
 }
--- a/router/managed.go
+++ b/router/managed.go
@@ -99,7 +99,7 @@
 		return
 	}
 	r.log.Info("directory: Role in following the platform's feeds changed.", "wanted", role.Follow, "proves", role.Probe, "ahead", role.Ahead)
-	r.directory.SetTurn(directory.Turn{Wanted: role.Follow, Proves: role.Probe, Ahead: role.Ahead})
+	r.directory.SetFeedRole(directory.FeedRole{Follow: role.Follow, Probe: role.Probe, Ahead: role.Ahead})
 }
 
 // recheckFeeds implements shell.
