--- a/control/loadtest/engine.go
+++ b/control/loadtest/engine.go
@@ -10,7 +10,7 @@
 // EngineSpec describes a modelled engine.
 type EngineSpec struct {
 	// Slots is the number of requests that run at once, and MemoryTokens the memory, in
-	// tokens, for prompts, answers and kept parts together.
+	// tokens, for prompts, answers and cached parts together.
 	Slots        int
 	MemoryTokens int
 	// StepTime is the time of a step that reads nothing, and StepPerRun the time added
@@ -23,13 +23,13 @@
 	ChunkTokens int
 	// FirstEventDelay is the time from the end of reading to the first event.
 	FirstEventDelay time.Duration
-	// ReportInterval is the period of the reports of kept parts, and ReportLag their
+	// ReportInterval is the period of the reports of cached parts, and ReportLag their
 	// delay.
 	ReportInterval, ReportLag time.Duration
 }
 
 // engine reads prompts in order of arrival, one chunk per step, and generates one token
-// of each run per step. What it has read is kept until the memory is needed; the least
+// of each run per step. What it has read is cached until the memory is needed; the least
 // recently used parts are evicted first.
 type engine struct {
 	spec     EngineSpec
@@ -43,14 +43,14 @@
 	// crashed is set while the engine is down.
 	crashed    bool
 	memoryHeld int
-	kept       keptLRU
+	cache      lruCache
 	// tokensRead counts the tokens read, and tokensReread those of them in shared parts
 	// that some engine had read before.
 	tokensRead, tokensReread int
 }
 
 func (e *engine) arrive(r *run) {
-	r.unreadTokens = max(1, r.work.PromptTokens-e.keptTokens(r.work))
+	r.unreadTokens = max(1, r.work.PromptTokens-e.cachedTokens(r.work))
 	if r.fetched > 0 {
 		r.unreadTokens = max(1, r.unreadTokens-r.fetched)
 	}
@@ -65,13 +65,13 @@
 // shared parts that some engine had read before.
 func (e *engine) recordReads(r *run) {
 	e.tokensRead += r.unreadTokens
-	kept := r.position
+	cached := r.position
 	for i, part := range r.work.Parts {
 		if i+1 == len(r.work.Parts) {
 			return
 		}
-		missing := max(0, part.Tokens-kept)
-		kept = max(0, kept-part.Tokens)
+		missing := max(0, part.Tokens-cached)
+		cached = max(0, cached-part.Tokens)
 		if e.sim.readBefore[part.ID] {
 			e.tokensReread += missing
 		}
@@ -79,12 +79,12 @@
 	}
 }
 
-// keptTokens returns the length of the kept prefix of a prompt, and marks its parts as
+// cachedTokens returns the length of the cached prefix of a prompt, and marks its parts as
 // used.
-func (e *engine) keptTokens(work control.Work) int {
+func (e *engine) cachedTokens(work control.Work) int {
 	tokens := 0
 	for _, part := range work.Parts {
-		if !e.kept.touch(part.ID) {
+		if !e.cache.touch(part.ID) {
 			break
 		}
 		tokens += part.Tokens
@@ -153,61 +153,61 @@
 func (e *engine) end(r *run) {
 	e.memoryHeld -= r.work.PromptTokens + r.work.OutputTokens
 	for _, part := range r.work.Parts {
-		e.kept.add(part)
+		e.cache.add(part)
 	}
-	e.kept.shrink(e.spec.MemoryTokens - e.memoryHeld)
+	e.cache.shrink(e.spec.MemoryTokens - e.memoryHeld)
 	e.sim.runEnded(r)
 }
 
-// reportKept reports the kept parts once every ReportInterval.
-func (e *engine) reportKept() {
-	parts := e.kept.list()
-	e.sim.after(e.spec.ReportLag, func() { e.sim.keptReported(e.name, parts) })
-	e.sim.after(e.spec.ReportInterval, e.reportKept)
+// reportCache reports the cached parts once every ReportInterval.
+func (e *engine) reportCache() {
+	parts := e.cache.list()
+	e.sim.after(e.spec.ReportLag, func() { e.sim.cacheReported(e.name, parts) })
+	e.sim.after(e.spec.ReportInterval, e.reportCache)
 }
 
-// keptLRU holds prompt parts in a list, least recently used last.
-type keptLRU struct {
+// lruCache holds prompt parts in a list, least recently used last.
+type lruCache struct {
 	order  *list.List
 	byID   map[uint64]*list.Element
 	tokens int
 }
 
-func newKeptLRU() keptLRU {
-	return keptLRU{order: list.New(), byID: make(map[uint64]*list.Element)}
+func newLRUCache() lruCache {
+	return lruCache{order: list.New(), byID: make(map[uint64]*list.Element)}
 }
 
-// touch reports whether a part is kept, and marks it as used.
-func (k *keptLRU) touch(id uint64) bool {
-	element := k.byID[id]
+// touch reports whether a part is cached, and marks it as used.
+func (c *lruCache) touch(id uint64) bool {
+	element := c.byID[id]
 	if element == nil {
 		return false
 	}
-	k.order.MoveToFront(element)
+	c.order.MoveToFront(element)
 	return true
 }
 
-func (k *keptLRU) add(part control.PromptPart) {
-	if k.touch(part.ID) {
+func (c *lruCache) add(part control.PromptPart) {
+	if c.touch(part.ID) {
 		return
 	}
-	k.byID[part.ID] = k.order.PushFront(part)
-	k.tokens += part.Tokens
+	c.byID[part.ID] = c.order.PushFront(part)
+	c.tokens += part.Tokens
 }
 
-func (k *keptLRU) shrink(maxTokens int) {
-	for k.tokens > maxTokens && k.order.Len() > 0 {
-		last := k.order.Back()
+func (c *lruCache) shrink(maxTokens int) {
+	for c.tokens > maxTokens && c.order.Len() > 0 {
+		last := c.order.Back()
 		part := last.Value.(control.PromptPart)
-		k.order.Remove(last)
-		delete(k.byID, part.ID)
-		k.tokens -= part.Tokens
+		c.order.Remove(last)
+		delete(c.byID, part.ID)
+		c.tokens -= part.Tokens
 	}
 }
 
-func (k *keptLRU) list() []control.PromptPart {
+func (c *lruCache) list() []control.PromptPart {
 	var parts []control.PromptPart
-	for element := k.order.Front(); element != nil; element = element.Next() {
+	for element := c.order.Front(); element != nil; element = element.Next() {
 		parts = append(parts, element.Value.(control.PromptPart))
 	}
 	return parts
--- a/control/loadtest/loadtest_test.go
+++ b/control/loadtest/loadtest_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestColdStart begins with nothing kept and no start seen. Some requests of the first
+// TestColdStart begins with nothing cached and no start seen. Some requests of the first
 // second are late, as each shared part has to be read once. When targets were assumed to
 // be nine times as fast until the first starts were seen, four in ten more were late (97
 // instead of 70 in four simulations), and at low load more than twice as many (26
@@ -149,20 +149,20 @@
 }
 
 // TestSharedPartsUnderEviction has more shared prompt parts than fit into one engine's
-// memory beside its runs. Parts that another engine keeps are fetched, which reduces the
+// memory beside its runs. Parts that another engine has cached are fetched, which reduces the
 // shared tokens that are read again by a third and has more requests in time. Placement
-// that ignores kept parts reads twice as many tokens again.
+// that ignores cached parts reads twice as many tokens again.
 func TestSharedPartsUnderEviction(t *testing.T) {
-	kept := hotWorkspaceResult()
+	withCache := hotWorkspaceResult()
 	withoutFetch := simulateSeeds(hotWorkspacePattern(), policyWith(func(p *policy.Tokens) { p.NoFetch = true }))
-	withoutKept := simulateSeeds(hotWorkspacePattern(), policyWith(func(p *policy.Tokens) { p.NoKept = true }))
-	if float64(kept.TokensReread) > 0.7*float64(withoutFetch.TokensReread) || kept.InTimeRatio() < withoutFetch.InTimeRatio()+0.03 {
+	withoutCache := simulateSeeds(hotWorkspacePattern(), policyWith(func(p *policy.Tokens) { p.NoKept = true }))
+	if float64(withCache.TokensReread) > 0.7*float64(withoutFetch.TokensReread) || withCache.InTimeRatio() < withoutFetch.InTimeRatio()+0.03 {
 		t.Errorf("%d tokens read again and %.3f in time, %d and %.3f without fetches",
-			kept.TokensReread, kept.InTimeRatio(), withoutFetch.TokensReread, withoutFetch.InTimeRatio())
+			withCache.TokensReread, withCache.InTimeRatio(), withoutFetch.TokensReread, withoutFetch.InTimeRatio())
 	}
-	if float64(kept.TokensReread) > 0.55*float64(withoutKept.TokensReread) || kept.InTimeRatio() < withoutKept.InTimeRatio()+0.06 {
-		t.Errorf("%d tokens read again and %.3f in time, %d and %.3f without regard to what is kept",
-			kept.TokensReread, kept.InTimeRatio(), withoutKept.TokensReread, withoutKept.InTimeRatio())
+	if float64(withCache.TokensReread) > 0.55*float64(withoutCache.TokensReread) || withCache.InTimeRatio() < withoutCache.InTimeRatio()+0.06 {
+		t.Errorf("%d tokens read again and %.3f in time, %d and %.3f without regard to what is cached",
+			withCache.TokensReread, withCache.InTimeRatio(), withoutCache.TokensReread, withoutCache.InTimeRatio())
 	}
 }
 
--- a/control/loadtest/world.go
+++ b/control/loadtest/world.go
@@ -166,7 +166,7 @@
 		s.startRouter(r, weights, seed, declarations)
 	}
 	for _, name := range sortedNames(declarations.Targets) {
-		s.after(time.Duration(s.arrivalRNG.Int64N(int64(s.pattern.Engine.ReportInterval))), s.engines[name].reportKept)
+		s.after(time.Duration(s.arrivalRNG.Int64N(int64(s.pattern.Engine.ReportInterval))), s.engines[name].reportCache)
 	}
 	if s.pattern.StallAt > 0 {
 		s.after(s.pattern.StallAt, s.stall)
@@ -210,7 +210,7 @@
 		if s.pattern.SlowEvery > 0 && i%s.pattern.SlowEvery == s.pattern.SlowEvery-1 {
 			slowdown = s.pattern.SlowFactor
 		}
-		s.engines[name] = &engine{spec: s.pattern.Engine, name: name, slowdown: slowdown, sim: s, kept: newKeptLRU()}
+		s.engines[name] = &engine{spec: s.pattern.Engine, name: name, slowdown: slowdown, sim: s, cache: newLRUCache()}
 	}
 	return d
 }
@@ -370,7 +370,7 @@
 	}
 	delay := messageDelay
 	if from := s.engines[c.FetchFrom]; from != nil {
-		started.fetched = max(0, from.keptTokens(req.work)-e.keptTokens(req.work))
+		started.fetched = max(0, from.cachedTokens(req.work)-e.cachedTokens(req.work))
 		delay += time.Duration(float64(started.fetched) / s.pattern.FetchedPerSecond * float64(time.Second))
 	}
 	s.result.TokensFetched += started.fetched
@@ -406,7 +406,7 @@
 	s.step(r.router, control.RunEnded{Request: r.request, Grant: r.grant, Outcome: control.OutcomeAnswered, Service: s.now - r.started})
 }
 
-func (s *simulation) keptReported(target string, parts []control.PromptPart) {
+func (s *simulation) cacheReported(target string, parts []control.PromptPart) {
 	for _, r := range s.routers {
 		if r.up {
 			s.step(r, control.TargetCacheReported{Target: target, Full: true, Parts: parts})
--- a/control/place.go
+++ b/control/place.go
@@ -291,5 +291,5 @@
 	for _, part := range ev.Parts {
 		parts = append(parts, sched.EnginePart{ID: part.ID, Tokens: part.Tokens})
 	}
-	t.engine.UpdateKept(m.now, ev.Full, parts)
+	t.engine.UpdateCache(m.now, ev.Full, parts)
 }
--- a/control/policy/tokens.go
+++ b/control/policy/tokens.go
@@ -58,7 +58,7 @@
 	NoReturning bool `toml:"no_returning"`
 	// NoFetch has shared parts read again instead of fetched.
 	NoFetch bool `toml:"no_fetch"`
-	// NoKept places requests without regard to which parts targets keep.
+	// NoKept places requests without regard to which parts targets have cached.
 	NoKept bool `toml:"no_kept"`
 	// NoLearning keeps predictions at their initial values.
 	NoLearning bool `toml:"no_learning"`
--- a/control/sched/engine.go
+++ b/control/sched/engine.go
@@ -18,7 +18,7 @@
 	PromptTokens, OutputTokens int
 }
 
-// EnginePart is one part of a prompt. A target that keeps this part and all parts before
+// EnginePart is one part of a prompt. A target that has this part and all parts before
 // it does not have to read them again.
 type EnginePart struct {
 	ID     uint64
@@ -60,7 +60,7 @@
 	running      int
 	// memoryHeld is the memory of the runs in progress, in tokens.
 	memoryHeld int64
-	kept       keptParts
+	cache      cacheEstimate
 }
 
 // EngineRun is one run at a target.
@@ -98,13 +98,13 @@
 		model:          o.ReadModel,
 		slowdown:       1,
 		ignoreSlowdown: o.IgnoreSlowdown,
-		kept:           newKeptParts(o.Memory),
+		cache:          newCacheEstimate(o.Memory),
 	}
 }
 
 // SetCapacity updates the declared slots and memory of the target.
 func (e *Engine) SetCapacity(slots int, memory int64) {
-	e.slots, e.memory, e.kept.capacity = max(1, slots), memory, memory
+	e.slots, e.memory, e.cache.capacity = max(1, slots), memory, memory
 }
 
 // Reads returns how many tokens of a task the target would have to read, and how many of
@@ -112,12 +112,12 @@
 func (e *Engine) Reads(task EngineTask) (all, shared int) {
 	saved := 0
 	for i, part := range task.Parts {
-		kept := min(part.Tokens, e.kept.keptTokens(part.ID))
-		saved += kept
+		cached := min(part.Tokens, e.cache.cachedTokens(part.ID))
+		saved += cached
 		if i+1 < len(task.Parts) {
-			shared += kept
+			shared += cached
 		}
-		if kept < part.Tokens {
+		if cached < part.Tokens {
 			break
 		}
 	}
@@ -176,7 +176,7 @@
 func (e *Engine) Utilisation() float64 { return float64(e.running) / float64(e.slots) }
 
 // Start adds a run that is granted now and has to read the given number of tokens. Its
-// prompt counts as kept from now on.
+// prompt counts as cached from now on.
 func (e *Engine) Start(now time.Duration, task EngineTask, reads int) *EngineRun {
 	run := &EngineRun{
 		reads:     promptLoad(reads, task.PromptTokens),
@@ -216,12 +216,12 @@
 	return run
 }
 
-// occupy adds the run's slot and memory, and marks its prompt as kept.
+// occupy adds the run's slot and memory, and marks its prompt as cached.
 func (e *Engine) occupy(now time.Duration, run *EngineRun, task EngineTask, reads int) {
 	run.memory = int64(reads + task.OutputTokens)
 	e.running++
 	e.memoryHeld += run.memory
-	e.kept.use(now, task.Parts)
+	e.cache.use(now, task.Parts)
 }
 
 // enqueue inserts a run into unread, in order of the grants.
@@ -291,14 +291,14 @@
 	}
 }
 
-// UpdateKept takes the target's report of the prompt parts that it keeps: all of them if
-// whole is set, else those that changed. Parts that were granted within grantGrace are
+// UpdateCache takes the target's report of the prompt parts that it has cached: all of
+// them if whole is set, else those that changed. Parts that were granted within grantGrace are
 // left as they are, because they may still be unread.
-func (e *Engine) UpdateKept(now time.Duration, whole bool, parts []EnginePart) {
+func (e *Engine) UpdateCache(now time.Duration, whole bool, parts []EnginePart) {
 	if whole {
-		e.kept.forgetBefore(now - grantGrace)
+		e.cache.removeBefore(now - grantGrace)
 	}
 	for _, part := range parts {
-		e.kept.report(now, part)
+		e.cache.report(now, part)
 	}
 }
--- a/control/sched/engine_test.go
+++ b/control/sched/engine_test.go
@@ -40,26 +40,26 @@
 	}
 }
 
-// TestKeptPartsAreNotReadAgain checks that reading starts behind the longest prefix that
-// is kept, and that the least recently used prefixes are evicted.
-func TestKeptPartsAreNotReadAgain(t *testing.T) {
+// TestCachedPartsAreNotReadAgain checks that reading starts behind the longest prefix that
+// is cached, and that the least recently used prefixes are evicted.
+func TestCachedPartsAreNotReadAgain(t *testing.T) {
 	e := newTestEngine(64, 10_000)
 	system := EnginePart{ID: 1, Tokens: 500}
 	document := EnginePart{ID: 2, Tokens: 4000}
 	own := EnginePart{ID: 3, Tokens: 100}
 	prompt := task(4600, 10, system, document, own)
 	if reads, sharedReads := e.Reads(prompt); reads != 4600 || sharedReads != 4500 {
-		t.Errorf("%d read, %d of them shared, while nothing is kept", reads, sharedReads)
+		t.Errorf("%d read, %d of them shared, while nothing is cached", reads, sharedReads)
 	}
 	e.End(1, e.Start(0, prompt, 4600))
 	other := task(4600, 10, system, document, EnginePart{ID: 9, Tokens: 100})
 	if reads, sharedReads := e.Reads(other); reads != 100 || sharedReads != 0 {
-		t.Errorf("%d read, %d of them shared, while the shared parts are kept", reads, sharedReads)
+		t.Errorf("%d read, %d of them shared, while the shared parts are cached", reads, sharedReads)
 	}
 	large := task(9000, 10, EnginePart{ID: 5, Tokens: 9000})
 	e.End(3, e.Start(2, large, 9000))
 	if reads, _ := e.Reads(other); reads == 100 {
-		t.Error("parts beyond the target's memory count as kept")
+		t.Error("parts beyond the target's memory count as cached")
 	}
 }
 
@@ -154,28 +154,28 @@
 	}
 }
 
-// TestReportedPartsAreUsed checks that a target's report of what it keeps or has dropped
+// TestReportedPartsAreUsed checks that a target's report of what it has cached or dropped
 // changes what it has to read, except for prompts that were granted within grantGrace.
 func TestReportedPartsAreUsed(t *testing.T) {
 	e := newTestEngine(64, 100_000)
 	shared, own := EnginePart{ID: 2, Tokens: 4000}, EnginePart{ID: 3, Tokens: 100}
 	prompt := task(4100, 10, shared, own)
-	e.UpdateKept(0, true, []EnginePart{shared})
+	e.UpdateCache(0, true, []EnginePart{shared})
 	if reads, sharedReads := e.Reads(prompt); reads != 100 || sharedReads != 0 {
-		t.Errorf("%d read, %d shared, of a part that is kept", reads, sharedReads)
+		t.Errorf("%d read, %d shared, of a part that is cached", reads, sharedReads)
 	}
-	e.UpdateKept(time.Second, false, []EnginePart{{ID: 2, Tokens: 1000}})
+	e.UpdateCache(time.Second, false, []EnginePart{{ID: 2, Tokens: 1000}})
 	if reads, sharedReads := e.Reads(prompt); reads != 3100 || sharedReads != 3000 {
-		t.Errorf("%d read, %d shared, with a quarter of the part kept", reads, sharedReads)
+		t.Errorf("%d read, %d shared, with a quarter of the part cached", reads, sharedReads)
 	}
 	e.Start(10*time.Second, prompt, 3100)
-	e.UpdateKept(11*time.Second, true, nil)
+	e.UpdateCache(11*time.Second, true, nil)
 	if _, sharedReads := e.Reads(prompt); sharedReads != 0 {
 		t.Error("a prompt that was granted just now counts as dropped")
 	}
-	e.UpdateKept(20*time.Second, true, nil)
+	e.UpdateCache(20*time.Second, true, nil)
 	if _, sharedReads := e.Reads(prompt); sharedReads != 4000 {
-		t.Error("a part that the target dropped counts as kept")
+		t.Error("a part that the target dropped counts as cached")
 	}
 }
 
--- a/standin/managed/caller.go
+++ b/standin/managed/caller.go
@@ -66,7 +66,7 @@
 	request.Header.Set(wire.HeaderDeadline, strconv.FormatInt(c.Deadline.Milliseconds(), 10))
 	request.Header.Set(wire.HeaderTokens, "100,50") // prompt tokens, maximum of the answer
 	// Some requests have the same first part of their prompt, which makes routers
-	// prefer the replica that keeps it.
+	// prefer the replica that has it cached.
 	request.Header.Set(wire.HeaderParts, fmt.Sprintf("%x:80,%s:20", len(answer.ID)*100+int(answer.ID[len(answer.ID)-1]), "ff"))
 	response, err := c.client.Do(request)
 	if err != nil {
--- a/standin/managed/replica.go
+++ b/standin/managed/replica.go
@@ -87,9 +87,9 @@
 	announcesLeaving bool
 	// requests counts the requests received, for RefuseEvery.
 	requests int
-	// keptParts are the prompt parts of the requests that it ran, in the form
+	// cachedParts are the prompt parts of the requests that it ran, in the form
 	// "id:tokens" that callers send.
-	keptParts []string
+	cachedParts []string
 }
 
 // StartReplica starts a replica on loopback and registers it in the store as ready.
@@ -198,9 +198,9 @@
 	_ = r.listener.Close()
 }
 
-// serveKeptParts answers the calls that list what the replica keeps in its cache:
+// serveCache answers the calls that list what the replica has in its cache:
 // the prompt parts that it ran, in the order in which they arrived.
-func (r *Replica) serveKeptParts(ctx *fasthttp.RequestCtx) {
+func (r *Replica) serveCache(ctx *fasthttp.RequestCtx) {
 	isList := string(ctx.Path()) == wire.PathCacheList
 	after := ctx.QueryArgs().GetUintOrZero(wire.ParamCacheAfter)
 	if !isList {
@@ -209,8 +209,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	answer := wire.CacheContent{Epoch: json.RawMessage("1"), Next: uint64(len(r.keptParts))}
-	for number, part := range r.keptParts {
+	answer := wire.CacheContent{Epoch: json.RawMessage("1"), Next: uint64(len(r.cachedParts))}
+	for number, part := range r.cachedParts {
 		id, tokens, _ := strings.Cut(part, ":")
 		entry := []string{"\"\"", strconv.Quote(id), tokens, "\"m\""}
 		switch {
@@ -236,13 +236,13 @@
 	return entry
 }
 
-// keepParts adds the parts of a prompt to keptParts.
-func (r *Replica) keepParts(parts string) {
+// cacheParts adds the parts of a prompt to cachedParts.
+func (r *Replica) cacheParts(parts string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for part := range strings.SplitSeq(parts, ",") {
-		if strings.Contains(part, ":") && !slices.Contains(r.keptParts, part) {
-			r.keptParts = append(r.keptParts, part)
+		if strings.Contains(part, ":") && !slices.Contains(r.cachedParts, part) {
+			r.cachedParts = append(r.cachedParts, part)
 		}
 	}
 }
@@ -252,7 +252,7 @@
 		ctx.Response.Header.Set(wire.HeaderLeaving, wire.LeavingValue)
 	}
 	if path := string(ctx.Path()); path == wire.PathCacheList || path == wire.PathCacheChanges {
-		r.serveKeptParts(ctx)
+		r.serveCache(ctx)
 		return
 	}
 	header := &ctx.Request.Header
@@ -279,7 +279,7 @@
 		StartedAt:  time.Now(),
 	}
 	r.journal.addRun(run)
-	r.keepParts(string(header.Peek(wire.HeaderParts)))
+	r.cacheParts(string(header.Peek(wire.HeaderParts)))
 	if !r.currentFaults().Unsealed {
 		ctx.Response.Header.Set(wire.HeaderSeal, "seal-"+r.options.ID)
 	}
--- a/targets/cachewatch/cachewatch.go
+++ b/targets/cachewatch/cachewatch.go
@@ -36,7 +36,7 @@
 	listings = metrics.GetOrCreateCounter(`walnut_cachewatch_listings_total`)
 )
 
-// Update is what a target reports about the prompt parts that it keeps.
+// Update is what a target reports about the prompt parts that it has cached.
 type Update struct {
 	// Epoch changes when the target restarts, and with it its numbering of changes.
 	Epoch string
@@ -47,15 +47,15 @@
 	Next uint64
 	// Lost reports that earlier changes are missing.
 	Lost bool
-	// Parts are the changed parts, or in a listing all parts, with the number of tokens kept
+	// Parts are the changed parts, or in a listing all parts, with the number of tokens cached
 	// now.
 	Parts []control.PromptPart
 }
 
 // Source queries targets.
 type Source interface {
-	// Kept lists everything that the target at an address keeps.
-	Kept(ctx context.Context, address string) (Update, error)
+	// List returns everything that the target at an address has cached.
+	List(ctx context.Context, address string) (Update, error)
 	// Changes returns what changed after a number, waiting up to the given time for a change.
 	Changes(ctx context.Context, address string, after uint64, wait time.Duration) (Update, error)
 }
@@ -63,7 +63,7 @@
 // Watcher follows a set of targets. Create it with New.
 type Watcher struct {
 	source Source
-	// onUpdate receives what a target keeps.
+	// onUpdate receives what a target has cached.
 	onUpdate func(control.TargetCacheReported)
 	log      *slog.Logger
 
@@ -130,7 +130,7 @@
 		case err != nil:
 			failures.Inc()
 			if pause == meanInterval {
-				w.log.Warn("cachewatch: Cannot read what a target keeps.", "target", name, "error", err)
+				w.log.Warn("cachewatch: Cannot read what a target has cached.", "target", name, "error", err)
 			}
 			pause = min(2*pause, maxPause)
 		case listed && (update.Lost || update.Epoch != last.Epoch || update.Start != last.Start):
@@ -150,7 +150,7 @@
 	defer cancel()
 	if !listed {
 		listings.Inc()
-		return w.source.Kept(ctx, address)
+		return w.source.List(ctx, address)
 	}
 	return w.source.Changes(ctx, address, after, changesHold)
 }
--- a/targets/cachewatch/cachewatch_test.go
+++ b/targets/cachewatch/cachewatch_test.go
@@ -12,13 +12,13 @@
 	"github.com/walnutcove/walnutcove/control"
 )
 
-// fakeTarget keeps parts and loses its history when the test sets historyLost.
+// fakeTarget has parts cached and loses its history when the test sets historyLost.
 type fakeTarget struct {
 	mu          sync.Mutex
 	epoch       string
 	start       int64
 	log         []control.PromptPart
-	kept        map[uint64]int
+	cached      map[uint64]int
 	historyLost bool
 	down        bool
 	listings    int
@@ -27,12 +27,12 @@
 func (f *fakeTarget) set(id uint64, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.kept[id] = tokens
+	f.cached[id] = tokens
 	f.log = append(f.log, control.PromptPart{ID: id, Tokens: tokens})
 }
 
-// Kept implements Source.
-func (f *fakeTarget) Kept(context.Context, string) (Update, error) {
+// List implements Source.
+func (f *fakeTarget) List(context.Context, string) (Update, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -41,7 +41,7 @@
 	f.listings++
 	f.historyLost = false
 	update := Update{Epoch: f.epoch, Start: f.start, Next: uint64(len(f.log))}
-	for id, tokens := range f.kept {
+	for id, tokens := range f.cached {
 		update.Parts = append(update.Parts, control.PromptPart{ID: id, Tokens: tokens})
 	}
 	return update, nil
@@ -58,20 +58,20 @@
 	return Update{Epoch: f.epoch, Start: f.start, Next: uint64(len(f.log)), Lost: f.historyLost, Parts: f.log[after:]}, nil
 }
 
-// TestWatcherTracksTarget checks that what a target keeps is known soon, also after it lost its
+// TestWatcherTracksTarget checks that what a target has cached is known soon, also after it lost its
 // history, restarted or was unreachable.
 func TestWatcherTracksTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		target := &fakeTarget{epoch: "1", kept: map[uint64]int{7: 100}}
+		target := &fakeTarget{epoch: "1", cached: map[uint64]int{7: 100}}
 		var mu sync.Mutex
 		known := make(map[uint64]int)
-		w := New(target, func(kept control.TargetCacheReported) {
+		w := New(target, func(update control.TargetCacheReported) {
 			mu.Lock()
 			defer mu.Unlock()
-			if kept.Full {
+			if update.Full {
 				clear(known)
 			}
-			for _, part := range kept.Parts {
+			for _, part := range update.Parts {
 				known[part.ID] = part.Tokens
 			}
 		}, slog.New(slog.DiscardHandler))
@@ -84,7 +84,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if known[id] != tokens {
-				t.Errorf("part %d: %d tokens known, %d kept", id, known[id], tokens)
+				t.Errorf("part %d: %d tokens known, %d cached", id, known[id], tokens)
 			}
 		}
 		check(time.Second, 7, 100)
@@ -92,16 +92,16 @@
 		check(3*time.Second, 8, 200)
 		target.mu.Lock()
 		target.historyLost = true
-		delete(target.kept, 7)
+		delete(target.cached, 7)
 		target.mu.Unlock()
 		check(3*time.Second, 7, 0)
 		target.mu.Lock()
-		target.epoch, target.log, target.kept = "2", nil, map[uint64]int{9: 300}
+		target.epoch, target.log, target.cached = "2", nil, map[uint64]int{9: 300}
 		target.mu.Unlock()
 		check(3*time.Second, 9, 300)
 		// The next start under the same name may use the same numbers.
 		target.mu.Lock()
-		target.start, target.kept = 2, map[uint64]int{10: 400}
+		target.start, target.cached = 2, map[uint64]int{10: 400}
 		target.mu.Unlock()
 		check(3*time.Second, 9, 0)
 		check(0, 10, 400)
