--- a/filters/dispatch/dispatch.go
+++ b/filters/dispatch/dispatch.go
@@ -121,7 +121,7 @@
 		request.Workspace = ex.WorkspaceName
 		request.Target = ex.Target
 		request.Deadline = ex.Deadline
-		request.AfterEvent = ex.LastEventID
+		request.LastEventID = ex.LastEventID
 		request.FetchAddress = ex.FetchAddress
 		request.IsCallerGone = ex.IsCallerGoneNow
 		request.TargetServes = ex.TargetServes
--- a/targets/httpclient.go
+++ b/targets/httpclient.go
@@ -219,7 +219,7 @@
 	setHeader(header, d.Workspace, req.Workspace)
 	setHeader(header, d.ExpectTarget, req.Target)
 	setHeader(header, d.FetchFrom, req.FetchAddress)
-	setHeader(header, d.ResumeAfter, req.AfterEvent)
+	setHeader(header, d.ResumeAfter, req.LastEventID)
 	if !req.Deadline.IsZero() {
 		setHeader(header, d.Deadline, strconv.FormatInt(dialect.MillisLeft(req.Deadline, time.Now()), 10))
 	}
--- a/targets/target.go
+++ b/targets/target.go
@@ -50,9 +50,9 @@
 	// FetchAddress is the "ip:port" of the target that holds shared parts of the prompt, if the
 	// dialect sends it to targets; empty if nothing is to be fetched.
 	FetchAddress string
-	// AfterEvent asks to continue a stream after this event; empty means from the beginning, or
+	// LastEventID asks to continue a stream after this event; empty means from the beginning, or
 	// from where the caller's own header says.
-	AfterEvent string
+	LastEventID string
 	// Fence is the fencing number sent with an order; zero sends none.
 	Fence uint64
 }
