--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -364,11 +364,11 @@
 func TestExportHoldsOnlyNewEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, other := startPair(t)
-		known := s.follower.Cursor()
+		cursor := s.follower.Cursor()
 		other.targets.set(targetEntry("e"))
 		other.targets.set(removalOf("a"))
 		synctest.Wait()
-		encoded, err := other.follower.Export(known)
+		encoded, err := other.follower.Export(cursor)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/directory/silence_test.go
+++ b/directory/silence_test.go
@@ -148,9 +148,10 @@
 	return s.snapshots[len(s.snapshots)-1].Version
 }
 
-// TestNewsSoonAfterSilence checks that, whatever calls were pending when the store fell silent,
-// the newest version and the targets that left meanwhile are known soon after its recovery.
-func TestNewsSoonAfterSilence(t *testing.T) {
+// TestUpToDateSoonAfterStoreWasUnresponsive checks that, whatever calls were pending when the
+// store stopped answering, the newest version and the targets that left meanwhile are known soon
+// after its recovery.
+func TestUpToDateSoonAfterStoreWasUnresponsive(t *testing.T) {
 	const (
 		step     = 40 * time.Millisecond
 		maxDelay = 1200 * time.Millisecond
--- a/managedtest/silence_test.go
+++ b/managedtest/silence_test.go
@@ -27,8 +27,8 @@
 // force late after an outage in which the store did not answer, because each router's next
 // call for changes got no answer. Changes made during the outage and right after it must be
 // in force at every router soon after the store answers again.
-// directory.TestNewsSoonAfterSilence covers this for one router and many moments of the
-// outage; this test uses real routers and calls.
+// directory.TestUpToDateSoonAfterStoreWasUnresponsive covers this for one router and many
+// moments of the outage; this test uses real routers and calls.
 func TestFleetIsUpToDateSoonAfterStoreWasUnresponsive(t *testing.T) {
 	f := startFleet(t, 3, opsReplica("o1"), opsReplica("o2"))
 	leaving := f.addReplica(opsReplica("o3"))
