--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -127,12 +127,12 @@
 }
 
 // TestSchedulerFailureIsCompensated guards against idle slots and overfilled targets after
-// the scheduler of a shard is killed, frozen, isolated or drained under load: another node
+// the scheduler of a shard is killed, paused, isolated or drained under load: another node
 // has to take over within seconds.
 func TestSchedulerFailureIsCompensated(t *testing.T) {
 	failures := map[string]func(*sim, NodeID){
 		"killed":   func(s *sim, id NodeID) { s.stopNode(id) },
-		"frozen":   func(s *sim, id NodeID) { s.freeze(id); s.after(6*time.Second, func() { s.unfreeze(id) }) },
+		"frozen":   func(s *sim, id NodeID) { s.pauseNode(id); s.after(6*time.Second, func() { s.resumeNode(id) }) },
 		"isolated": func(s *sim, id NodeID) { s.linkDown = func(a, b NodeID) bool { return (a == id) != (b == id) } },
 		"drained":  func(s *sim, id NodeID) { s.step(s.nodes[id], DrainStarted{}) },
 	}
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -194,13 +194,13 @@
 }
 
 // resumeAfterPause runs when the machine was paused for longer than other nodes wait for
-// it. Another scheduler may have taken over its shards, so it starts anew as a scheduler,
+// it. Another scheduler may have taken over its shards, so it starts again as a scheduler,
 // and sends its tickets and reports again as an entry.
 func (m *Machine) resumeAfterPause() {
 	m.counters.Thaws++
 	m.epoch = Incarnation(m.rng.Uint64() | 1)
 	m.dropShards()
-	m.view.Thawed(m.now)
+	m.view.Resumed(m.now)
 	m.fleet.assignedVersion = 0
 	m.fleet.nextHeartbeatAt = 0
 	m.broadcast(m.heartbeat())
--- a/control/member/evidence.go
+++ b/control/member/evidence.go
@@ -163,9 +163,9 @@
 	v.node(by).extraHeartbeatsUntil = now + extraHeartbeatTime
 }
 
-// Thawed records that this node itself was paused until now. What it knows of the others
-// is out of date, so they get time to be heard again.
-func (v *View) Thawed(now time.Duration) {
+// Resumed records that this node itself was paused until now. What it knows of the others
+// is out of date, so they get time to send messages again.
+func (v *View) Resumed(now time.Duration) {
 	for _, n := range v.nodes {
 		if n.heardAt > 0 {
 			n.heardAt = now
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -69,7 +69,7 @@
 // cancel cancels a request if it still waits, as when its caller disconnects.
 func (c *faultSchedule) cancel(r *simRequest) {
 	n := c.nodes[r.node]
-	if r.done || r.dispatches > 0 || n.inc != r.inc || !n.up || n.frozen {
+	if r.done || r.dispatches > 0 || n.inc != r.inc || !n.up || n.paused {
 		return
 	}
 	c.step(n, RequestCancelled{Request: r.id})
@@ -92,17 +92,17 @@
 	}
 }
 
-// pause freezes a node for up to 8 s.
+// pause pauses a node for up to 8 s.
 func (c *faultSchedule) pause() {
 	id := c.node("node")
-	if c.down[id] || c.nodes[id].frozen {
+	if c.down[id] || c.nodes[id].paused {
 		return
 	}
 	inc := c.nodes[id].inc
-	c.freeze(id)
+	c.pauseNode(id)
 	c.after(time.Duration(c.rng.IntN(8000))*time.Millisecond, func() {
-		if c.nodes[id].inc == inc && c.nodes[id].frozen {
-			c.unfreeze(id)
+		if c.nodes[id].inc == inc && c.nodes[id].paused {
+			c.resumeNode(id)
 		}
 	})
 }
@@ -145,8 +145,8 @@
 		t.up = true
 	}
 	for _, id := range c.names {
-		if c.nodes[id].frozen && c.nodes[id].up {
-			c.unfreeze(id)
+		if c.nodes[id].paused && c.nodes[id].up {
+			c.resumeNode(id)
 		}
 	}
 	c.runUntil(c.now + 60*time.Second)
@@ -213,7 +213,7 @@
 
 // TestEveryRequestEndsOnce guards against requests that never end, end twice or are dispatched
 // twice, and against state that outlives them, under random schedules of arrivals,
-// cancellations, restarts, freezes, drains, partitions and target crashes.
+// cancellations, restarts, pauses, drains, partitions and target crashes.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newFaultSchedule(t)
--- a/control/sim_test.go
+++ b/control/sim_test.go
@@ -66,10 +66,10 @@
 	dataCentre     string
 	machine        *Machine
 	inc            Incarnation
-	up, frozen     bool
+	up, paused     bool
 	watchedTargets []string
 	drained        bool
-	// pendingSteps holds the events that arrived while the node was frozen.
+	// pendingSteps holds the events that arrived while the node was paused.
 	pendingSteps []func()
 	// platformDown reports that the platform does not answer this node, and follows that the
 	// node follows the platform's feeds.
@@ -179,7 +179,7 @@
 	n := s.nodes[id]
 	n.inc = Incarnation(s.rng.Uint64() | 1)
 	n.startedAt = s.now
-	n.up, n.frozen, n.drained = true, false, false
+	n.up, n.paused, n.drained = true, false, false
 	opts.Node, opts.Incarnation, opts.DataCentre, opts.Seed = id, n.inc, n.dataCentre, s.rng.Uint64()
 	n.machine = New(opts)
 	inc := n.inc
@@ -189,12 +189,12 @@
 	s.every(n, inc, s.loadEvery, func() { s.poll(n) })
 }
 
-// every calls a function periodically until the node's process ends; not while it is frozen.
+// every calls a function periodically until the node's process ends; not while it is paused.
 func (s *sim) every(n *simNode, inc Incarnation, period time.Duration, run func()) {
 	if !n.up || n.inc != inc {
 		return
 	}
-	if !n.frozen {
+	if !n.paused {
 		run()
 	}
 	s.after(period, func() { s.every(n, inc, period, run) })
@@ -214,12 +214,12 @@
 	}
 }
 
-// freeze suspends a node's process: events for it are held until unfreeze.
-func (s *sim) freeze(id NodeID) { s.nodes[id].frozen = true }
+// pauseNode suspends a node's process: events for it are held until resumeNode.
+func (s *sim) pauseNode(id NodeID) { s.nodes[id].paused = true }
 
-func (s *sim) unfreeze(id NodeID) {
+func (s *sim) resumeNode(id NodeID) {
 	n := s.nodes[id]
-	n.frozen = false
+	n.paused = false
 	pending := n.pendingSteps
 	n.pendingSteps = nil
 	for _, f := range pending {
@@ -232,7 +232,7 @@
 	if !n.up {
 		return
 	}
-	if n.frozen {
+	if n.paused {
 		inc := n.inc
 		n.pendingSteps = append(n.pendingSteps, func() {
 			if n.inc == inc {
