--- a/config/route.go
+++ b/config/route.go
@@ -236,15 +236,15 @@
 	// Targets is the revision of the target listing; zero if the targets are
 	// part of the version.
 	Targets Revision
-	// Lapsed is Snapshot.TargetsLapsed. It is local to this router.
-	Lapsed uint64
+	// Unversioned is Snapshot.UnversionedChanges. It is local to this router.
+	Unversioned uint64
 }
 
 // After reports whether a snapshot of order o may replace one of order other:
 // no component is lower, and at least one is higher. Config is compared only
 // within one version.
 func (o SnapshotOrder) After(other SnapshotOrder) bool {
-	if o.Version < other.Version || o.Targets < other.Targets || o.Lapsed < other.Lapsed {
+	if o.Version < other.Version || o.Targets < other.Targets || o.Unversioned < other.Unversioned {
 		return false
 	}
 	if o.Version == other.Version && o.Config < other.Config {
@@ -255,5 +255,5 @@
 
 // Order returns the snapshot's order.
 func (s *Snapshot) Order() SnapshotOrder {
-	return SnapshotOrder{Version: s.Version, Config: s.ConfigRevision, Targets: s.TargetsRevision, Lapsed: s.TargetsLapsed}
+	return SnapshotOrder{Version: s.Version, Config: s.ConfigRevision, Targets: s.TargetsRevision, Unversioned: s.UnversionedChanges}
 }
--- a/config/types.go
+++ b/config/types.go
@@ -156,10 +156,10 @@
 	// versions that the platform publishes. It distinguishes versions with the same number: a
 	// version that the platform lost may be written again with different content.
 	ConfigRevision Revision `json:"-"`
-	// TargetsLapsed counts the targets that this router removed by its own decision: it had kept
-	// them for a while although they were missing from a listing. Such a removal has no listing
-	// revision of its own.
-	TargetsLapsed uint64 `json:"-"`
+	// UnversionedChanges counts the changes that this router applied without a new listing
+	// revision: for example, it removed targets that it had kept for a while although they were
+	// missing from a listing.
+	UnversionedChanges uint64 `json:"-"`
 
 	digestInputs digestInputs
 
--- a/directory/state.go
+++ b/directory/state.go
@@ -238,10 +238,10 @@
 		}
 	}
 	return &config.Snapshot{
-		Version:         s.configuration.Version,
-		Declarations:    declarations,
-		ConfigRevision:  s.operatorRevision,
-		TargetsRevision: s.revision,
-		TargetsLapsed:   s.unversionedChanges,
+		Version:            s.configuration.Version,
+		Declarations:       declarations,
+		ConfigRevision:     s.operatorRevision,
+		TargetsRevision:    s.revision,
+		UnversionedChanges: s.unversionedChanges,
 	}
 }
