--- a/bench/capacity/owners.go
+++ b/bench/capacity/owners.go
@@ -58,7 +58,7 @@
 	view.ApplyList(now, listed)
 	for other := range s.nodes {
 		if other != n {
-			view.Heard(now, string(nodeName(other)), 1)
+			view.MessageReceived(now, string(nodeName(other)), 1)
 		}
 	}
 	return view
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -190,7 +190,7 @@
 		now += 50 * time.Millisecond
 		m.Step(now, Tick{})
 		for _, n := range []NodeID{"n1", "n2", "n3"} {
-			m.view.Heard(now, string(n), 1)
+			m.view.MessageReceived(now, string(n), 1)
 		}
 	}
 }
--- a/control/commands.go
+++ b/control/commands.go
@@ -59,11 +59,11 @@
 }
 
 // SchedulerAvoided reports that a scheduler left a ticket unanswered, that nothing was
-// received from it for SilentFor, and that this node grants locally for a while.
+// received from it for UnresponsiveFor, and that this node grants locally for a while.
 type SchedulerAvoided struct {
-	Node      NodeID
-	Pool      string
-	SilentFor time.Duration
+	Node            NodeID
+	Pool            string
+	UnresponsiveFor time.Duration
 }
 
 // WatchTargets replaces the set of targets whose load this node polls.
--- a/control/fleet.go
+++ b/control/fleet.go
@@ -35,7 +35,7 @@
 // acceptSender records that a message was received from a node. It returns false if the
 // message is of an incarnation that has ended.
 func (m *Machine) acceptSender(node NodeID, inc Incarnation) bool {
-	change := m.view.Heard(m.now, string(node), uint64(inc))
+	change := m.view.MessageReceived(m.now, string(node), uint64(inc))
 	if change == member.SenderRestarted {
 		m.dropRestarted(node, inc)
 		m.reclaimNode(node, inc)
--- a/control/member/evidence.go
+++ b/control/member/evidence.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		n.listed = false
-		if now-n.heardAt > forgetAfter {
+		if now-n.lastMessageAt > forgetAfter {
 			v.forget(n)
 			changed = true
 			continue
@@ -74,14 +74,14 @@
 	SenderStale
 )
 
-// Heard records that a message from a node arrived.
-func (v *View) Heard(now time.Duration, name string, incarnation uint64) SenderChange {
+// MessageReceived records that a message from a node arrived.
+func (v *View) MessageReceived(now time.Duration, name string, incarnation uint64) SenderChange {
 	n := v.node(name)
 	if slices.Contains(n.endedIncarnations, incarnation) {
 		return SenderStale
 	}
 	change := SenderUnchanged
-	if n.heardAt == 0 || n.suspected || now < n.unresponsiveUntil {
+	if n.lastMessageAt == 0 || n.suspected || now < n.unresponsiveUntil {
 		change = SenderBack
 	}
 	if n.Incarnation != 0 && n.Incarnation != incarnation {
@@ -90,7 +90,7 @@
 		n.Leaving = false
 	}
 	n.Incarnation = incarnation
-	n.heardAt = max(now, 1)
+	n.lastMessageAt = max(now, 1)
 	n.noticeSent = false
 	n.suspected = false
 	n.suspectedBy = nil
@@ -130,7 +130,7 @@
 // Unresponsive records that a node has left messages unanswered since the given time.
 func (v *View) Unresponsive(now, since time.Duration, name string) {
 	n := v.nodes[name]
-	if n == nil || n.heardAt > since {
+	if n == nil || n.lastMessageAt > since {
 		return
 	}
 	n.unresponsiveUntil = now + unresponsiveTime
@@ -145,7 +145,7 @@
 	if n == nil || (n.Incarnation != 0 && incarnation != 0 && n.Incarnation != incarnation) {
 		return
 	}
-	if by != v.self && n.heardAt > 0 && now-n.heardAt < v.timeout {
+	if by != v.self && n.lastMessageAt > 0 && now-n.lastMessageAt < v.timeout {
 		return
 	}
 	if !slices.Contains(n.suspectedBy, by) {
@@ -167,8 +167,8 @@
 // is out of date, so they get time to send messages again.
 func (v *View) Resumed(now time.Duration) {
 	for _, n := range v.nodes {
-		if n.heardAt > 0 {
-			n.heardAt = now
+		if n.lastMessageAt > 0 {
+			n.lastMessageAt = now
 		}
 		n.watchedFrom = now
 		n.noticeSent = false
--- a/control/member/view.go
+++ b/control/member/view.go
@@ -23,7 +23,7 @@
 	// unresponsiveTime is how long a node that left messages unanswered gets no work,
 	// unless a message from it arrives.
 	unresponsiveTime = 5 * time.Second
-	// forgetAfter is how long a silent node that is not listed is kept.
+	// forgetAfter is how long an unresponsive node that is not listed is kept.
 	forgetAfter = time.Minute
 	// minNoticesToSuspect is how many watchers must miss a node.
 	minNoticesToSuspect = 2
@@ -52,8 +52,8 @@
 	listed            bool
 	listedLeaving     bool
 	// returned is set once ApplyList has returned it as new.
-	returned bool
-	heardAt  time.Duration
+	returned      bool
+	lastMessageAt time.Duration
 	// watched is set if this node watches it, since watchedFrom.
 	watched              bool
 	watchedFrom          time.Duration
@@ -135,13 +135,13 @@
 // Reachable reports whether messages to a node are likely to arrive.
 func (v *View) Reachable(name string) bool {
 	n := v.nodes[name]
-	return n != nil && n.heardAt > 0 && !n.suspected && !n.disconnected
+	return n != nil && n.lastMessageAt > 0 && !n.suspected && !n.disconnected
 }
 
-// HeardAt returns when the last message from a node arrived; zero if none did.
-func (v *View) HeardAt(name string) time.Duration {
+// LastMessageAt returns when the last message from a node arrived; zero if none did.
+func (v *View) LastMessageAt(name string) time.Duration {
 	if n := v.nodes[name]; n != nil {
-		return n.heardAt
+		return n.lastMessageAt
 	}
 	return 0
 }
@@ -214,10 +214,10 @@
 
 // update recomputes whether a node may get work.
 func (v *View) update(now time.Duration, n *Node) {
-	heard := n.heardAt > 0
-	alive := heard && !n.Leaving && !n.listedLeaving && !n.suspected &&
+	received := n.lastMessageAt > 0
+	alive := received && !n.Leaving && !n.listedLeaving && !n.suspected &&
 		now >= n.unresponsiveUntil && (!n.disconnected || now < n.disconnectedAt+disconnectGrace)
-	if !heard || n.disconnected || n.suspected || now < n.unresponsiveUntil {
+	if !received || n.disconnected || n.suspected || now < n.unresponsiveUntil {
 		v.recheck[n.Name] = n
 	} else {
 		delete(v.recheck, n.Name)
--- a/control/member/view_test.go
+++ b/control/member/view_test.go
@@ -16,7 +16,7 @@
 	v.ApplyList(time.Second, listed)
 	for _, l := range listed {
 		if l.Name != self {
-			v.Heard(time.Second, l.Name, 1)
+			v.MessageReceived(time.Second, l.Name, 1)
 		}
 	}
 	return v
@@ -78,11 +78,11 @@
 	}
 }
 
-func TestSilentNodeIsSuspectedUntilHeard(t *testing.T) {
+func TestUnresponsiveNodeIsSuspectedUntilItSendsMessage(t *testing.T) {
 	v := newFleetView("n0", 5)
 	for at := time.Second; at < 4*time.Second; at += 500 * time.Millisecond {
 		for _, n := range []string{"n1", "n2", "n3"} {
-			v.Heard(at, n, 1)
+			v.MessageReceived(at, n, 1)
 		}
 		for _, missed := range v.Tick(at) {
 			if missed.Name != "n4" {
@@ -93,7 +93,7 @@
 	if v.Alive("n4") || !v.Alive("n3") {
 		t.Errorf("alive: n4 %v, n3 %v", v.Alive("n4"), v.Alive("n3"))
 	}
-	if change := v.Heard(5*time.Second, "n4", 1); change != SenderBack || !v.Alive("n4") {
+	if change := v.MessageReceived(5*time.Second, "n4", 1); change != SenderBack || !v.Alive("n4") {
 		t.Errorf("after a message: %v, alive %v", change, v.Alive("n4"))
 	}
 }
@@ -120,10 +120,10 @@
 
 func TestOldIncarnationsAreStale(t *testing.T) {
 	v := newFleetView("n0", 3)
-	if change := v.Heard(2*time.Second, "n1", 2); change != SenderRestarted {
+	if change := v.MessageReceived(2*time.Second, "n1", 2); change != SenderRestarted {
 		t.Errorf("%v for a new incarnation", change)
 	}
-	if change := v.Heard(2*time.Second, "n1", 1); change != SenderStale {
+	if change := v.MessageReceived(2*time.Second, "n1", 1); change != SenderStale {
 		t.Errorf("%v for the old incarnation", change)
 	}
 }
--- a/control/member/watch.go
+++ b/control/member/watch.go
@@ -119,7 +119,7 @@
 	}
 	var missed []*Node
 	for _, n := range slices.Clone(v.watching) {
-		if !n.watched || n.noticeSent || now-max(n.heardAt, n.watchedFrom) < v.timeout {
+		if !n.watched || n.noticeSent || now-max(n.lastMessageAt, n.watchedFrom) < v.timeout {
 			continue
 		}
 		n.noticeSent = true
--- a/control/runs.go
+++ b/control/runs.go
@@ -30,9 +30,9 @@
 	began bool
 	// reportedTo is the scheduler that counts the run.
 	reportedTo NodeID
-	// toldNodes are the nodes that may count the run: its end is reported to all of them.
-	toldNodes []NodeID
-	timer     timer
+	// informedNodes are the nodes that may count the run: its end is reported to all of them.
+	informedNodes []NodeID
+	timer         timer
 }
 
 // endedKey identifies the end of a grant and the node that has to acknowledge it.
@@ -52,7 +52,7 @@
 func (m *Machine) grantReceived(from NodeID, g Grant) {
 	if run := m.entry.runs[g.ID]; run != nil {
 		// The scheduler does not know of the run yet.
-		run.markTold(from)
+		run.markInformed(from)
 		m.send(from, run.report(m.now, PhaseRunning))
 		return
 	}
@@ -106,8 +106,8 @@
 		work:        r.ev.Work,
 		startedAt:   m.now,
 
-		reportedTo: from,
-		toldNodes:  []NodeID{from},
+		reportedTo:    from,
+		informedNodes: []NodeID{from},
 	}
 	m.entry.runs[g.ID] = run
 	m.entry.latestRun[run.request] = run
@@ -181,17 +181,17 @@
 	report.Service = service
 	owner := m.owner(run.shard)
 	m.sendEnded(owner, report)
-	for _, node := range run.toldNodes {
+	for _, node := range run.informedNodes {
 		if node != owner && m.view.Alive(string(node)) {
 			m.sendEnded(node, report)
 		}
 	}
 }
 
-// markTold records that a node is informed of the run.
-func (r *run) markTold(node NodeID) {
-	if !slices.Contains(r.toldNodes, node) {
-		r.toldNodes = append(r.toldNodes, node)
+// markInformed records that a node is informed of the run.
+func (r *run) markInformed(node NodeID) {
+	if !slices.Contains(r.informedNodes, node) {
+		r.informedNodes = append(r.informedNodes, node)
 	}
 }
 
@@ -261,6 +261,6 @@
 func (m *Machine) reportRunning(r *run, report Report) {
 	m.timers.set(&r.timer, r, m.now+reportInterval)
 	r.reportedTo = m.owner(r.shard)
-	r.markTold(r.reportedTo)
+	r.markInformed(r.reportedTo)
 	m.send(r.reportedTo, report)
 }
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -21,8 +21,8 @@
 	// unownedRetention is how long a shard that another node owns is kept without work.
 	unownedRetention = 5 * time.Second
 	// watchDelay is how long a shard has to be owned before its targets' load is polled. A
-	// node that starts owns every shard until it has heard from the others, and would
-	// otherwise poll every target of the fleet.
+	// node that starts owns every shard until it has received messages from the others,
+	// and would otherwise poll every target of the fleet.
 	watchDelay = 500 * time.Millisecond
 )
 
--- a/control/tickets.go
+++ b/control/tickets.go
@@ -121,8 +121,8 @@
 // of the shard. Both may grant: the second grant is returned.
 func (m *Machine) grantLocally(r *request, sent *sentTicket) {
 	m.counters.TicketsLocal++
-	if silent := m.now - m.view.HeardAt(string(sent.to)); silent >= m.opts.LocalAfter && m.entry.avoidUntil[sent.to] < m.now {
-		m.emit(SchedulerAvoided{Node: sent.to, Pool: r.ev.Pool, SilentFor: silent})
+	if unresponsiveFor := m.now - m.view.LastMessageAt(string(sent.to)); unresponsiveFor >= m.opts.LocalAfter && m.entry.avoidUntil[sent.to] < m.now {
+		m.emit(SchedulerAvoided{Node: sent.to, Pool: r.ev.Pool, UnresponsiveFor: unresponsiveFor})
 		m.entry.avoidUntil[sent.to] = m.now + avoidDuration
 	}
 	m.send(sent.to, CancelTicket{Ticket: r.id, Shard: sent.shard})
--- a/router/loop.go
+++ b/router/loop.go
@@ -227,7 +227,7 @@
 	case control.ShareGap:
 		l.logShareGap(c)
 	case control.SchedulerAvoided:
-		l.log.Warn("control: Scheduler does not answer, granting locally.", "scheduler", c.Node, "pool", c.Pool, "silent", c.SilentFor)
+		l.log.Warn("control: Scheduler does not answer, granting locally.", "scheduler", c.Node, "pool", c.Pool, "silent", c.UnresponsiveFor)
 	}
 }
 
