--- a/filters/runrecord/runrecord.go
+++ b/filters/runrecord/runrecord.go
@@ -19,8 +19,8 @@
 
 // Filter claims run records.
 type Filter struct {
-	// Keeper holds the run records.
-	Keeper *runrecord.Keeper
+	// Manager holds the run records.
+	Manager *runrecord.Manager
 }
 
 // Name implements pipeline.Filter.
@@ -34,7 +34,7 @@
 	if ex.IdempotencyKey == "" {
 		return result.New(result.IdempotencyKeyMissing, "A non-idempotent request needs an Idempotency-Key.")
 	}
-	decision, err := f.Keeper.Claim(ctx, runrecord.Request{
+	decision, err := f.Manager.Claim(ctx, runrecord.Request{
 		Workspace:      ex.WorkspaceName,
 		IdempotencyKey: ex.IdempotencyKey,
 		Fingerprint:    ex.Fingerprint,
@@ -59,7 +59,7 @@
 	case err != nil:
 		endClaimFailed(claim, err)
 	case ex.AnswerStream != nil:
-		ex.AnswerStream = newCapturedStream(ex, claim, f.Keeper.MaxStoredBytes())
+		ex.AnswerStream = newCapturedStream(ex, claim, f.Manager.MaxStoredBytes())
 	default:
 		claim.Answered(newOutcome(ex, ex.AnswerBody))
 	}
--- a/filters/runrecord/runrecord_test.go
+++ b/filters/runrecord/runrecord_test.go
@@ -28,17 +28,17 @@
 
 func newHarness(t *testing.T) *harness {
 	b := &harness{t: t, store: memory.New(memory.Options{})}
-	keeper := runrecord.New(runrecord.Options{
+	manager := runrecord.New(runrecord.Options{
 		Table: b.store, Node: "a", Incarnation: 1, MaxStoredBytes: 100, Metrics: metrics.NewSet(),
 	})
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 		defer cancel()
-		if err := keeper.Close(ctx); err != nil {
+		if err := manager.Close(ctx); err != nil {
 			t.Error(err)
 		}
 	})
-	b.handler = pipeline.Chain(&Filter{Keeper: keeper}, b)
+	b.handler = pipeline.Chain(&Filter{Manager: manager}, b)
 	return b
 }
 
--- a/router/pipeline.go
+++ b/router/pipeline.go
@@ -26,7 +26,7 @@
 		keys,
 		classify.New(classify.Options{DefaultDeadline: time.Duration(limits.DefaultDeadline)}),
 		&quarantine.Filter{Set: &r.quarantineSet},
-		&runrecord.Filter{Keeper: r.records},
+		&runrecord.Filter{Manager: r.records},
 		retry.New(r.log),
 		&grant.Filter{Source: &grantSource{loop: r.loop, inForce: r.InForce, notices: &r.notices}, Log: r.log},
 		&dispatch.Filter{
--- a/router/router.go
+++ b/router/router.go
@@ -93,7 +93,7 @@
 	configStore *configstore.Store
 	follower    *follower.Follower
 	orders      *orders.Reconciler
-	records     *runrecord.Keeper
+	records     *runrecord.Manager
 	owners      *claimOwners
 
 	// writeShareMu guards the fields from which this router's share of the write budget
--- a/runrecord/acquire.go
+++ b/runrecord/acquire.go
@@ -17,23 +17,23 @@
 // Claim decides what to do with a request: it returns a claim under which the
 // request may run, or the stored answer, or a *result.Error that refuses the
 // request.
-func (k *Keeper) Claim(ctx context.Context, request Request) (Decision, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.options.Timeout)
+func (m *Manager) Claim(ctx context.Context, request Request) (Decision, error) {
+	ctx, cancel := context.WithTimeout(ctx, m.options.Timeout)
 	defer cancel()
 	key := RowKey(request.Workspace, request.IdempotencyKey)
 	for {
-		reserved, known := k.reserve(key, request.Fingerprint)
+		reserved, known := m.reserve(key, request.Fingerprint)
 		if reserved != nil {
-			return k.acquire(ctx, reserved)
+			return m.acquire(ctx, reserved)
 		}
 		if known.released == nil {
-			return k.decideFromRecord(known.record, request.Fingerprint, true)
+			return m.decideFromRecord(known.record, request.Fingerprint, true)
 		}
-		notify(k.flushRequested)
+		notify(m.flushRequested)
 		select {
 		case <-known.released:
 		case <-ctx.Done():
-			return Decision{}, k.refuseUnavailable(ctx.Err())
+			return Decision{}, m.refuseUnavailable(ctx.Err())
 		}
 	}
 }
@@ -48,10 +48,10 @@
 
 // reserve adds a new entry for the key and returns it, or returns what this
 // process already knows about the key.
-func (k *Keeper) reserve(key string, fingerprint uint64) (*entry, localRecord) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if e, ok := k.entries[key]; ok {
+func (m *Manager) reserve(key string, fingerprint uint64) (*entry, localRecord) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if e, ok := m.entries[key]; ok {
 		known := localRecord{record: e.record}
 		if e.ended && e.record.State == StateNotRun && e.record.Fingerprint == fingerprint {
 			known.released = e.done
@@ -62,65 +62,65 @@
 		key: key,
 		record: Record{
 			State:       StateClaimed,
-			Owner:       Owner{Node: k.options.Node, Incarnation: k.options.Incarnation, Nonce: k.nonces.Add(1)},
+			Owner:       Owner{Node: m.options.Node, Incarnation: m.options.Incarnation, Nonce: m.nonces.Add(1)},
 			Fingerprint: fingerprint,
-			ClaimedAt:   k.options.WallClock().UnixMilli(),
+			ClaimedAt:   m.options.WallClock().UnixMilli(),
 		},
 		done: make(chan struct{}),
 	}
-	k.entries[key] = e
+	m.entries[key] = e
 	return e, localRecord{}
 }
 
 // acquire writes the claim of a reserved entry.
-func (k *Keeper) acquire(ctx context.Context, e *entry) (Decision, error) {
-	sentAt := k.options.Now()
-	if !k.breaker.allow(sentAt) {
-		k.abandonClaim(e)
-		return Decision{}, k.refuseUnavailable(errBreakerOpen)
+func (m *Manager) acquire(ctx context.Context, e *entry) (Decision, error) {
+	sentAt := m.options.Now()
+	if !m.breaker.allow(sentAt) {
+		m.abandonClaim(e)
+		return Decision{}, m.refuseUnavailable(errBreakerOpen)
 	}
-	found, err := k.writeClaim(ctx, e)
+	found, err := m.writeClaim(ctx, e)
 	if err != nil {
-		k.breaker.recordFailure(k.options.Now())
-		k.abandonClaim(e)
-		return Decision{}, k.refuseUnavailable(err)
+		m.breaker.recordFailure(m.options.Now())
+		m.abandonClaim(e)
+		return Decision{}, m.refuseUnavailable(err)
 	}
-	k.breaker.recordSuccess()
+	m.breaker.recordSuccess()
 	if found != nil {
-		k.abandonClaim(e)
-		return k.decideFromRecord(*found, e.record.Fingerprint, false)
+		m.abandonClaim(e)
+		return m.decideFromRecord(*found, e.record.Fingerprint, false)
 	}
-	k.metrics.claims.Inc()
-	return Decision{Claim: &Claim{keeper: k, entry: e, sentAt: sentAt}}, nil
+	m.metrics.claims.Inc()
+	return Decision{Claim: &Claim{manager: m, entry: e, sentAt: sentAt}}, nil
 }
 
 // abandonClaim gives up a claim that was not acquired. If its write may have
 // taken effect, the writer ends it as not run, since nothing was dispatched.
-func (k *Keeper) abandonClaim(e *entry) {
+func (m *Manager) abandonClaim(e *entry) {
 	if e.unresolved {
-		k.metrics.claimRetries.Inc()
-		k.queueEnd(e, StateNotRun, Outcome{Code: result.RecordUnavailable})
+		m.metrics.claimRetries.Inc()
+		m.queueEnd(e, StateNotRun, Outcome{Code: result.RecordUnavailable})
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.removeEntry(e)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.removeEntry(e)
 }
 
 // writeClaim writes the claim to the table. If the table holds another record
 // that cannot be replaced, writeClaim returns that record.
-func (k *Keeper) writeClaim(ctx context.Context, e *entry) (*Record, error) {
+func (m *Manager) writeClaim(ctx context.Context, e *entry) (*Record, error) {
 	var replaced store.Row // the row that the claim replaces; zero: none
 	var err error
 	for range maxClaimAttempts {
-		err = k.commitClaim(ctx, e, replaced.Revision)
+		err = m.commitClaim(ctx, e, replaced.Revision)
 		if err == nil {
 			return nil, nil
 		}
 		if hadNoEffect(err) && !errors.Is(err, store.ErrConflict) {
 			return nil, err
 		}
-		row, record, readErr := k.readBack(ctx, e.key)
+		row, record, readErr := m.readBack(ctx, e.key)
 		if readErr != nil {
 			return nil, readErr
 		}
@@ -142,18 +142,18 @@
 // commitClaim sends the claim once: as an insert, or, if replacedRevision is not
 // zero, as an update of the row with that revision, whose request certainly did
 // not run.
-func (k *Keeper) commitClaim(ctx context.Context, e *entry, replacedRevision uint64) error {
-	epoch, err := k.epoch.current(ctx, k.options.Table)
+func (m *Manager) commitClaim(ctx context.Context, e *entry, replacedRevision uint64) error {
+	epoch, err := m.epoch.current(ctx, m.options.Table)
 	if err != nil {
 		return err
 	}
-	k.setEpoch(e, epoch.number)
+	m.setEpoch(e, epoch.number)
 	op := store.Op{Kind: store.OpInsert, Table: Table, Key: e.key, Value: e.record.encode()}
 	if replacedRevision != 0 {
 		op.Kind = store.OpUpdate
 		op.Revision = replacedRevision
 	}
-	revision, err := commitRevision(ctx, k.options.Table, []store.Op{op, epoch.checkOp()})
+	revision, err := commitRevision(ctx, m.options.Table, []store.Op{op, epoch.checkOp()})
 	if err == nil {
 		e.claimWritten(revision)
 		return nil
@@ -162,15 +162,15 @@
 		e.unresolved = true
 	}
 	if errors.Is(err, store.ErrConflict) {
-		k.epoch.invalidate()
+		m.epoch.invalidate()
 	}
 	return err
 }
 
 // setEpoch sets the epoch of a claim that other goroutines may be reading.
-func (k *Keeper) setEpoch(e *entry, number uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) setEpoch(e *entry, number uint64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	e.record.Epoch = number
 }
 
@@ -183,8 +183,8 @@
 }
 
 // readBack reads the row of the key. The record is nil if there is no row.
-func (k *Keeper) readBack(ctx context.Context, key string) (store.Row, *Record, error) {
-	row, err := k.options.Table.Get(ctx, Table, key)
+func (m *Manager) readBack(ctx context.Context, key string) (store.Row, *Record, error) {
+	row, err := m.options.Table.Get(ctx, Table, key)
 	if errors.Is(err, store.ErrNotFound) {
 		return store.Row{}, nil, nil
 	}
@@ -206,44 +206,44 @@
 
 // decideFromRecord answers or refuses a request according to a record, and never
 // lets it run. local means that the record is held by this process.
-func (k *Keeper) decideFromRecord(record Record, fingerprint uint64, local bool) (Decision, error) {
+func (m *Manager) decideFromRecord(record Record, fingerprint uint64, local bool) (Decision, error) {
 	if record.Fingerprint != fingerprint {
-		return Decision{}, k.refuse(result.RecordMismatch, "The Idempotency-Key was used with a different request.")
+		return Decision{}, m.refuse(result.RecordMismatch, "The Idempotency-Key was used with a different request.")
 	}
 	switch record.State {
 	case StateAnswered:
-		return k.replay(record.Outcome)
+		return m.replay(record.Outcome)
 	case StateClaimed:
-		if local || k.ownerMayBeRunning(record.Owner) {
-			return Decision{}, k.refuse(result.RecordInProgress, "A request with this Idempotency-Key is in progress.")
+		if local || m.ownerMayBeRunning(record.Owner) {
+			return Decision{}, m.refuse(result.RecordInProgress, "A request with this Idempotency-Key is in progress.")
 		}
-		return Decision{}, k.refuse(result.RecordUnknown, "The router that ran the request is gone; the request may have run.")
+		return Decision{}, m.refuse(result.RecordUnknown, "The router that ran the request is gone; the request may have run.")
 	default:
-		return Decision{}, k.refuse(result.RecordUnknown, "The run of the request broke off; it may have run.")
+		return Decision{}, m.refuse(result.RecordUnknown, "The run of the request broke off; it may have run.")
 	}
 }
 
 // replay returns the stored answer, or a refusal if it was not kept.
-func (k *Keeper) replay(outcome *Outcome) (Decision, error) {
+func (m *Manager) replay(outcome *Outcome) (Decision, error) {
 	if outcome != nil && !outcome.BodyOmitted {
-		k.metrics.replays.Inc()
+		m.metrics.replays.Inc()
 		return Decision{Replay: outcome}, nil
 	}
-	return Decision{}, k.refuse(result.RecordNotKept, "The request ran and was answered; the answer was not kept.")
+	return Decision{}, m.refuse(result.RecordNotKept, "The request ran and was answered; the answer was not kept.")
 }
 
 // ownerMayBeRunning reports whether the claim's owner may still be running the request.
-func (k *Keeper) ownerMayBeRunning(owner Owner) bool {
-	if owner.Node == k.options.Node && owner.Incarnation == k.options.Incarnation {
+func (m *Manager) ownerMayBeRunning(owner Owner) bool {
+	if owner.Node == m.options.Node && owner.Incarnation == m.options.Incarnation {
 		return false // this process no longer holds the claim
 	}
-	return k.options.OwnerAlive(owner.Node, owner.Incarnation)
+	return m.options.OwnerAlive(owner.Node, owner.Incarnation)
 }
 
 // refuseUnavailable refuses a request, of which nothing was dispatched, because
 // of a failure of the table.
-func (k *Keeper) refuseUnavailable(cause error) *result.Error {
-	refusal := k.refuse(result.RecordUnavailable, "This sending was not run: the run record could not be written.")
+func (m *Manager) refuseUnavailable(cause error) *result.Error {
+	refusal := m.refuse(result.RecordUnavailable, "This sending was not run: the run record could not be written.")
 	refusal.Cause = cause
 	return refusal
 }
--- a/runrecord/bench_test.go
+++ b/runrecord/bench_test.go
@@ -62,7 +62,7 @@
 		defer batcher.Close()
 		table = batcher
 	}
-	k := New(Options{Table: table, Node: "ikeja-1", Incarnation: 1 << 62, Metrics: metrics.NewSet()})
+	m := New(Options{Table: table, Node: "ikeja-1", Incarnation: 1 << 62, Metrics: metrics.NewSet()})
 	var next atomic.Int64
 	body := make([]byte, 200)
 	b.SetParallelism(callers)
@@ -70,7 +70,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			key := strconv.FormatInt(next.Add(1), 10)
-			decision, err := k.Claim(context.Background(), Request{Workspace: "school", IdempotencyKey: key, Fingerprint: 1 << 62})
+			decision, err := m.Claim(context.Background(), Request{Workspace: "school", IdempotencyKey: key, Fingerprint: 1 << 62})
 			if err != nil {
 				b.Error(err)
 				return
@@ -78,7 +78,7 @@
 			decision.Claim.Answered(Outcome{Status: 200, Header: map[string]string{"Content-Type": "application/json"}, Body: body})
 		}
 	})
-	if err := k.Close(context.Background()); err != nil {
+	if err := m.Close(context.Background()); err != nil {
 		b.Fatal(err)
 	}
 	b.StopTimer()
--- a/runrecord/claim.go
+++ b/runrecord/claim.go
@@ -11,8 +11,8 @@
 // dispatching mutually exclusive: once a claim has been given up, BeginDispatch
 // returns an error.
 type Claim struct {
-	keeper *Keeper
-	entry  *entry
+	manager *Manager
+	entry   *entry
 	// sentAt is the monotonic time immediately before the claim was first sent.
 	sentAt control.Instant
 
@@ -30,23 +30,23 @@
 }
 
 func (c *Claim) isValid(now control.Instant) bool {
-	return !c.ended && now-c.sentAt < c.keeper.options.Lease
+	return !c.ended && now-c.sentAt < c.manager.options.Lease
 }
 
 // BeginDispatch must be called immediately before the first byte of each attempt
 // is written to a target. After an error (RecordLapsed) the attempt must not be
 // made.
 func (c *Claim) BeginDispatch() error {
-	if c.StillValid(c.keeper.options.Now()) {
+	if c.StillValid(c.manager.options.Now()) {
 		return nil
 	}
-	return c.keeper.refuse(result.RecordLapsed, "The run record lapsed before dispatch.")
+	return c.manager.refuse(result.RecordLapsed, "The run record lapsed before dispatch.")
 }
 
 // Answered ends the claim with the target's complete answer.
 func (c *Claim) Answered(outcome Outcome) {
 	outcome.Code = result.OK
-	c.end(StateAnswered, outcome.limitedTo(c.keeper.options.MaxStoredBytes))
+	c.end(StateAnswered, outcome.limitedTo(c.manager.options.MaxStoredBytes))
 }
 
 // NotRun gives the claim up: the request certainly did not run, and from now on
@@ -69,5 +69,5 @@
 	}
 	c.ended = true
 	c.mu.Unlock()
-	c.keeper.queueEnd(c.entry, state, outcome)
+	c.manager.queueEnd(c.entry, state, outcome)
 }
--- a/runrecord/fleet_bench_test.go
+++ b/runrecord/fleet_bench_test.go
@@ -48,10 +48,10 @@
 	}
 }
 
-// benchFleet is a fleet of keepers. It implements the calls between its routers.
+// benchFleet is a fleet of managers. It implements the calls between its routers.
 type benchFleet struct {
 	table     *countingSlowTable
-	keepers   []*Keeper
+	managers  []*Manager
 	batches   []*batch.Table
 	tables    map[control.NodeID]*forward.Table
 	peerBytes atomic.Int64
@@ -85,7 +85,7 @@
 	}
 	f.batches = append(f.batches, batched)
 	f.tables[node] = forwarded
-	f.keepers = append(f.keepers, New(Options{
+	f.managers = append(f.managers, New(Options{
 		Table: forwarded, Node: node, Incarnation: 1, Metrics: set, Timeout: 20 * time.Second,
 	}))
 }
@@ -106,12 +106,12 @@
 	start := time.Now()
 	for i := range b.N {
 		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / fleetRequestsPerSecond)))
-		keeper := f.keepers[random.IntN(len(f.keepers))]
-		all.Go(func() { waits[i] = claimAndEnd(b, keeper, strconv.Itoa(i)) })
+		manager := f.managers[random.IntN(len(f.managers))]
+		all.Go(func() { waits[i] = claimAndEnd(b, manager, strconv.Itoa(i)) })
 	}
 	all.Wait()
-	for _, k := range f.keepers {
-		if err := k.Close(context.Background()); err != nil {
+	for _, manager := range f.managers {
+		if err := manager.Close(context.Background()); err != nil {
 			b.Error(err)
 		}
 	}
@@ -130,10 +130,10 @@
 }
 
 // claimAndEnd simulates one request and returns the duration of its claim.
-func claimAndEnd(b *testing.B, k *Keeper, key string) time.Duration {
+func claimAndEnd(b *testing.B, m *Manager, key string) time.Duration {
 	started := time.Now()
 	request := Request{Workspace: "school", IdempotencyKey: key, Fingerprint: 1 << 62}
-	decision, err := k.Claim(context.Background(), request)
+	decision, err := m.Claim(context.Background(), request)
 	waited := time.Since(started)
 	if err != nil || decision.Claim == nil {
 		b.Errorf("claim failed: %v", err)
--- a/runrecord/forward_test.go
+++ b/runrecord/forward_test.go
@@ -99,15 +99,15 @@
 	return nil, peer.ErrSessionEnded
 }
 
-// startForwardingKeeper starts a keeper that commits through w.
-func startForwardingKeeper(t *testing.T, w *failingWriter) *Keeper {
+// startForwardingManager starts a manager that commits through w.
+func startForwardingManager(t *testing.T, w *failingWriter) *Manager {
 	var alive []control.NodeID
 	for i := range 2 * forward.MembersPerWriter {
 		alive = append(alive, control.NodeID(fmt.Sprint("vm-", i)))
 	}
 	table := forward.New(forward.Options{Self: "a", Table: w.table, Caller: w, Metrics: metrics.NewSet()})
 	table.SetMembers(alive)
-	return startKeeper(t, table, "a")
+	return startManager(t, table, "a")
 }
 
 // TestWriterFailureDuringClaim has the writer killed before or after it commits a
@@ -116,7 +116,7 @@
 func TestWriterFailureDuringClaim(t *testing.T) {
 	for _, w := range []*failingWriter{{}, {commits: true}, {commitsLate: true}} {
 		w.table, w.failuresLeft = newFaultyTable(), 1
-		a, b := startForwardingKeeper(t, w), startKeeper(t, w.table, "b")
+		a, b := startForwardingManager(t, w), startManager(t, w.table, "b")
 		claim := mustClaim(t, a, testRequest)
 		if n := w.table.applyLate(); n != 0 {
 			t.Fatal("a late claim took effect in addition to another")
@@ -135,7 +135,7 @@
 func TestWriterFailureDuringEnd(t *testing.T) {
 	for _, w := range []*failingWriter{{}, {commits: true}, {commitsLate: true}} {
 		w.table = newFaultyTable()
-		a, b := startForwardingKeeper(t, w), startKeeper(t, w.table, "b")
+		a, b := startForwardingManager(t, w), startManager(t, w.table, "b")
 		claim := mustClaim(t, a, testRequest)
 		w.failuresLeft = 1
 		claim.Answered(Outcome{Status: 201})
--- a/runrecord/keeper.go
+++ b/runrecord/keeper.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 )
 
-// Keeper claims run records and writes the outcomes of the runs. It is safe for
+// Manager claims run records and writes the outcomes of the runs. It is safe for
 // concurrent use.
-type Keeper struct {
+type Manager struct {
 	options Options
 	nonces  atomic.Uint64
 	epoch   epochCache
@@ -31,7 +31,7 @@
 }
 
 // entry is one record that this process has claimed. Fields other than done
-// are guarded by Keeper.mu once the claim has ended.
+// are guarded by Manager.mu once the claim has ended.
 type entry struct {
 	key    string
 	record Record
@@ -41,7 +41,7 @@
 	unresolved bool
 	// ended means that record holds the outcome, which the writer still has to write.
 	ended bool
-	// done is closed once the entry has been removed from the keeper.
+	// done is closed once the entry has been removed from the manager.
 	done chan struct{}
 }
 
@@ -69,22 +69,22 @@
 	Replay *Outcome
 }
 
-// New returns a keeper whose workers write the ends of claims and sweep expired
+// New returns a manager whose workers write the ends of claims and sweep expired
 // records until Close.
-func New(options Options) *Keeper {
-	k := newKeeper(options)
+func New(options Options) *Manager {
+	m := newManager(options)
 	ctx, stop := context.WithCancel(context.Background())
-	k.stop = stop
-	sweeper := newSweeper(k)
-	k.workers.Go(func() { k.writeEnds(ctx) })
-	k.workers.Go(func() { sweeper.run(ctx) })
-	return k
+	m.stop = stop
+	sweeper := newSweeper(m)
+	m.workers.Go(func() { m.writeEnds(ctx) })
+	m.workers.Go(func() { sweeper.run(ctx) })
+	return m
 }
 
-// newKeeper returns a keeper without running workers.
-func newKeeper(options Options) *Keeper {
+// newManager returns a manager without running workers.
+func newManager(options Options) *Manager {
 	options = options.withDefaults()
-	return &Keeper{
+	return &Manager{
 		options:        options,
 		metrics:        newCounters(options.Metrics),
 		entries:        make(map[string]*entry),
@@ -94,23 +94,23 @@
 }
 
 // Close waits until every ended record is written or ctx is done, and stops
-// the keeper. Records that were not written stay claimed in the table: resends
+// the manager. Records that were not written stay claimed in the table: resends
 // of their requests are answered "may have run".
-func (k *Keeper) Close(ctx context.Context) error {
-	err := k.flush(ctx)
-	k.stop()
-	k.workers.Wait()
+func (m *Manager) Close(ctx context.Context) error {
+	err := m.flush(ctx)
+	m.stop()
+	m.workers.Wait()
 	return err
 }
 
 // flush waits until the queue is empty or ctx is done.
-func (k *Keeper) flush(ctx context.Context) error {
+func (m *Manager) flush(ctx context.Context) error {
 	for {
-		oldest := k.oldestQueued()
+		oldest := m.oldestQueued()
 		if oldest == nil {
 			return nil
 		}
-		notify(k.flushRequested)
+		notify(m.flushRequested)
 		select {
 		case <-oldest.done:
 		case <-ctx.Done():
@@ -119,35 +119,35 @@
 	}
 }
 
-func (k *Keeper) oldestQueued() *entry {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.queue) == 0 {
+func (m *Manager) oldestQueued() *entry {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.queue) == 0 {
 		return nil
 	}
-	return k.queue[0]
+	return m.queue[0]
 }
 
 // queueEnd queues the end of a claim for the writer.
-func (k *Keeper) queueEnd(e *entry, state State, outcome Outcome) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.queue) >= k.options.MaxPending {
-		k.metrics.droppedEnds.Inc()
-		k.removeEntry(e)
+func (m *Manager) queueEnd(e *entry, state State, outcome Outcome) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if len(m.queue) >= m.options.MaxPending {
+		m.metrics.droppedEnds.Inc()
+		m.removeEntry(e)
 		return
 	}
-	if k.pendingBytes+outcome.size() > k.options.MaxPendingBytes {
-		k.metrics.droppedAnswers.Inc()
+	if m.pendingBytes+outcome.size() > m.options.MaxPendingBytes {
+		m.metrics.droppedAnswers.Inc()
 		outcome = outcome.limitedTo(0)
 	}
 	e.record.State = state
-	e.record.EndedAt = k.options.WallClock().UnixMilli()
+	e.record.EndedAt = m.options.WallClock().UnixMilli()
 	e.record.Outcome = &outcome
 	e.ended = true
-	k.pendingBytes += outcome.size()
-	k.queue = append(k.queue, e)
-	notify(k.queueGrew)
+	m.pendingBytes += outcome.size()
+	m.queue = append(m.queue, e)
+	notify(m.queueGrew)
 }
 
 // notify puts a token into a channel unless it already holds one.
@@ -159,13 +159,13 @@
 }
 
 // removeEntry removes an entry. The caller holds mu.
-func (k *Keeper) removeEntry(e *entry) {
-	if k.entries[e.key] == e {
-		delete(k.entries, e.key)
+func (m *Manager) removeEntry(e *entry) {
+	if m.entries[e.key] == e {
+		delete(m.entries, e.key)
 	}
 	close(e.done)
 }
 
 // MaxStoredBytes returns the size of the largest answer that is stored; see
 // Options.
-func (k *Keeper) MaxStoredBytes() int { return k.options.MaxStoredBytes }
+func (m *Manager) MaxStoredBytes() int { return m.options.MaxStoredBytes }
--- a/runrecord/model_test.go
+++ b/runrecord/model_test.go
@@ -27,7 +27,7 @@
 	store       *memory.Store
 	lateCommits [][]store.Op
 	depth       int // nesting depth of steps within table calls
-	keepers     []*Keeper
+	managers    []*Manager
 	sweepers    []*sweeper
 	now         control.Instant
 	openRuns    []*openRun
@@ -60,9 +60,9 @@
 		runs:          make(map[string]int),
 		lastRunEpoch:  make(map[string]uint64),
 	}
-	m.keepers = make([]*Keeper, 3)
+	m.managers = make([]*Manager, 3)
 	m.sweepers = make([]*sweeper, 3)
-	for i := range m.keepers {
+	for i := range m.managers {
 		m.restart(i)
 	}
 	return m
@@ -70,11 +70,11 @@
 
 func (m *model) restart(i int) {
 	incarnation := control.Incarnation(1)
-	if m.keepers[i] != nil {
-		incarnation += m.keepers[i].options.Incarnation
+	if m.managers[i] != nil {
+		incarnation += m.managers[i].options.Incarnation
 	}
 	node := control.NodeID(fmt.Sprint(i))
-	m.keepers[i] = newKeeper(Options{
+	m.managers[i] = newManager(Options{
 		Table:       m.newTable(node),
 		Node:        node,
 		Incarnation: incarnation,
@@ -83,13 +83,13 @@
 		Retention:   modelRetention,
 		Metrics:     metrics.NewSet(),
 	})
-	m.sweepers[i] = newSweeper(m.keepers[i])
+	m.sweepers[i] = newSweeper(m.managers[i])
 }
 
 func (m *model) isAlive(node control.NodeID, incarnation control.Incarnation) bool {
-	for _, k := range m.keepers {
-		if k.options.Node == node {
-			return k.options.Incarnation == incarnation
+	for _, manager := range m.managers {
+		if manager.options.Node == node {
+			return manager.options.Incarnation == incarnation
 		}
 	}
 	return false
@@ -97,17 +97,17 @@
 
 // step performs one random action. Steps are also performed within table calls.
 func (m *model) step() {
-	i := m.draw(len(m.keepers))
+	i := m.draw(len(m.managers))
 	switch m.draw(14) {
 	case 0, 1, 2:
-		m.send(m.keepers[i])
+		m.send(m.managers[i])
 	case 3, 4:
 		m.dispatch()
 	case 5:
 		m.end()
 	case 6, 7:
-		if batch := m.keepers[i].nextBatch(); len(batch) > 0 && m.depth == 0 {
-			m.keepers[i].writeBatch(context.Background(), batch)
+		if batch := m.managers[i].nextBatch(); len(batch) > 0 && m.depth == 0 {
+			m.managers[i].writeBatch(context.Background(), batch)
 		}
 	case 8:
 		m.restart(i)
@@ -120,7 +120,7 @@
 			_ = m.sweepers[i].sweep(context.Background())
 		}
 	case 13:
-		m.changeMembers(m.keepers[i].options.Node)
+		m.changeMembers(m.managers[i].options.Node)
 	}
 }
 
@@ -130,14 +130,14 @@
 	return known.number
 }
 
-func (m *model) send(k *Keeper) {
+func (m *model) send(manager *Manager) {
 	key := fmt.Sprint(m.draw(2))
-	e, _ := k.reserve(RowKey("w", key), 1)
+	e, _ := manager.reserve(RowKey("w", key), 1)
 	if e == nil {
-		return // Keeper.Claim would answer from memory, or wait for the writer
+		return // Manager.Claim would answer from memory, or wait for the writer
 	}
 	epoch := m.epoch()
-	decision, err := k.acquire(context.Background(), e)
+	decision, err := manager.acquire(context.Background(), e)
 	var refusal *result.Error
 	switch {
 	case decision.Claim != nil:
--- a/runrecord/options.go
+++ b/runrecord/options.go
@@ -25,7 +25,7 @@
 	defaultSweepEvery       = time.Minute
 )
 
-// Options configures a Keeper. Zero fields take the stated defaults.
+// Options configures a Manager. Zero fields take the stated defaults.
 type Options struct {
 	// Table is the platform's table. Required.
 	Table store.Table
@@ -70,7 +70,7 @@
 	ClaimedRetention int
 	// SweepEvery is the mean interval between sweeps for expired records. Default 1m.
 	SweepEvery time.Duration
-	// Logger receives the keeper's messages. Default slog.Default().
+	// Logger receives the manager's messages. Default slog.Default().
 	Logger *slog.Logger
 	// Metrics is the set in which the counters are registered. Default: the
 	// global set.
--- a/runrecord/refuse.go
+++ b/runrecord/refuse.go
@@ -28,7 +28,7 @@
 	result.RecordNotKept,
 }
 
-// counters are the metrics of a Keeper. docs/METRICS.md describes them.
+// counters are the metrics of a Manager. docs/METRICS.md describes them.
 type counters struct {
 	claims         *metrics.Counter
 	replays        *metrics.Counter
@@ -59,8 +59,8 @@
 }
 
 // refuse returns a refusal with one of refusalCodes, and counts it.
-func (k *Keeper) refuse(code result.Code, detail string) *result.Error {
-	k.metrics.refusals[code].Inc()
+func (m *Manager) refuse(code result.Code, detail string) *result.Error {
+	m.metrics.refusals[code].Inc()
 	refusal := result.New(code, "%s", detail)
 	if code.Info().Retry {
 		refusal = refusal.WithRetryAfter(minRetryAfter + rand.N(retryAfterJitter))
--- a/runrecord/runrecord_test.go
+++ b/runrecord/runrecord_test.go
@@ -15,8 +15,8 @@
 
 var testRequest = Request{Workspace: "school", IdempotencyKey: "deploy-7", Fingerprint: 42}
 
-// startKeeper starts a keeper that is stopped when the test ends.
-func startKeeper(t *testing.T, table store.Table, node control.NodeID, change ...func(*Options)) *Keeper {
+// startManager starts a manager that is stopped when the test ends.
+func startManager(t *testing.T, table store.Table, node control.NodeID, change ...func(*Options)) *Manager {
 	options := Options{
 		Table:       table,
 		Node:        node,
@@ -27,17 +27,17 @@
 	for _, f := range change {
 		f(&options)
 	}
-	k := New(options)
+	m := New(options)
 	t.Cleanup(func() {
-		k.stop()
-		k.workers.Wait()
+		m.stop()
+		m.workers.Wait()
 	})
-	return k
+	return m
 }
 
-func mustClaim(t *testing.T, k *Keeper, request Request) *Claim {
+func mustClaim(t *testing.T, m *Manager, request Request) *Claim {
 	t.Helper()
-	decision, err := k.Claim(context.Background(), request)
+	decision, err := m.Claim(context.Background(), request)
 	if err != nil || decision.Claim == nil {
 		t.Fatalf("no claim: %+v, %v", decision, err)
 	}
@@ -45,9 +45,9 @@
 }
 
 // wantRefused checks that a claim for the request is refused with the code.
-func wantRefused(t *testing.T, k *Keeper, request Request, code result.Code) *result.Error {
+func wantRefused(t *testing.T, m *Manager, request Request, code result.Code) *result.Error {
 	t.Helper()
-	decision, err := k.Claim(context.Background(), request)
+	decision, err := m.Claim(context.Background(), request)
 	var refusal *result.Error
 	if !errors.As(err, &refusal) {
 		t.Fatalf("not refused: %+v, %v", decision, err)
@@ -58,18 +58,18 @@
 	return refusal
 }
 
-func flush(t *testing.T, k *Keeper) {
+func flush(t *testing.T, m *Manager) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	if err := k.flush(ctx); err != nil {
+	if err := m.flush(ctx); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func TestAnswerIsReplayedByEveryRouter(t *testing.T) {
 	table := newFaultyTable()
-	a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b")
+	a, b := startManager(t, table, "a"), startManager(t, table, "b")
 	claim := mustClaim(t, a, testRequest)
 	refusal := wantRefused(t, b, testRequest, result.RecordInProgress)
 	if refusal.RetryAfter < minRetryAfter || refusal.Ran != result.RanUnknown {
@@ -81,8 +81,8 @@
 	}
 	claim.Answered(Outcome{Status: 201, Header: map[string]string{"X": "y"}, Body: []byte("done")})
 	flush(t, a)
-	for _, k := range []*Keeper{a, b} {
-		decision, err := k.Claim(context.Background(), testRequest)
+	for _, m := range []*Manager{a, b} {
+		decision, err := m.Claim(context.Background(), testRequest)
 		if err != nil || decision.Replay == nil {
 			t.Fatalf("no replay: %+v, %v", decision, err)
 		}
@@ -91,21 +91,21 @@
 		}
 		other := testRequest
 		other.Fingerprint++
-		wantRefused(t, k, other, result.RecordMismatch)
+		wantRefused(t, m, other, result.RecordMismatch)
 	}
 }
 
 func TestLostReplyOfInsert(t *testing.T) {
 	for _, f := range []commitFault{faultReplyLost, faultLate} {
 		table := newFaultyTable()
-		k := startKeeper(t, table, "a")
+		m := startManager(t, table, "a")
 		table.injectFaults(f)
-		claim := mustClaim(t, k, testRequest)
+		claim := mustClaim(t, m, testRequest)
 		if n := table.applyLate(); n != 0 {
 			t.Fatalf("a late insert took effect in addition to the claim")
 		}
 		claim.Answered(Outcome{Status: 200})
-		flush(t, k)
+		flush(t, m)
 		if got := table.storedRecord(t, testRequest); got.State != StateAnswered {
 			t.Fatalf("fault %d: stored %+v", f, got)
 		}
@@ -118,7 +118,7 @@
 func TestUnresolvedClaimIsReleased(t *testing.T) {
 	for _, f := range []commitFault{faultReplyLost, faultLate} {
 		table := newFaultyTable()
-		a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b")
+		a, b := startManager(t, table, "a"), startManager(t, table, "b")
 		table.injectFaults(f)
 		table.setReadsUnavailable(true)
 		refusal := wantRefused(t, a, testRequest, result.RecordUnavailable)
@@ -142,19 +142,19 @@
 // router waits for the release of the claim and then runs.
 func TestResendToSameRouterRunsAfterUnresolvedClaim(t *testing.T) {
 	table := newFaultyTable()
-	k := startKeeper(t, table, "a")
+	m := startManager(t, table, "a")
 	table.injectFaults(faultReplyLost)
 	table.setReadsUnavailable(true)
-	wantRefused(t, k, testRequest, result.RecordUnavailable)
+	wantRefused(t, m, testRequest, result.RecordUnavailable)
 	table.setReadsUnavailable(false)
-	mustClaim(t, k, testRequest)
+	mustClaim(t, m, testRequest)
 }
 
 // TestReleasedClaimCannotDispatch checks that after a claim was given up, nothing
 // can be dispatched under it, and a resend can run.
 func TestReleasedClaimCannotDispatch(t *testing.T) {
 	table := newFaultyTable()
-	a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b")
+	a, b := startManager(t, table, "a"), startManager(t, table, "b")
 	first := mustClaim(t, a, testRequest)
 	first.NotRun(result.NoTarget)
 	flush(t, a)
@@ -174,11 +174,11 @@
 
 func TestClaimLapses(t *testing.T) {
 	var now control.Instant
-	k := startKeeper(t, newFaultyTable(), "a", func(o *Options) {
+	m := startManager(t, newFaultyTable(), "a", func(o *Options) {
 		o.Now = func() control.Instant { return now }
 		o.Lease = time.Minute
 	})
-	claim := mustClaim(t, k, testRequest)
+	claim := mustClaim(t, m, testRequest)
 	now = time.Minute - 1
 	if err := claim.BeginDispatch(); err != nil {
 		t.Fatal(err)
@@ -197,7 +197,7 @@
 	gone := func(o *Options) {
 		o.OwnerAlive = func(node control.NodeID, _ control.Incarnation) bool { return node != "a" }
 	}
-	a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b", gone)
+	a, b := startManager(t, table, "a"), startManager(t, table, "b", gone)
 	paused := mustClaim(t, a, testRequest)
 	wantRefused(t, b, testRequest, result.RecordUnknown)
 	if err := paused.BeginDispatch(); err != nil {
@@ -205,8 +205,8 @@
 	}
 	paused.Unknown(result.StreamBroken)
 	flush(t, a)
-	for _, k := range []*Keeper{a, b} {
-		if refusal := wantRefused(t, k, testRequest, result.RecordUnknown); refusal.Ran != result.RanUnknown {
+	for _, m := range []*Manager{a, b} {
+		if refusal := wantRefused(t, m, testRequest, result.RecordUnknown); refusal.Ran != result.RanUnknown {
 			t.Fatalf("refusal has Ran %v", refusal.Ran)
 		}
 	}
@@ -215,32 +215,32 @@
 func TestBreakerOpensWhileTableIsUnavailable(t *testing.T) {
 	table := newFaultyTable()
 	var now control.Instant
-	k := startKeeper(t, table, "a", func(o *Options) { o.Now = func() control.Instant { return now } })
+	m := startManager(t, table, "a", func(o *Options) { o.Now = func() control.Instant { return now } })
 	for range breakerThreshold {
 		table.injectFaults(faultUnavailable)
-		if refusal := wantRefused(t, k, testRequest, result.RecordUnavailable); refusal.Ran != result.RanNo {
+		if refusal := wantRefused(t, m, testRequest, result.RecordUnavailable); refusal.Ran != result.RanNo {
 			t.Fatalf("refusal has Ran %v", refusal.Ran)
 		}
 	}
-	if refusal := wantRefused(t, k, testRequest, result.RecordUnavailable); !errors.Is(refusal, errBreakerOpen) {
+	if refusal := wantRefused(t, m, testRequest, result.RecordUnavailable); !errors.Is(refusal, errBreakerOpen) {
 		t.Fatalf("the table was called again immediately: %v", refusal)
 	}
 	now += breakerRetryInterval
-	mustClaim(t, k, testRequest)
+	mustClaim(t, m, testRequest)
 	other := testRequest
 	other.IdempotencyKey = "deploy-8"
-	mustClaim(t, k, other)
+	mustClaim(t, m, other)
 }
 
 func TestAnswerOverTheLimitIsNotKept(t *testing.T) {
 	table := newFaultyTable()
-	k := startKeeper(t, table, "a", func(o *Options) { o.MaxStoredBytes = 10 })
-	mustClaim(t, k, testRequest).Answered(Outcome{Status: 200, Body: make([]byte, 11)})
-	flush(t, k)
+	m := startManager(t, table, "a", func(o *Options) { o.MaxStoredBytes = 10 })
+	mustClaim(t, m, testRequest).Answered(Outcome{Status: 200, Body: make([]byte, 11)})
+	flush(t, m)
 	if got := table.storedRecord(t, testRequest).Outcome; got.Body != nil || !got.BodyOmitted {
 		t.Fatalf("stored %+v", got)
 	}
-	if refusal := wantRefused(t, k, testRequest, result.RecordNotKept); refusal.Ran != result.RanYes {
+	if refusal := wantRefused(t, m, testRequest, result.RecordNotKept); refusal.Ran != result.RanYes {
 		t.Fatalf("refusal has Ran %v", refusal.Ran)
 	}
 }
@@ -248,17 +248,17 @@
 // TestPendingEndsAreBounded checks that ended records that wait for the table take
 // bounded memory.
 func TestPendingEndsAreBounded(t *testing.T) {
-	k := newKeeper(Options{Table: newFaultyTable(), Node: "a", MaxPending: 2, MaxPendingBytes: 5, Metrics: metrics.NewSet()})
+	m := newManager(Options{Table: newFaultyTable(), Node: "a", MaxPending: 2, MaxPendingBytes: 5, Metrics: metrics.NewSet()})
 	for _, key := range []string{"1", "2", "3"} {
-		mustClaim(t, k, Request{Workspace: "w", IdempotencyKey: key}).Answered(Outcome{Body: []byte("four")})
+		mustClaim(t, m, Request{Workspace: "w", IdempotencyKey: key}).Answered(Outcome{Body: []byte("four")})
 	}
-	if len(k.queue) != 2 || len(k.entries) != 2 || k.pendingBytes != 4 || !k.queue[1].record.Outcome.BodyOmitted {
-		t.Fatalf("%d queued, %d known, %d bytes", len(k.queue), len(k.entries), k.pendingBytes)
+	if len(m.queue) != 2 || len(m.entries) != 2 || m.pendingBytes != 4 || !m.queue[1].record.Outcome.BodyOmitted {
+		t.Fatalf("%d queued, %d known, %d bytes", len(m.queue), len(m.entries), m.pendingBytes)
 	}
 	// The dropped end is lost: this router no longer runs the request.
-	wantRefused(t, k, Request{Workspace: "w", IdempotencyKey: "3"}, result.RecordUnknown)
-	if !k.writeBatch(context.Background(), k.nextBatch()) || len(k.entries) != 0 || k.pendingBytes != 0 {
-		t.Fatalf("%d known, %d bytes after writing", len(k.entries), k.pendingBytes)
+	wantRefused(t, m, Request{Workspace: "w", IdempotencyKey: "3"}, result.RecordUnknown)
+	if !m.writeBatch(context.Background(), m.nextBatch()) || len(m.entries) != 0 || m.pendingBytes != 0 {
+		t.Fatalf("%d known, %d bytes after writing", len(m.entries), m.pendingBytes)
 	}
 }
 
@@ -267,7 +267,7 @@
 // take effect later.
 func TestLateReclaimIsFenced(t *testing.T) {
 	table := newFaultyTable()
-	a, b := startKeeper(t, table, "a"), startKeeper(t, table, "b")
+	a, b := startManager(t, table, "a"), startManager(t, table, "b")
 	mustClaim(t, b, testRequest).NotRun(result.NoTarget)
 	flush(t, b)
 	table.injectFaults(faultNone, faultLate, faultUnavailable) // the insert, the update, the update again
@@ -293,17 +293,17 @@
 func TestRecordsExpireAfterTheirRetention(t *testing.T) {
 	table := newFaultyTable()
 	var now control.Instant
-	k := newKeeper(Options{
+	m := newManager(Options{
 		Table: table, Node: "a", Incarnation: 7, Metrics: metrics.NewSet(),
 		Now:       func() control.Instant { return now },
 		Retention: 2, ClaimedRetention: 4,
 	})
 	claimed := testRequest
 	claimed.IdempotencyKey = "claimed"
-	mustClaim(t, k, claimed)
-	mustClaim(t, k, testRequest).Answered(Outcome{Status: 200})
-	k.writeBatch(context.Background(), k.nextBatch())
-	s := &sweeper{keeper: k}
+	mustClaim(t, m, claimed)
+	mustClaim(t, m, testRequest).Answered(Outcome{Status: 200})
+	m.writeBatch(context.Background(), m.nextBatch())
+	s := &sweeper{manager: m}
 	for epoch, want := range []int{2, 2, 2, 1, 1, 0} {
 		// Steps within one epoch neither advance it nor delete more.
 		for range 3 {
@@ -328,9 +328,9 @@
 func TestClaimUsesCurrentEpoch(t *testing.T) {
 	table := newFaultyTable()
 	var now control.Instant
-	a := startKeeper(t, table, "a")
+	a := startManager(t, table, "a")
 	mustClaim(t, a, Request{Workspace: "w", IdempotencyKey: "first"})
-	b := newKeeper(Options{Table: table, Node: "b", Metrics: metrics.NewSet(), Now: func() control.Instant { return now }})
+	b := newManager(Options{Table: table, Node: "b", Metrics: metrics.NewSet(), Now: func() control.Instant { return now }})
 	advanceEpoch(t, newSweeper(b), &now)
 	mustClaim(t, a, testRequest)
 	if got := table.storedRecord(t, testRequest).Epoch; got != 2 {
--- a/runrecord/sweep.go
+++ b/runrecord/sweep.go
@@ -22,7 +22,7 @@
 // sweeper advances the retention epoch and deletes expired records. Every
 // router runs one; they need no coordination, since every write is conditional.
 type sweeper struct {
-	keeper *Keeper
+	manager *Manager
 	// cursor is the key at which the next page begins.
 	cursor string
 	// lastEpoch is the epoch as last read, first read at lastEpochSeenAt.
@@ -32,13 +32,13 @@
 
 // newSweeper returns a sweeper that begins at a random key, so that the routers
 // of a fleet sweep different parts of the table.
-func newSweeper(k *Keeper) *sweeper {
-	return &sweeper{keeper: k, cursor: fmt.Sprintf("%08x", rand.Uint32())}
+func newSweeper(m *Manager) *sweeper {
+	return &sweeper{manager: m, cursor: fmt.Sprintf("%08x", rand.Uint32())}
 }
 
 // run sweeps until ctx is done.
 func (s *sweeper) run(ctx context.Context) {
-	every := s.keeper.options.SweepEvery
+	every := s.manager.options.SweepEvery
 	for {
 		select {
 		case <-time.After(every/2 + rand.N(every)):
@@ -46,7 +46,7 @@
 			return
 		}
 		if err := s.sweep(ctx); err != nil {
-			s.keeper.options.Logger.Warn("runrecord: Sweep failed.", "error", err)
+			s.manager.options.Logger.Warn("runrecord: Sweep failed.", "error", err)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 // sweep reads the epoch, advances it if due, and sweeps a part of the table. It
 // reads a further page only if at least half of a full page was expired.
 func (s *sweeper) sweep(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, maxPagesPerSweep*s.keeper.options.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, maxPagesPerSweep*s.manager.options.Timeout)
 	defer cancel()
 	if err := s.updateEpoch(ctx); err != nil {
 		return err
@@ -74,17 +74,17 @@
 // updateEpoch reads the epoch, and advances it once this process has observed it
 // unchanged for Options.EpochLength.
 func (s *sweeper) updateEpoch(ctx context.Context) error {
-	known, err := s.keeper.epoch.refresh(ctx, s.keeper.options.Table)
+	known, err := s.manager.epoch.refresh(ctx, s.manager.options.Table)
 	if err != nil {
 		return err
 	}
-	now := s.keeper.options.Now()
+	now := s.manager.options.Now()
 	if known != s.lastEpoch {
 		s.lastEpoch = known
 		s.lastEpochSeenAt = now
 		return nil
 	}
-	if now-s.lastEpochSeenAt < s.keeper.options.EpochLength {
+	if now-s.lastEpochSeenAt < s.manager.options.EpochLength {
 		return nil
 	}
 	next := strconv.FormatUint(known.number+1, 10)
@@ -95,8 +95,8 @@
 		Value:    []byte(next),
 		Revision: known.revision,
 	}
-	s.keeper.epoch.invalidate()
-	err = s.keeper.options.Table.Commit(ctx, []store.Op{op})
+	s.manager.epoch.invalidate()
+	err = s.manager.options.Table.Commit(ctx, []store.Op{op})
 	if errors.Is(err, store.ErrConflict) {
 		return nil // another router advanced it
 	}
@@ -105,7 +105,7 @@
 
 // sweepPage reads one page of records and deletes the expired ones.
 func (s *sweeper) sweepPage(ctx context.Context) (read, expired int, err error) {
-	rows, err := s.keeper.options.Table.Scan(ctx, Table, s.cursor, sweepPageRows)
+	rows, err := s.manager.options.Table.Scan(ctx, Table, s.cursor, sweepPageRows)
 	if err != nil {
 		return 0, 0, fmt.Errorf("runrecord: scan records: %w", err)
 	}
@@ -127,12 +127,12 @@
 func (s *sweeper) isExpired(row store.Row) bool {
 	record, err := decode(row.Value)
 	if err != nil {
-		s.keeper.options.Logger.Error("runrecord: Decoding a record failed.", "key", row.Key, "error", err)
+		s.manager.options.Logger.Error("runrecord: Decoding a record failed.", "key", row.Key, "error", err)
 		return false
 	}
-	retention := s.keeper.options.Retention
+	retention := s.manager.options.Retention
 	if record.State == StateClaimed {
-		retention = s.keeper.options.ClaimedRetention
+		retention = s.manager.options.ClaimedRetention
 	}
 	return s.lastEpoch.number > record.Epoch+uint64(retention)
 }
@@ -142,12 +142,12 @@
 func (s *sweeper) delete(ctx context.Context, deletes []store.Op) error {
 	for len(deletes) > 0 {
 		n := min(len(deletes), maxBatchEnds)
-		err := s.keeper.options.Table.Commit(ctx, deletes[:n])
+		err := s.manager.options.Table.Commit(ctx, deletes[:n])
 		if err != nil && !errors.Is(err, store.ErrConflict) {
 			return fmt.Errorf("runrecord: delete expired records: %w", err)
 		}
 		if err == nil {
-			s.keeper.metrics.deleted.Add(n)
+			s.manager.metrics.deleted.Add(n)
 		}
 		deletes = deletes[n:]
 	}
--- a/runrecord/writer.go
+++ b/runrecord/writer.go
@@ -17,56 +17,56 @@
 // writeEnds writes the ends of claims until ctx is done. Ends that arrive
 // during a commit are written together in the next one, so that the number of
 // commits does not grow with the load.
-func (k *Keeper) writeEnds(ctx context.Context) {
+func (m *Manager) writeEnds(ctx context.Context) {
 	for ctx.Err() == nil {
-		k.waitForEnds(ctx)
-		batch := k.nextBatch()
-		if len(batch) == 0 || k.writeBatch(ctx, batch) {
+		m.waitForEnds(ctx)
+		batch := m.nextBatch()
+		if len(batch) == 0 || m.writeBatch(ctx, batch) {
 			continue
 		}
-		k.metrics.endRetries.Inc()
-		k.sleepUnlessFlushing(ctx, k.options.RetryEvery)
+		m.metrics.endRetries.Inc()
+		m.sleepUnlessFlushing(ctx, m.options.RetryEvery)
 	}
 }
 
 // waitForEnds waits for an end, and then for up to Options.EndDelay for others.
-func (k *Keeper) waitForEnds(ctx context.Context) {
-	if k.queueLength() == 0 {
+func (m *Manager) waitForEnds(ctx context.Context) {
+	if m.queueLength() == 0 {
 		select {
-		case <-k.queueGrew:
+		case <-m.queueGrew:
 		case <-ctx.Done():
 			return
 		}
 	}
-	if k.queueLength() < maxBatchEnds {
-		k.sleepUnlessFlushing(ctx, k.options.EndDelay)
+	if m.queueLength() < maxBatchEnds {
+		m.sleepUnlessFlushing(ctx, m.options.EndDelay)
 	}
 }
 
-func (k *Keeper) queueLength() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.queue)
+func (m *Manager) queueLength() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.queue)
 }
 
 // sleepUnlessFlushing waits for d, or until a goroutine waits for the writer.
-func (k *Keeper) sleepUnlessFlushing(ctx context.Context, d time.Duration) {
+func (m *Manager) sleepUnlessFlushing(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-k.flushRequested:
+	case <-m.flushRequested:
 	case <-ctx.Done():
 	}
 }
 
 // nextBatch returns the oldest ends that fit into one commit.
-func (k *Keeper) nextBatch() []*entry {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) nextBatch() []*entry {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var batch []*entry
 	size := 0
-	for _, e := range k.queue {
+	for _, e := range m.queue {
 		size += e.record.Outcome.size()
 		if len(batch) == maxBatchEnds || (len(batch) > 0 && size > maxBatchBytes) {
 			break
@@ -78,45 +78,45 @@
 
 // writeBatch writes the ends in one commit, or one by one if a revision is
 // unknown or the commit conflicts. It reports whether the whole batch was written.
-func (k *Keeper) writeBatch(ctx context.Context, batch []*entry) bool {
-	callCtx, cancel := context.WithTimeout(ctx, k.options.Timeout)
+func (m *Manager) writeBatch(ctx context.Context, batch []*entry) bool {
+	callCtx, cancel := context.WithTimeout(ctx, m.options.Timeout)
 	defer cancel()
 	var ops []store.Op
 	for _, e := range batch {
 		if e.revision == 0 {
-			return k.writeOneByOne(ctx, batch)
+			return m.writeOneByOne(ctx, batch)
 		}
 		ops = append(ops, endOp(e, store.OpUpdate, e.revision))
 	}
-	err := k.options.Table.Commit(callCtx, ops)
+	err := m.options.Table.Commit(callCtx, ops)
 	if err == nil {
-		k.removeWritten(batch...)
+		m.removeWritten(batch...)
 		return true
 	}
 	if errors.Is(err, store.ErrConflict) {
-		return k.writeOneByOne(ctx, batch)
+		return m.writeOneByOne(ctx, batch)
 	}
 	return false
 }
 
 // writeOneByOne writes each end in a commit of its own, up to the first failure.
 // It reports whether all were written.
-func (k *Keeper) writeOneByOne(ctx context.Context, batch []*entry) bool {
+func (m *Manager) writeOneByOne(ctx context.Context, batch []*entry) bool {
 	for _, e := range batch {
-		if err := k.writeEnd(ctx, e); err != nil {
-			k.options.Logger.Warn("runrecord: Writing the end of a record failed.", "error", err)
+		if err := m.writeEnd(ctx, e); err != nil {
+			m.options.Logger.Warn("runrecord: Writing the end of a record failed.", "error", err)
 			return false
 		}
-		k.removeWritten(e)
+		m.removeWritten(e)
 	}
 	return true
 }
 
 // writeEnd reads the row and writes the end if the row still holds the claim.
-func (k *Keeper) writeEnd(ctx context.Context, e *entry) error {
-	ctx, cancel := context.WithTimeout(ctx, k.options.Timeout)
+func (m *Manager) writeEnd(ctx context.Context, e *entry) error {
+	ctx, cancel := context.WithTimeout(ctx, m.options.Timeout)
 	defer cancel()
-	row, record, err := k.readBack(ctx, e.key)
+	row, record, err := m.readBack(ctx, e.key)
 	if err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 	case record.Owner != e.record.Owner || record.State != StateClaimed:
 		return nil // another owner's, or written by a commit whose reply was lost
 	}
-	return k.options.Table.Commit(ctx, []store.Op{op})
+	return m.options.Table.Commit(ctx, []store.Op{op})
 }
 
 func endOp(e *entry, kind store.OpKind, revision uint64) store.Op {
@@ -141,12 +141,12 @@
 }
 
 // removeWritten removes the entries of a batch, whose ends are in the table.
-func (k *Keeper) removeWritten(batch ...*entry) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *Manager) removeWritten(batch ...*entry) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for _, e := range batch {
-		k.pendingBytes -= e.record.Outcome.size()
-		k.removeEntry(e)
+		m.pendingBytes -= e.record.Outcome.size()
+		m.removeEntry(e)
 	}
-	k.queue = k.queue[len(batch):]
+	m.queue = m.queue[len(batch):]
 }
