--- a/bench/capacity/node.go
+++ b/bench/capacity/node.go
@@ -279,12 +279,12 @@
 
 // every runs a function periodically, from a random time within the first period.
 func (n *node) every(period time.Duration, run func()) {
-	var again func()
-	again = func() {
+	var tick func()
+	tick = func() {
 		run()
-		n.after(period, again)
+		n.after(period, tick)
 	}
-	n.after(time.Duration(n.random.Int64N(int64(period)+1)), again)
+	n.after(time.Duration(n.random.Int64N(int64(period)+1)), tick)
 }
 
 // timer is a function to run at a time. Timers of equal time run in order of seq.
--- a/bench/measure/measure.go
+++ b/bench/measure/measure.go
@@ -66,12 +66,12 @@
 // intersect returns the intersection of two lists of disjoint intervals, both in
 // order of time.
 func intersect(a, b []interval) []interval {
-	var both []interval
+	var result []interval
 	for i, j := 0, 0; i < len(a) && j < len(b); {
 		from := max(a[i].from, b[j].from)
 		to := min(a[i].to, b[j].to)
 		if from < to {
-			both = append(both, interval{from, to})
+			result = append(result, interval{from, to})
 		}
 		if a[i].to < b[j].to {
 			i++
@@ -79,7 +79,7 @@
 			j++
 		}
 	}
-	return both
+	return result
 }
 
 // curve is the cumulative service of a workspace over time, linear between its
--- a/control/deferred.go
+++ b/control/deferred.go
@@ -76,17 +76,17 @@
 // run has ended.
 func (s *shard) meanService() time.Duration {
 	var sum time.Duration
-	known := 0
+	withRuns := 0
 	for _, t := range s.targets {
 		if service := t.window.MeanService(); service > 0 {
 			sum += service
-			known++
+			withRuns++
 		}
 	}
-	if known == 0 {
+	if withRuns == 0 {
 		return 0
 	}
-	return sum / time.Duration(known)
+	return sum / time.Duration(withRuns)
 }
 
 // waitExpired handles a ticket that has waited for as long as it may. At pools that count
--- a/control/entry.go
+++ b/control/entry.go
@@ -165,8 +165,8 @@
 	m.refuseAfter(ev, code, m.retryAfter(ev.Workspace))
 }
 
-func (m *Machine) refuseAfter(ev RequestArrived, code result.Code, after time.Duration) {
-	m.refuseWith(ev, Refuse{Code: code, RetryAfter: after})
+func (m *Machine) refuseAfter(ev RequestArrived, code result.Code, retryAfter time.Duration) {
+	m.refuseWith(ev, Refuse{Code: code, RetryAfter: retryAfter})
 }
 
 // refuseWith ends an attempt with the given refusal.
@@ -243,9 +243,9 @@
 // fire implements timerOwner: the deadline has passed or a ticket is due again.
 func (r *request) fire(m *Machine) {
 	if m.now >= r.ev.Deadline {
-		after := m.retryAfter(r.ev.Workspace)
+		retryAfter := m.retryAfter(r.ev.Workspace)
 		m.withdrawRequest(r)
-		m.refuseAfter(r.ev, result.DeadlineBeforeGrant, after)
+		m.refuseAfter(r.ev, result.DeadlineBeforeGrant, retryAfter)
 		return
 	}
 	for _, sent := range r.tickets {
--- a/control/member/evidence.go
+++ b/control/member/evidence.go
@@ -50,8 +50,8 @@
 func (v *View) newNodes() []string {
 	var names []string
 	for _, n := range v.nodes {
-		if !n.returned {
-			n.returned = true
+		if !n.reportedNew {
+			n.reportedNew = true
 			names = append(names, n.Name)
 		}
 	}
--- a/control/member/view.go
+++ b/control/member/view.go
@@ -51,8 +51,8 @@
 	hash              uint64
 	listed            bool
 	listedLeaving     bool
-	// returned is set once ApplyList has returned it as new.
-	returned      bool
+	// reportedNew is set once ApplyList has returned it as new.
+	reportedNew   bool
 	lastMessageAt time.Duration
 	// watched is set if this node watches it, since watchedFrom.
 	watched              bool
--- a/control/notices.go
+++ b/control/notices.go
@@ -125,19 +125,19 @@
 
 // capRetryAfter limits the retry time given to a caller whose request was refused with a
 // code to the end of the first hold-off.
-func (m *Machine) capRetryAfter(ev RequestArrived, code result.Code, after time.Duration) time.Duration {
+func (m *Machine) capRetryAfter(ev RequestArrived, code result.Code, retryAfter time.Duration) time.Duration {
 	if code != result.TargetsUnavailable {
-		return after
+		return retryAfter
 	}
 	for _, name := range m.notices.HoldOffTargets(m.now) {
 		decl := m.topo.decl.Targets[name]
 		if decl.Pool == ev.Pool {
 			if left := m.notices.HoldOffLeft(m.now, name, decl.Start); left > 0 {
-				after = min(after, m.jitter(left))
+				retryAfter = min(retryAfter, m.jitter(left))
 			}
 		}
 	}
-	return after
+	return retryAfter
 }
 
 // pruneNotices removes the notices of target starts that have ended.
--- a/control/place.go
+++ b/control/place.go
@@ -269,12 +269,12 @@
 }
 
 // runBeganReported records that a run has begun to answer.
-func (m *Machine) runBeganReported(g *grant, after time.Duration) {
+func (m *Machine) runBeganReported(g *grant, sinceGrant time.Duration) {
 	if g.engineRun == nil {
 		return
 	}
 	m.targetSucceeded(g.target, "first event")
-	g.target.engine.FirstEvent(m.now, g.engineRun, after)
+	g.target.engine.FirstEvent(m.now, g.engineRun, sinceGrant)
 	m.grantWaiting(g.shard)
 }
 
--- a/control/quarantine/completions.go
+++ b/control/quarantine/completions.go
@@ -8,9 +8,9 @@
 
 // completions holds the latest runs to completion, oldest first, up to a limit.
 type completions struct {
-	limit int
-	known map[uint64]*completion
-	order []*completion
+	limit         int
+	byFingerprint map[uint64]*completion
+	order         []*completion
 }
 
 type completion struct {
@@ -21,17 +21,17 @@
 }
 
 func newCompletions(limit int) completions {
-	return completions{limit: limit, known: make(map[uint64]*completion)}
+	return completions{limit: limit, byFingerprint: make(map[uint64]*completion)}
 }
 
 // add records a completion unless one later or less than completionInterval earlier is
 // known.
 func (c *completions) add(fingerprint uint64, at Instant) {
-	if last, ok := c.known[fingerprint]; ok && at < last.at+completionInterval {
+	if last, ok := c.byFingerprint[fingerprint]; ok && at < last.at+completionInterval {
 		return
 	}
 	added := &completion{fingerprint: fingerprint, at: at}
-	c.known[fingerprint] = added
+	c.byFingerprint[fingerprint] = added
 	c.order = append(c.order, added)
 	for len(c.order) > c.limit {
 		c.dropOldest()
@@ -40,7 +40,7 @@
 
 // after returns the known completion of a fingerprint if it came after the given time.
 func (c *completions) after(fingerprint uint64, at Instant) *completion {
-	if last, ok := c.known[fingerprint]; ok && last.at > at {
+	if last, ok := c.byFingerprint[fingerprint]; ok && last.at > at {
 		return last
 	}
 	return nil
@@ -56,8 +56,8 @@
 func (c *completions) dropOldest() {
 	oldest := c.order[0]
 	c.order = c.order[1:]
-	if c.known[oldest.fingerprint] == oldest {
-		delete(c.known, oldest.fingerprint)
+	if c.byFingerprint[oldest.fingerprint] == oldest {
+		delete(c.byFingerprint, oldest.fingerprint)
 	}
 }
 
--- a/control/quarantine/property_test.go
+++ b/control/quarantine/property_test.go
@@ -202,7 +202,7 @@
 			t.Fatalf("step %d: %d crashes, %d unconfirmed, %d convicted, %d verdicts", i,
 				len(tracker.crashes), len(tracker.unconfirmed), len(tracker.convicted), len(tracker.verdicts))
 		}
-		if len(tracker.completions.order) > 16 || len(tracker.completions.known) > 16 {
+		if len(tracker.completions.order) > 16 || len(tracker.completions.byFingerprint) > 16 {
 			t.Fatalf("step %d: %d completions", i, len(tracker.completions.order))
 		}
 		for _, c := range tracker.crashes {
--- a/control/rank.go
+++ b/control/rank.go
@@ -151,9 +151,9 @@
 // ever serve in time may wait for as long as its objective.
 func (m *Machine) latestUsefulStart(q *queuedTicket) Instant {
 	if q.objective <= 0 {
-		return never
+		return maxInstant
 	}
-	ideal := never
+	ideal := maxInstant
 	for _, c := range m.listCandidates(q.shard.targets, q.task) {
 		ideal = min(ideal, c.target.engine.PredictIdle(q.task, c.reads))
 	}
--- a/control/sched/engine.go
+++ b/control/sched/engine.go
@@ -237,14 +237,14 @@
 	e.backlog = e.backlog.plus(run.reads)
 }
 
-// FirstEvent records that the first event of a run came the given time after its grant.
+// FirstEvent records that the first event of a run came sinceGrant after its grant.
 // The prompt of this run and all earlier ones have been read.
-func (e *Engine) FirstEvent(now time.Duration, run *EngineRun, after time.Duration) {
+func (e *Engine) FirstEvent(now time.Duration, run *EngineRun, sinceGrant time.Duration) {
 	if run.promptRead {
 		return
 	}
 	if !run.adopted {
-		e.learn(run, after)
+		e.learn(run, sinceGrant)
 	}
 	e.markRead(now, run)
 }
@@ -266,9 +266,9 @@
 }
 
 // learn updates the pool's model and this target's slowdown from one observed start.
-func (e *Engine) learn(run *EngineRun, after time.Duration) {
+func (e *Engine) learn(run *EngineRun, sinceGrant time.Duration) {
 	total := run.ahead.plus(run.reads)
-	took := (after + run.elapsed).Seconds()
+	took := (sinceGrant + run.elapsed).Seconds()
 	e.model.learn(total, e.slowdown, took)
 	if !e.ignoreSlowdown {
 		e.slowdown = updateSlowdown(e.slowdown, e.model.seconds(total), took-e.model.fixed)
--- a/control/sched/estimate.go
+++ b/control/sched/estimate.go
@@ -24,7 +24,7 @@
 // outcome.
 func (e *Estimate) Charge(hint, typical time.Duration) time.Duration {
 	learned := typical.Seconds()
-	if e.actual.known {
+	if e.actual.hasSample {
 		learned = e.actual.value
 	}
 	estimate := learned
--- a/control/sched/queue.go
+++ b/control/sched/queue.go
@@ -186,8 +186,8 @@
 // exactly.
 func (f *Flow[T]) ResetLift(credit float64) {
 	f.lift = 0
-	least := f.queue.minReceivedExcept(f)
-	if shortfall := least - credit - f.received(); shortfall > 0 && !math.IsInf(least, 1) {
+	minReceived := f.queue.minReceivedExcept(f)
+	if shortfall := minReceived - credit - f.received(); shortfall > 0 && !math.IsInf(minReceived, 1) {
 		f.lift = shortfall
 	}
 	f.restoreOrder()
--- a/control/sched/window.go
+++ b/control/sched/window.go
@@ -191,13 +191,13 @@
 
 // average is an exponentially weighted moving average in seconds.
 type average struct {
-	value float64
-	known bool
+	value     float64
+	hasSample bool
 }
 
 func (a *average) add(sample float64) {
-	if !a.known {
-		a.value, a.known = sample, true
+	if !a.hasSample {
+		a.value, a.hasSample = sample, true
 		return
 	}
 	a.value += averageWeight * (sample - a.value)
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -238,7 +238,7 @@
 		m.noteIfIdle(s)
 		return
 	}
-	q := &queuedTicket{shard: s, from: from, ticket: t, deadline: m.now + t.TimeLeft, waitUntil: never}
+	q := &queuedTicket{shard: s, from: from, ticket: t, deadline: m.now + t.TimeLeft, waitUntil: maxInstant}
 	if m.countsTokens(s) {
 		m.classifyTicket(q)
 		class = m.classOf(s, t, q.rank)
--- a/control/tickets.go
+++ b/control/tickets.go
@@ -36,8 +36,8 @@
 	// have arrived that it has not processed yet. An idle node ticks every 100 ms, but one
 	// with an unanswered ticket has a timer for it.
 	stallThreshold = 30 * time.Millisecond
-	// never is later than any deadline.
-	never = Instant(1<<63 - 1)
+	// maxInstant is later than any deadline.
+	maxInstant = Instant(1<<63 - 1)
 	// probeDepth bounds the waiting requests examined for one probe.
 	probeDepth = 8
 )
@@ -62,7 +62,7 @@
 func (m *Machine) resendAt(sent *sentTicket) Instant {
 	switch {
 	case sent.refused:
-		return never
+		return maxInstant
 	case sent.waiting:
 		return sent.sentAt + refreshEvery
 	case m.opts.LocalAfter > 0 && sent.to != m.opts.Node:
--- a/directory/poller.go
+++ b/directory/poller.go
@@ -200,9 +200,9 @@
 	due   time.Time
 }
 
-// newRetry returns a retry that is due after the given time if no call fails before.
-func newRetry(after time.Duration) *retry {
-	return &retry{timer: time.NewTimer(after), pause: minRetryPause}
+// newRetry returns a retry that is due after delay if no call fails before.
+func newRetry(delay time.Duration) *retry {
+	return &retry{timer: time.NewTimer(delay), pause: minRetryPause}
 }
 
 func (r *retry) hasFailed() bool { return !r.failingSince.IsZero() }
--- a/filters/route/route.go
+++ b/filters/route/route.go
@@ -80,8 +80,8 @@
 func (f *Filter) resolve(ex *pipeline.Exchange) *result.Error {
 	ex.Snapshot = f.options.Source.InForce()
 	if ex.Snapshot == nil {
-		after := minRetryAfter + rand.N(maxRetryAfter-minRetryAfter)
-		return result.New(result.NotReady, "No configuration version is in force yet.").WithRetryAfter(after)
+		retryAfter := minRetryAfter + rand.N(maxRetryAfter-minRetryAfter)
+		return result.New(result.NotReady, "No configuration version is in force yet.").WithRetryAfter(retryAfter)
 	}
 	ex.Route = ex.Snapshot.Index().RouteOf(ex.Host, ex.Path)
 	if ex.Route == nil {
--- a/front/answer.go
+++ b/front/answer.go
@@ -106,16 +106,16 @@
 // setRetryAfter sets the retry delay in whole seconds, rounded up because the
 // standard header has no fractions, and in milliseconds; or, where callers
 // understand it, in fractional seconds.
-func (s *Server) setRetryAfter(header *fasthttp.ResponseHeader, after time.Duration) {
-	if after <= 0 {
+func (s *Server) setRetryAfter(header *fasthttp.ResponseHeader, retryAfter time.Duration) {
+	if retryAfter <= 0 {
 		return
 	}
 	if s.options.Dialect.FractionalRetryAfter {
-		header.Set(headerRetryAfter, strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
+		header.Set(headerRetryAfter, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 		return
 	}
-	seconds := int(math.Ceil(after.Seconds()))
-	millis := (after + time.Millisecond - 1) / time.Millisecond
+	seconds := int(math.Ceil(retryAfter.Seconds()))
+	millis := (retryAfter + time.Millisecond - 1) / time.Millisecond
 	header.Set(headerRetryAfter, strconv.Itoa(seconds))
 	header.Set(headerRetryAfterMS, strconv.FormatInt(int64(millis), 10))
 }
--- a/front/serve.go
+++ b/front/serve.go
@@ -120,8 +120,8 @@
 // so the retry delay is short.
 func overloadedError() error {
 	refusals.Inc(result.Overloaded)
-	after := time.Millisecond + rand.N(maxOverloadedRetryAfter-time.Millisecond)
-	return result.New(result.Overloaded, "This router is too busy.").WithRetryAfter(after)
+	retryAfter := time.Millisecond + rand.N(maxOverloadedRetryAfter-time.Millisecond)
+	return result.New(result.Overloaded, "This router is too busy.").WithRetryAfter(retryAfter)
 }
 
 // beginExchange creates and counts a new exchange and attaches it to its connection.
--- a/router/owners.go
+++ b/router/owners.go
@@ -19,8 +19,8 @@
 	incarnation control.Incarnation
 	now         func() time.Time
 
-	mu    sync.Mutex
-	known map[control.NodeID]ownerState
+	mu     sync.Mutex
+	states map[control.NodeID]ownerState
 }
 
 // ownerState is what is known about another router.
@@ -32,28 +32,28 @@
 }
 
 func newClaimOwners(self control.NodeID, incarnation control.Incarnation, now func() time.Time) *claimOwners {
-	return &claimOwners{self: self, incarnation: incarnation, now: now, known: make(map[control.NodeID]ownerState)}
+	return &claimOwners{self: self, incarnation: incarnation, now: now, states: make(map[control.NodeID]ownerState)}
 }
 
 // messageReceived records that a message came from a process.
 func (o *claimOwners) messageReceived(node control.NodeID, incarnation control.Incarnation) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.known[node] = ownerState{incarnation: incarnation}
+	o.states[node] = ownerState{incarnation: incarnation}
 }
 
 // sessionChanged records that the session to a router was established or lost.
 func (o *claimOwners) sessionChanged(node control.NodeID, connected bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	state := o.known[node]
+	state := o.states[node]
 	switch {
 	case connected:
 		state.lostAt = time.Time{}
 	case state.lostAt.IsZero():
 		state.lostAt = o.now()
 	}
-	o.known[node] = state
+	o.states[node] = state
 }
 
 // mayBeRunning reports whether a process may still be running the requests it claimed.
@@ -63,7 +63,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	state := o.known[node]
+	state := o.states[node]
 	if !state.lostAt.IsZero() {
 		return o.now().Sub(state.lostAt) < ownerGrace
 	}
--- a/runrecord/acquire.go
+++ b/runrecord/acquire.go
@@ -22,16 +22,16 @@
 	defer cancel()
 	key := RowKey(request.Workspace, request.IdempotencyKey)
 	for {
-		reserved, known := m.reserve(key, request.Fingerprint)
+		reserved, local := m.reserve(key, request.Fingerprint)
 		if reserved != nil {
 			return m.acquire(ctx, reserved)
 		}
-		if known.released == nil {
-			return m.decideFromRecord(known.record, request.Fingerprint, true)
+		if local.released == nil {
+			return m.decideFromRecord(local.record, request.Fingerprint, true)
 		}
 		notify(m.flushRequested)
 		select {
-		case <-known.released:
+		case <-local.released:
 		case <-ctx.Done():
 			return Decision{}, m.refuseUnavailable(ctx.Err())
 		}
@@ -52,11 +52,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if e, ok := m.entries[key]; ok {
-		known := localRecord{record: e.record}
+		local := localRecord{record: e.record}
 		if e.ended && e.record.State == StateNotRun && e.record.Fingerprint == fingerprint {
-			known.released = e.done
+			local.released = e.done
 		}
-		return nil, known
+		return nil, local
 	}
 	e := &entry{
 		key: key,
--- a/runrecord/sweep.go
+++ b/runrecord/sweep.go
@@ -74,26 +74,26 @@
 // updateEpoch reads the epoch, and advances it once this process has observed it
 // unchanged for Options.EpochLength.
 func (s *sweeper) updateEpoch(ctx context.Context) error {
-	known, err := s.manager.epoch.refresh(ctx, s.manager.options.Table)
+	current, err := s.manager.epoch.refresh(ctx, s.manager.options.Table)
 	if err != nil {
 		return err
 	}
 	now := s.manager.options.Now()
-	if known != s.lastEpoch {
-		s.lastEpoch = known
+	if current != s.lastEpoch {
+		s.lastEpoch = current
 		s.lastEpochSeenAt = now
 		return nil
 	}
 	if now-s.lastEpochSeenAt < s.manager.options.EpochLength {
 		return nil
 	}
-	next := strconv.FormatUint(known.number+1, 10)
+	next := strconv.FormatUint(current.number+1, 10)
 	op := store.Op{
 		Kind:     store.OpUpdate,
 		Table:    epochTable,
 		Key:      epochKey,
 		Value:    []byte(next),
-		Revision: known.revision,
+		Revision: current.revision,
 	}
 	s.manager.epoch.invalidate()
 	err = s.manager.options.Table.Commit(ctx, []store.Op{op})
--- a/targets/loadpoll/pace.go
+++ b/targets/loadpoll/pace.go
@@ -18,9 +18,9 @@
 // pace decides when a target is polled next, and whether that poll requests the cached
 // prefixes. The zero value is that of a new target.
 type pace struct {
-	// known reports that the last poll returned a load, which is last.
-	known bool
-	last  targets.Load
+	// hasLoad reports that the last poll returned a load, which is last.
+	hasLoad bool
+	last    targets.Load
 	// fastLeft is how many of the next pauses are short.
 	fastLeft int
 	// withoutPrefixes counts the polls since the last one that requested or returned prefixes;
@@ -31,7 +31,7 @@
 
 // wantsPrefixes reports whether the next poll should request the cached prefixes.
 func (p *pace) wantsPrefixes(every int) bool {
-	return !p.known || p.withoutPrefixes+1 >= every
+	return !p.hasLoad || p.withoutPrefixes+1 >= every
 }
 
 // recordFailure handles a poll without a result: the target may have restarted.
@@ -41,7 +41,7 @@
 // the target sent some anyway.
 func (p *pace) record(load targets.Load, requested bool) targets.Load {
 	switch {
-	case !p.known || isSignificantChange(p.last, load):
+	case !p.hasLoad || isSignificantChange(p.last, load):
 		p.fastLeft = fastPolls
 	case p.fastLeft > 0:
 		p.fastLeft--
@@ -53,14 +53,14 @@
 		p.withoutPrefixes++
 	}
 	load.CachedPrefixes = p.prefixes
-	p.known = true
+	p.hasLoad = true
 	p.last = load
 	return load
 }
 
 // pause returns the mean time until the next poll.
 func (p *pace) pause(o Options) time.Duration {
-	if !p.known || p.fastLeft > 0 {
+	if !p.hasLoad || p.fastLeft > 0 {
 		return o.Every
 	}
 	return o.SlowEvery
--- a/targets/loadpoll/pace_test.go
+++ b/targets/loadpoll/pace_test.go
@@ -28,7 +28,7 @@
 	} {
 		checkPauses(t, name, new(pace), steps)
 	}
-	settled := pace{known: true, last: *loaded(16, 8)}
+	settled := pace{hasLoad: true, last: *loaded(16, 8)}
 	for name, steps := range map[string][]step{
 		"nothing new": {{loaded(16, 8), false}},
 		"load jumped": {{loaded(16, 17), true}, {loaded(16, 17), true}},
