--- a/bench/workload/shapes.go
+++ b/bench/workload/shapes.go
@@ -60,7 +60,7 @@
 	// tinyTokens is the length of the answers to tiny requests.
 	tinyTokens = 10
 	// callersPerWorkspace is how many requests a workspace keeps in flight unless
-	// its shape says otherwise.
+	// its shape sets another number.
 	callersPerWorkspace = 10
 	// shortDeadline is how long impatient callers let a request wait.
 	shortDeadline = 250 * time.Millisecond
--- a/config/follower/follower.go
+++ b/config/follower/follower.go
@@ -146,7 +146,7 @@
 // store counts as version zero.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
-// VersionSeen tells the follower that another router, node, announced a version.
+// VersionSeen notifies the follower that another router, node, announced a version.
 // It never blocks: if the buffer is full, the announcement is dropped, and that
 // router's next one takes its place.
 func (f *Follower) VersionSeen(node string, version config.Version) {
--- a/control/account/account_test.go
+++ b/control/account/account_test.go
@@ -113,14 +113,14 @@
 	})
 }
 
-// TestLevelIsCompleteAfterAPause calls Unlearn between two messages. The level must
+// TestLevelIsCompleteAfterAPause calls DropElsewhere between two messages. The level must
 // stay, and then include all service given in the meantime, whichever message is
 // duplicated or late.
 func TestLevelIsCompleteAfterAPause(t *testing.T) {
 	e := NewEntry(1)
 	e.Learn(0, 100, 0, Elsewhere{})
 	e.Learn(0, 103, 1, Elsewhere{})
-	e.Unlearn()
+	e.DropElsewhere()
 	if e.Known() || e.Total() != 102 {
 		t.Errorf("after a pause: total %v, known %v", e.Total(), e.Known())
 	}
--- a/control/account/ledger.go
+++ b/control/account/ledger.go
@@ -168,18 +168,18 @@
 	}
 }
 
-// Expire forgets the state of other schedulers once it is older than reportTTL, and
+// Expire discards the state of other schedulers once it is older than reportTTL, and
 // reports whether it did.
 func (e *Entry) Expire(now time.Duration) bool {
 	if !e.known || now-e.learnedAt <= reportTTL {
 		return false
 	}
-	e.Unlearn()
+	e.DropElsewhere()
 	return true
 }
 
-// Unlearn forgets the state of other schedulers; the level stays.
-func (e *Entry) Unlearn() {
+// DropElsewhere discards the state of other schedulers; the level stays.
+func (e *Entry) DropElsewhere() {
 	e.known = false
 	e.elsewhere = Elsewhere{}
 }
--- a/control/account/totals.go
+++ b/control/account/totals.go
@@ -7,7 +7,7 @@
 )
 
 // reportTTL is how long after its last report a contributor is sent levels, and how long
-// it may be silent before the growth in its next report no longer counts. It is also how
+// it may send nothing before the growth in its next report no longer counts. It is also how
 // long a scheduler relies on what it was sent about others.
 const reportTTL = 3 * time.Second
 
--- a/control/accounting.go
+++ b/control/accounting.go
@@ -92,7 +92,7 @@
 		m.sched.workspaces[name] = w
 	}
 	if _, active := m.exchange.active[name]; !active && m.now-w.reportedAt > levelUnknownAfter {
-		w.account.Unlearn()
+		w.account.DropElsewhere()
 	}
 	m.exchange.active[name] = w
 	return w
--- a/control/commands.go
+++ b/control/commands.go
@@ -14,7 +14,7 @@
 	Message Message
 }
 
-// Dispatch tells the goroutine that handles the request to run it on a target.
+// Dispatch instructs the goroutine that handles the request to run it on a target.
 type Dispatch struct {
 	Request RequestID
 	Attempt uint32
@@ -69,7 +69,7 @@
 // WatchTargets replaces the set of targets whose load this node polls.
 type WatchTargets struct{ Targets []string }
 
-// QuarantineChanged tells the guard filter that a fingerprint became quarantined, or is no
+// QuarantineChanged notifies the guard filter that a fingerprint became quarantined, or is no
 // longer quarantined.
 type QuarantineChanged struct {
 	Fingerprint uint64
@@ -85,7 +85,7 @@
 	TargetsRevision config.Revision
 }
 
-// FeedRole tells this node whether it has to follow the platform's feeds itself. Otherwise
+// FeedRole sets whether this node has to follow the platform's feeds itself. Otherwise
 // other nodes of its data centre forward what they learn.
 type FeedRole struct {
 	Follow bool
--- a/control/feeds_test.go
+++ b/control/feeds_test.go
@@ -11,7 +11,7 @@
 	s.step(n, FeedState{Live: follows && !n.platformDown})
 }
 
-// applyFeedRole makes a node follow the feeds, or stop, as its new role says: after 100 ms
+// applyFeedRole makes a node follow the feeds, or stop, as its new role requires: after 100 ms
 // for each node ahead of it, and unless its role changes meanwhile.
 func (s *sim) applyFeedRole(n *simNode, role FeedRole) {
 	n.feedRole = role
--- a/control/messages.go
+++ b/control/messages.go
@@ -137,7 +137,7 @@
 // no harm. It is also a request for the totals.
 type ServiceReport struct{ Counts []ServiceCount }
 
-// ServiceTotals tells a scheduler the levels of the workspaces that it recently reported
+// ServiceTotals sends a scheduler the levels of the workspaces that it recently reported
 // on.
 type ServiceTotals struct{ Counts []ServiceCount }
 
@@ -154,7 +154,7 @@
 	Follows bool
 }
 
-// Waiting tells the entry that its ticket has to wait, so that it may ask another shard as
+// Waiting notifies the entry that its ticket has to wait, so that it may ask another shard as
 // well. The first grant wins; the others are returned.
 type Waiting struct {
 	Ticket TicketID
@@ -186,7 +186,7 @@
 	Age time.Duration
 }
 
-// UnreadNotice tells a scheduler that its sender refused requests of a workspace before
+// UnreadNotice notifies a scheduler that its sender refused requests of a workspace before
 // reading them, as it had no processor time left. No ticket is sent for these, so without
 // the notice the scheduler would assume that the workspace is satisfied with what it is
 // granted.
--- a/control/notice/notice.go
+++ b/control/notice/notice.go
@@ -11,7 +11,7 @@
 // target's entry may expire while the platform is unavailable, and return.
 const undeclaredTTL = time.Minute
 
-// Notice is what a target's answer says about the target.
+// Notice is what a target's answer reports about the target.
 type Notice struct {
 	// Leaving is set if it accepts no new requests.
 	Leaving bool
--- a/control/notices.go
+++ b/control/notices.go
@@ -11,7 +11,7 @@
 // Notices that targets attach to their answers to this node apply to the requests received
 // here, whichever node schedules them: such requests are not sent to a target that
 // announced that it is leaving, or that asked this node to send nothing for a while, and a
-// grant of it is returned. The scheduler is told of a leaving target, so that it grants it
+// grant of it is returned. The scheduler is notified of a leaving target, so that it grants it
 // to no one. A hold-off only concerns the target and this node: the tickets of this node
 // exclude the target.
 
@@ -29,7 +29,7 @@
 	Notice notice.Notice
 }
 
-// LeavingNotice tells the scheduler of a target that the target announced that it is
+// LeavingNotice notifies the scheduler of a target that the target announced that it is
 // leaving.
 type LeavingNotice struct {
 	Target string
@@ -65,30 +65,30 @@
 	}
 }
 
-// sendLeavingNotice tells a scheduler that a target, in the given start, is leaving.
+// sendLeavingNotice notifies a scheduler that a target, in the given start, is leaving.
 func (m *Machine) sendLeavingNotice(to NodeID, target string, start int64) {
 	m.send(to, LeavingNotice{Target: target, Start: start})
 }
 
-// leavingNoticeReceived records, as a scheduler, that a target told another node that it is
-// leaving.
+// leavingNoticeReceived records, as a scheduler, that a target announced to another node
+// that it is leaving.
 func (m *Machine) leavingNoticeReceived(from NodeID, msg LeavingNotice) {
 	t := m.localTarget(msg.Target)
-	if t == nil || t.saidLeaving || !notice.SameStart(t.start, msg.Start) {
+	if t == nil || t.announcedLeaving || !notice.SameStart(t.start, msg.Start) {
 		return
 	}
-	t.saidLeaving = true
+	t.announcedLeaving = true
 	if from != m.opts.Node {
 		m.emit(TargetLeaving{Target: msg.Target, From: from})
 	}
 	m.updateUnservable(t)
 }
 
-// applyOwnNotices applies what a target told this node to the target as it is scheduled
-// here.
+// applyOwnNotices applies what a target announced to this node to the target as it is
+// scheduled here.
 func (m *Machine) applyOwnNotices(t *target) {
-	if !t.saidLeaving && m.notices.IsLeaving(t.name, t.start) {
-		t.saidLeaving = true
+	if !t.announcedLeaving && m.notices.IsLeaving(t.name, t.start) {
+		t.announcedLeaving = true
 		m.updateUnservable(t)
 	}
 }
--- a/control/notices_test.go
+++ b/control/notices_test.go
@@ -108,7 +108,7 @@
 }
 
 // TestNewSchedulerKnowsLeavingTargets guards against a node that becomes the scheduler and
-// forgets the notices that it received before: it must not grant a leaving target.
+// ignores the notices that it received before: it must not grant a leaving target.
 func TestNewSchedulerKnowsLeavingTargets(t *testing.T) {
 	f := newTokenFleet("e1")
 	f.addLargerNode()
--- a/control/place.go
+++ b/control/place.go
@@ -255,7 +255,7 @@
 // mixID hashes the ids of parts, which may be small numbers.
 func mixID(id uint64) uint64 { return member.Score(id, id+1) }
 
-// runBegan tells the scheduler that a target has begun to answer, and so has read the
+// runBegan reports to the scheduler that a target has begun to answer, and so has read the
 // prompt.
 func (m *Machine) runBegan(ev RunBegan) {
 	run := m.entry.runs[ev.Grant]
--- a/control/quarantine/quarantine.go
+++ b/control/quarantine/quarantine.go
@@ -1,6 +1,6 @@
 // Package quarantine finds requests that crash the targets which run them. It does no
-// I/O and reads no clock: time is passed in as an Instant, and what other routers and
-// the guard filter have to be told is returned as an Output.
+// I/O and reads no clock: time is passed in as an Instant, and what is to be sent
+// to other routers and the guard filter is returned as an Output.
 //
 // The evidence of a crash is the set of fingerprints that were running on the target. A
 // fingerprint that was running at crashes of at least two different targets is convicted
@@ -62,7 +62,7 @@
 	// ConvictionTTL is how long a conviction lasts after the last crash. It is raised to
 	// EvidenceTTL if shorter. Default 1h.
 	ConvictionTTL time.Duration
-	// ConfirmWindow is the longest time between a broken connection and the news that
+	// ConfirmWindow is the longest time between a broken connection and the report that
 	// the target crashed, and between the times that two routers give for the same
 	// crash. Default 10s.
 	ConfirmWindow time.Duration
--- a/control/rank.go
+++ b/control/rank.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// requestsRefusedUnread tells the schedulers of a pool which requests this node refused
+// requestsRefusedUnread notifies the schedulers of a pool which requests this node refused
 // before reading them.
 func (m *Machine) requestsRefusedUnread(ev RequestsRefusedUnread) {
 	if m.topo == nil || m.topo.decl.Pools[ev.Pool].Tokens == nil {
--- a/control/sched/queue.go
+++ b/control/sched/queue.go
@@ -24,7 +24,7 @@
 // its higher value.
 //
 // A class is a set of targets that may run a ticket. The queue only compares class
-// names; the caller says which classes have free targets.
+// names; the caller determines which classes have free targets.
 type Queue[T any] struct {
 	flows   map[string]*Flow[T]
 	classes map[string]*class[T]
--- a/control/sched/starve.go
+++ b/control/sched/starve.go
@@ -6,7 +6,7 @@
 )
 
 // Tick finds the flows that have been held back for too long because of service in other
-// shards, and moves each to the front for one item. It also forgets flows that have been
+// shards, and moves each to the front for one item. It also removes flows that have been
 // idle for too long and returns their workspaces. Its cost is proportional to the number
 // of flows that are due.
 func (q *Queue[T]) Tick(now time.Duration) []string {
--- a/control/sched/window.go
+++ b/control/sched/window.go
@@ -145,7 +145,7 @@
 }
 
 // Ended records the end of a grant whose run used a slot for service. overhead is the
-// time that messages took between the grant and the news of the run's end.
+// time that messages took between the grant and the report of the run's end.
 func (w *Window) Ended(now time.Duration, service, overhead time.Duration) {
 	usual := w.service.value
 	w.Released(now)
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -10,8 +10,8 @@
 const (
 	// ticketLease is how long a waiting ticket is kept without being sent again.
 	ticketLease = 3*refreshEvery + time.Second
-	// quietNoticeDelay is how long a quiet ticket waits before its entry is told that it
-	// does. It is well below resendEvery.
+	// quietNoticeDelay is how long a quiet ticket waits before its entry is notified
+	// that it does. It is well below resendEvery.
 	quietNoticeDelay = 300 * time.Millisecond
 	// cancelledRetention is how long a withdrawn ticket is remembered, in case the ticket
 	// itself arrives later.
@@ -157,7 +157,7 @@
 		m.dropShard(s)
 	}
 	for _, w := range m.sched.workspaces {
-		w.account.Unlearn()
+		w.account.DropElsewhere()
 	}
 }
 
--- a/control/shard.go
+++ b/control/shard.go
@@ -87,7 +87,7 @@
 	deferredServedSeen int
 	deadline           Instant
 	leaseUntil         Instant
-	// noticeAt is when the entry is told that the ticket waits; zero if it has been told.
+	// noticeAt is when the entry is notified that the ticket waits; zero if it has been.
 	noticeAt Instant
 	timer    timer
 }
@@ -144,7 +144,7 @@
 func (m *Machine) declareTarget(t *target) {
 	decl := m.topo.decl.Targets[t.name]
 	t.declare(decl)
-	t.saidLeaving = t.saidLeaving || m.notices.IsLeaving(t.name, t.start)
+	t.announcedLeaving = t.announcedLeaving || m.notices.IsLeaving(t.name, t.start)
 	if tokens := m.topo.decl.Pools[t.shard.id.Pool].Tokens; tokens != nil {
 		m.declareEngine(t, decl.Slots, tokens.MemoryTokens)
 	}
@@ -285,7 +285,7 @@
 	m.timers.set(&q.timer, q, at)
 }
 
-// fire implements timerOwner: the entry of a quiet ticket is to be told, the ticket's
+// fire implements timerOwner: the entry of a quiet ticket is to be notified, the ticket's
 // deadline has passed, or its entry no longer refreshes it.
 func (q *queuedTicket) fire(m *Machine) {
 	if m.now >= q.waitUntil && m.now < q.deadline {
--- a/control/target.go
+++ b/control/target.go
@@ -43,10 +43,10 @@
 	// waitingGrants holds the grants made beyond the slots, oldest first: they wait in the
 	// target until a run there ends.
 	waitingGrants []*grant
-	// leaving, reportedLeaving and saidLeaving report that it accepts no new requests: by
+	// leaving, reportedLeaving and announcedLeaving report that it accepts no new requests: by
 	// its declaration, by its last load report, and by an answer to some node. The last
 	// holds until its next start.
-	leaving, reportedLeaving, saidLeaving bool
+	leaving, reportedLeaving, announcedLeaving bool
 	// evacuated reports that the target's data centre is being evacuated: it accepts no new
 	// requests.
 	evacuated bool
@@ -128,7 +128,7 @@
 // takesWork reports whether the declaration, the load reports and the answers of the target
 // permit new requests.
 func (t *target) takesWork() bool {
-	return !t.leaving && !t.reportedLeaving && !t.saidLeaving && !t.evacuated
+	return !t.leaving && !t.reportedLeaving && !t.announcedLeaving && !t.evacuated
 }
 
 // isCurrent reports whether the target is still listed with this start. Runs on earlier
--- a/control/unread_test.go
+++ b/control/unread_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestSchedulerIsToldOfUnreadRefusals guards against schedulers that do not know of requests which
-// entries refused unread. The entry tells the scheduler of the pool, be it on this or on another
-// node, and no one if the pool does not count in tokens.
-func TestSchedulerIsToldOfUnreadRefusals(t *testing.T) {
+// TestSchedulerIsNotifiedOfUnreadRefusals guards against schedulers that do not know of requests
+// which entries refused unread. The entry notifies the scheduler of the pool, be it on this or on
+// another node, and no one if the pool does not count in tokens.
+func TestSchedulerIsNotifiedOfUnreadRefusals(t *testing.T) {
 	f := newTokenFleet("e1")
 	f.step(RequestsRefusedUnread{Pool: "gen", Workspace: "a", Count: 3})
 	if f.machine.sched.shards[ShardID{Pool: "gen"}] == nil {
--- a/control/watch_test.go
+++ b/control/watch_test.go
@@ -37,8 +37,8 @@
 
 // TestStartingRouterWatchesNoTargets guards against a starting router that polls every target of
 // the fleet. It owns all shards until it has received messages from the other routers: it has to
-// grant at once, but must not poll targets before it has owned their shards for watchDelay, nor once
-// another router owns them.
+// grant at once, but must not poll targets before it has owned their shards for watchDelay, nor
+// once another router owns them.
 func TestStartingRouterWatchesNoTargets(t *testing.T) {
 	f := newTokenFleet("e1", "e2")
 	if _, dispatch, _ := f.arrive("a", ownPart(1)); dispatch == nil {
--- a/devfleet/fleet_test.go
+++ b/devfleet/fleet_test.go
@@ -91,7 +91,7 @@
 // TestShutdownBreaksNoRequest drains one router while callers use it. A request that is
 // not answered must be refused as not run. After the first refusal, which announces that
 // the router is leaving, no caller sends to it any more; until then every caller must
-// reach it. Callers that went on sending until the listener closes could be reset by the
+// reach it. Callers that kept sending until the listener closes could be reset by the
 // kernel on connections that no router ever accepted.
 func TestShutdownBreaksNoRequest(t *testing.T) {
 	fleet := startFleet(t, devfleet.Options{})
--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -1,5 +1,5 @@
 // Package dialect describes the HTTP headers that callers and targets use: the
-// names of request headers, and what an answer's head says about the run. The
+// names of request headers, and what an answer's head reports about the run. The
 // rest of the product takes these names and rules from a Dialect. Own is the
 // dialect of docs/CALLERS.md and docs/TARGETS.md; an adapter to another system
 // defines its own Dialect.
@@ -59,9 +59,9 @@
 	// RefusedNotRun reports by an answer's head whether the target refused the request
 	// and did not run it.
 	RefusedNotRun func(status int, header Getter) bool
-	// Notice reads what an answer's head says of the target itself; nil: nothing.
+	// Notice reads what an answer's head reports about the target itself; nil: nothing.
 	Notice func(status int, header Getter) notice.Notice
-	// Work reads what the caller says about the tokens of the request; nil: nothing.
+	// Work reads what the caller declares about the tokens of the request; nil: nothing.
 	Work func(header Getter) control.Work
 }
 
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -339,9 +339,10 @@
 	})
 }
 
-// TestReadySoonAfterSilence checks that a router that starts while the platform is silent has
-// its snapshot soon after the platform's recovery, although its first call is never answered.
-func TestReadySoonAfterSilence(t *testing.T) {
+// TestReadySoonAfterPlatformWasUnresponsive checks that a router that starts while the platform
+// does not answer has its snapshot soon after the platform's recovery, although its first call is
+// never answered.
+func TestReadySoonAfterPlatformWasUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &harness{configurations: newFeed[Directive](), targets: newFeed[config.Target]()}
 		recovery := time.Now().Add(200 * time.Millisecond)
--- a/front/request.go
+++ b/front/request.go
@@ -29,7 +29,7 @@
 	// endServing cancels the exchange's ServingContext, and with it ctx.
 	endServing context.CancelFunc
 	server     *Server
-	// answerOwner says whether the exchange or its refusal timer answers the caller.
+	// answerOwner holds whether the exchange or its refusal timer answers the caller.
 	// refusalMu is held while the timer does.
 	answerOwner atomic.Int32
 	refusalMu   sync.Mutex
@@ -37,7 +37,7 @@
 	err error
 }
 
-// callerWentAway tells the pipeline that the caller has disconnected. Only the watcher
+// callerWentAway notifies the pipeline that the caller has disconnected. Only the watcher
 // calls it.
 func (r *request) callerWentAway() {
 	if r.isGone {
--- a/managedtest/answernotice_test.go
+++ b/managedtest/answernotice_test.go
@@ -28,9 +28,9 @@
 	mu sync.Mutex
 	// router maps a request's ID to the index of the router that it was sent to.
 	router map[string]int
-	// heardLeaving maps a router to the time at which it first passed on an answer that says
-	// that its target leaves.
-	heardLeaving map[int]time.Time
+	// leavingAnsweredAt maps a router to the time at which it first passed on an answer that
+	// announces that its target leaves.
+	leavingAnsweredAt map[int]time.Time
 	// byStatus counts the answers by status, and incomplete those that ended early.
 	byStatus   map[int]int
 	incomplete int
@@ -55,8 +55,8 @@
 		}
 		l.byCode[code]++
 	}
-	if _, known := l.heardLeaving[router]; !known && got.Header.Get(wire.HeaderLeaving) != "" {
-		l.heardLeaving[router] = time.Now()
+	if _, known := l.leavingAnsweredAt[router]; !known && got.Header.Get(wire.HeaderLeaving) != "" {
+		l.leavingAnsweredAt[router] = time.Now()
 	}
 }
 
@@ -87,11 +87,11 @@
 // the answers.
 func (f *fleet) runLoad(change func()) *sendLog {
 	log := &sendLog{
-		router:       make(map[string]int),
-		heardLeaving: make(map[int]time.Time),
-		byStatus:     make(map[int]int),
-		byCode:       make(map[string]int),
-		firstByCode:  make(map[string]string),
+		router:            make(map[string]int),
+		leavingAnsweredAt: make(map[int]time.Time),
+		byStatus:          make(map[int]int),
+		byCode:            make(map[string]int),
+		firstByCode:       make(map[string]string),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -121,8 +121,8 @@
 }
 
 // TestNothingIsSentAfterAnAnswerSaysLeaving guards against a router that sends further requests
-// to a target after it passed on an answer in which the target says that it leaves. The target's
-// entry in the store does not change.
+// to a target after it passed on an answer in which the target announces that it leaves. The
+// target's entry in the store does not change.
 func TestNothingIsSentAfterAnAnswerSaysLeaving(t *testing.T) {
 	for name, fault := range map[string]managed.Fault{"store serves": managed.Healthy, "store refuses": managed.Refusing} {
 		t.Run(name, func(t *testing.T) {
@@ -131,14 +131,14 @@
 				f.store.SetFault(fault)
 				f.replicas[1].AnnounceLeaving()
 			})
-			if len(log.heardLeaving) == 0 {
+			if len(log.leavingAnsweredAt) == 0 {
 				t.Fatal("no answer said that its target leaves")
 			}
 			late := 0
 			for _, arrival := range f.journal.Arrivals("leaves") {
 				router := log.router[arrival.ID]
-				heard, known := log.heardLeaving[router]
-				if known && arrival.At.After(heard.Add(maxNoticeDelay)) {
+				answeredAt, known := log.leavingAnsweredAt[router]
+				if known && arrival.At.After(answeredAt.Add(maxNoticeDelay)) {
 					late++
 				}
 			}
--- a/managedtest/managed_test.go
+++ b/managedtest/managed_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// TestRouterRefusedByTheStoreKeepsUpToDate guards against a router that goes on
+// TestRouterRefusedByTheStoreKeepsUpToDate guards against a router that keeps
 // accepting removed keys while the store refuses its calls. It must learn of the
 // removal from its peers.
 func TestRouterRefusedByTheStoreKeepsUpToDate(t *testing.T) {
--- a/managedtest/silence_test.go
+++ b/managedtest/silence_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestUnresponsiveStoreIsReportedToOthers guards against a router that goes on waiting for a
+// TestUnresponsiveStoreIsReportedToOthers guards against a router that keeps waiting for a
 // call that the store has lost, although another router has found the store unavailable. It
 // must repeat the call, whichever of the two routers is the one that probes the feeds.
 func TestUnresponsiveStoreIsReportedToOthers(t *testing.T) {
--- a/operator/status.go
+++ b/operator/status.go
@@ -70,7 +70,7 @@
 	// Waiting and Running count the requests that entered at this router.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
-	// Error says why the state is not known; empty otherwise.
+	// Error explains why the state is not known; empty otherwise.
 	Error string `json:"error,omitempty"`
 }
 
--- a/operator/types.go
+++ b/operator/types.go
@@ -27,7 +27,7 @@
 // Readiness is the answer to GET /readyz: whether a router takes callers' requests.
 type Readiness struct {
 	Ready bool `json:"ready"`
-	// Reason says in one short sentence why the router is not ready.
+	// Reason explains in one short sentence why the router is not ready.
 	Reason string `json:"reason,omitempty"`
 	// Version is the configuration version in force; zero if none.
 	Version config.Version `json:"version"`
@@ -92,9 +92,9 @@
 	Name string `json:"name"`
 	// Detail is one short sentence for the operator.
 	Detail string `json:"detail"`
-	// Ran says whether the request took effect: "no" if nothing was changed, "yes" or "unknown".
+	// Ran reports whether the request took effect: "no" if nothing was changed, "yes" or "unknown".
 	Ran string `json:"ran"`
-	// Retry says whether the same request may be sent again.
+	// Retry reports whether the same request may be sent again.
 	Retry bool `json:"retry"`
 	// Newest and WinnerPatchID are set for a conflict (1001): the newest version,
 	// and the patch that made the version after the base.
--- a/orders/doc.go
+++ b/orders/doc.go
@@ -9,8 +9,8 @@
 // Each order carries the configuration version that requires it as its fencing
 // number. Versions are agreed on through the platform's table and never decrease,
 // so neither a lease nor another row is needed. Orders of the same version commute
-// and are idempotent, so two routers that both believe that they schedule a target
-// do no harm.
+// and are idempotent, so two routers that both act as the scheduler of a target do no
+// harm.
 //
 // A target that checks fencing numbers rejects the orders of a router with an
 // outdated version. A target that does not check them, or has not stored a number
--- a/peer/session.go
+++ b/peer/session.go
@@ -34,8 +34,8 @@
 
 	mu    sync.Mutex
 	ended bool
-	// announcedEnd is the reason for which this side told the other that it ends
-	// the session; empty if it did not.
+	// announcedEnd is the reason for which this side announced to the other that
+	// it ends the session; empty if it did not.
 	announcedEnd endReason
 	mux          *yamux.Session
 	stream       *yamux.Stream // carries the batches of control messages
--- a/proctest/leaving_test.go
+++ b/proctest/leaving_test.go
@@ -42,7 +42,7 @@
 }
 
 // checkLeft watches a target that began to leave at a given time, while the
-// other engine goes on serving. The target may get nothing later than
+// other engine continues to serve. The target may get nothing later than
 // maxLeavingDelay after that time, and no request may be cut.
 func (f *fleet) checkLeft(target string, leavingSince time.Time, tr *traffic) {
 	f.t.Helper()
--- a/result/codes.go
+++ b/result/codes.go
@@ -88,9 +88,9 @@
 	Filter string
 	// Status is the HTTP status sent with it.
 	Status int
-	// Ran tells whether the request may have run.
+	// Ran reports whether the request may have run.
 	Ran Ran
-	// Retry tells whether the caller may send the same request again.
+	// Retry reports whether the caller may send the same request again.
 	Retry bool
 	// Meaning explains the code in one sentence.
 	Meaning string
--- a/result/result.go
+++ b/result/result.go
@@ -12,7 +12,7 @@
 // Code is a numbered result. Zero means that the request was answered.
 type Code int
 
-// Ran tells whether the request may have run on a target. A greater value means
+// Ran reports whether the request may have run on a target. A greater value means
 // that a run is more certain.
 type Ran int
 
@@ -44,7 +44,7 @@
 type Error struct {
 	// Code is the numbered result.
 	Code Code
-	// Ran tells whether the request may have run. New sets it to the code's default.
+	// Ran reports whether the request may have run. New sets it to the code's default.
 	Ran Ran
 	// RetryAfter is how long the caller should wait before it retries; zero means that
 	// no advice is given.
--- a/router/acquire.go
+++ b/router/acquire.go
@@ -94,7 +94,7 @@
 	}
 	begin := ex.Arrived
 	if ex.Attempt > 1 {
-		begin = time.Now() // a retry's objective starts anew: a late answer is better than none
+		begin = time.Now() // a retry's objective counts from the retry: a late answer is better than none
 	}
 	return g.loop.instant(begin.Add(ex.Route.Objective()))
 }
--- a/router/members.go
+++ b/router/members.go
@@ -141,7 +141,7 @@
 
 // addLiveRouters adds the routers that were listed before and are still alive: a list without
 // them comes from a copy of the store from before they announced themselves. Routers that
-// leave tell the others.
+// leave announce that to the others.
 func (r *Router) addLiveRouters(vms []store.VM) []store.VM {
 	before, alive := r.vms.Load(), r.lastLiveRouters.Load()
 	if before == nil || alive == nil {
--- a/router/overload_test.go
+++ b/router/overload_test.go
@@ -140,7 +140,8 @@
 }
 
 // TestPauseDoublesOnRepeatedOverload checks that the pause doubles each time the router is
-// overloaded again soon after its return, and starts again at its minimum after a calm period.
+// overloaded again soon after its return, and starts again at its minimum after a period without
+// overload.
 func TestPauseDoublesOnRepeatedOverload(t *testing.T) {
 	o := &overload{log: slog.New(slog.DiscardHandler), hasTooManyConns: func() bool { return false }}
 	now := time.Now()
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -179,7 +179,7 @@
 	return true
 }
 
-// terminate asks a router to shut down; its callers go on using their connections. It is
+// terminate asks a router to shut down; its callers keep using their connections. It is
 // started again once its process has exited.
 func (f *faultInjector) terminate() (string, func() bool) {
 	r := f.randomFreeRouter()
--- a/soak/notice_test.go
+++ b/soak/notice_test.go
@@ -47,7 +47,7 @@
 }
 
 // checkNotices has one replica announce that it leaves and another one ask for hold-offs while
-// no faults are active. It guards against routers that go on sending requests to them.
+// no faults are active. It guards against routers that keep sending requests to them.
 func (c *checker) checkNotices() {
 	leaving, shedding := c.replicas[0], c.replicas[1]
 	leaving.AnnounceLeaving()
@@ -55,9 +55,9 @@
 	begin := time.Now()
 	time.Sleep(holdOff + inFlightTime)
 	shedding.SetFaults(managed.ReplicaFaults{})
-	routerOf, heardAt := c.heardLeaving(leaving.ID(), begin)
+	routerOf, answeredAt := c.leavingAnswers(leaving.ID(), begin)
 	for _, arrival := range c.journal.Arrivals(leaving.ID()) {
-		at, known := heardAt[routerOf[arrival.ID]]
+		at, known := answeredAt[routerOf[arrival.ID]]
 		if known && arrival.At.After(at.Add(maxNoticeDelay)) {
 			c.t.Errorf("%s reached %s %s after %s had passed on that it leaves", arrival.ID, arrival.Replica, arrival.At.Sub(at), routerOf[arrival.ID])
 			break
@@ -66,11 +66,11 @@
 	c.checkHoldOffs(shedding.ID(), begin, routerOf)
 }
 
-// heardLeaving returns the router of each request sent since begin, and when each router passed
-// on the first answer in which a replica says that it leaves. The seal of an answer names its
+// leavingAnswers returns the router of each request sent since begin, and when each router passed
+// on the first answer in which a replica announces that it leaves. The seal of an answer names its
 // replica.
-func (c *checker) heardLeaving(replica string, begin time.Time) (routerOf map[string]string, heardAt map[string]time.Time) {
-	routerOf, heardAt = make(map[string]string), make(map[string]time.Time)
+func (c *checker) leavingAnswers(replica string, begin time.Time) (routerOf map[string]string, answeredAt map[string]time.Time) {
+	routerOf, answeredAt = make(map[string]string), make(map[string]time.Time)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, request := range c.requests {
@@ -79,11 +79,11 @@
 		}
 		routerOf[request.answer.ID] = request.router
 		saysSo := request.answer.Header.Get(wire.HeaderLeaving) != "" && request.answer.Header.Get(wire.HeaderSeal) == "seal-"+replica
-		if at, known := heardAt[request.router]; saysSo && (!known || request.endedAt.Before(at)) {
-			heardAt[request.router] = request.endedAt
+		if at, known := answeredAt[request.router]; saysSo && (!known || request.endedAt.Before(at)) {
+			answeredAt[request.router] = request.endedAt
 		}
 	}
-	return routerOf, heardAt
+	return routerOf, answeredAt
 }
 
 // checkHoldOffs checks that a replica got no requests from a router that it had asked to hold
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -108,7 +108,7 @@
 }
 
 // checkLeaving has a replica announce that it leaves while no faults are active. It
-// guards against routers that go on sending requests to it.
+// guards against routers that keep sending requests to it.
 func (c *checker) checkLeaving() {
 	leaving := c.replicas[0]
 	leaving.StartLeaving()
--- a/standin/managed/store.go
+++ b/standin/managed/store.go
@@ -28,7 +28,7 @@
 	// Refusing: calls are answered with 503 and have no effect.
 	Refusing
 	// Unresponsive: calls get no answer, not even after the fault has ended. Feeds
-	// that were waiting when it began go on waiting, and are answered once it has
+	// that were waiting when it began keep waiting, and are answered once it has
 	// ended.
 	Unresponsive
 	// HistoryLost: feeds are answered with 410, because the history that they ask
--- a/store/batch/batch.go
+++ b/store/batch/batch.go
@@ -272,7 +272,7 @@
 	return fmt.Errorf("%w (batch: %s)", store.ErrUnavailable, reason)
 }
 
-// notifyCollector tells the collector that the state of the table has changed.
+// notifyCollector notifies the collector that the state of the table has changed.
 func (t *Table) notifyCollector() {
 	select {
 	case t.changed <- struct{}{}:
--- a/store/classify.go
+++ b/store/classify.go
@@ -26,7 +26,7 @@
 }
 
 // classifyTransport distinguishes calls that were certainly not sent from those
-// that may have been. If in doubt, the call counts as sent.
+// that may have been. If that is uncertain, the call counts as sent.
 func classifyTransport(err error) (reason, error) {
 	var dial *dialError
 	switch {
--- a/targets/cachewatch/cachewatch_test.go
+++ b/targets/cachewatch/cachewatch_test.go
@@ -58,8 +58,8 @@
 	return Update{Epoch: f.epoch, Start: f.start, Next: uint64(len(f.log)), Lost: f.historyLost, Parts: f.log[after:]}, nil
 }
 
-// TestWatcherTracksTarget checks that what a target has cached is known soon, also after it lost its
-// history, restarted or was unreachable.
+// TestWatcherTracksTarget checks that what a target has cached is known soon, also after it lost
+// its history, restarted or was unreachable.
 func TestWatcherTracksTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		target := &fakeTarget{epoch: "1", cached: map[uint64]int{7: 100}}
--- a/targets/callergone_test.go
+++ b/targets/callergone_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestCallerGoneHookClosesConnection guards against a run that goes on after its caller has
+// TestCallerGoneHookClosesConnection guards against a run that continues after its caller has
 // gone: the hook itself closes the connection to the target, with no goroutine in between that
 // would have to wait for a busy CPU. Once the answer was read completely, the hook closes
 // nothing, and the connection is reused for the next call.
--- a/targets/conn.go
+++ b/targets/conn.go
@@ -80,8 +80,8 @@
 // The margin exceeds the usual delay of a network and a timer.
 const idleMargin = 300 * time.Millisecond
 
-// readKeepAlive records how long the target says in its answer that it keeps an idle connection
-// open.
+// readKeepAlive records how long the target keeps an idle connection open according to its
+// answer.
 func (c *conn) readKeepAlive(header *fasthttp.ResponseHeader) {
 	for parameter := range strings.SplitSeq(string(header.Peek(fasthttp.HeaderKeepAlive)), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -121,7 +121,7 @@
 }
 
 // finalReadTimeout bounds one more read after the deadline has passed. On a busy router, a
-// target was taken for silent although its answer had been waiting unread for a second.
+// target was considered unresponsive although its answer had been waiting unread for a second.
 const finalReadTimeout = 10 * time.Millisecond
 
 // Write writes to the network and counts the bytes.
--- a/targets/order.go
+++ b/targets/order.go
@@ -21,7 +21,7 @@
 	maxOrderAnswerBytes = 4 << 10
 )
 
-// Order tells a target to load and unload models or to change its role. Empty fields leave the
+// Order instructs a target to load and unload models or to change its role. Empty fields leave the
 // respective state unchanged. Orders are idempotent: they set a state, so sending one twice has
 // the same effect as sending it once.
 type Order struct {
--- a/targets/target.go
+++ b/targets/target.go
@@ -51,7 +51,7 @@
 	// dialect sends it to targets; empty if nothing is to be fetched.
 	FetchAddress string
 	// LastEventID asks to continue a stream after this event; empty means from the beginning, or
-	// from where the caller's own header says.
+	// from where the caller's own header requests.
 	LastEventID string
 	// Fence is the fencing number sent with an order; zero sends none.
 	Fence uint64
