--- a/control/policy/tokens.go
+++ b/control/policy/tokens.go
@@ -13,8 +13,8 @@
 	// that reading a target's unread prompts may take. The rest is for the request's own
 	// prompt, and for the chunks of other prompts that targets read in between.
 	WaitPart float64 `toml:"wait_part"`
-	// KeeperPart is the factor by which the wait may be longer at a target that keeps
-	// the shared parts of a prompt: a longer queue there costs less than reading them
+	// KeeperPart is the factor by which the wait may be longer at a target that has
+	// the shared parts of a prompt cached: a longer queue there costs less than reading them
 	// again.
 	KeeperPart float64 `toml:"keeper_part"`
 	// TimelyPart is the fraction of the time left to the objective that a predicted
@@ -26,8 +26,8 @@
 	// FetchPart is the same cost for fetching them from another target.
 	FetchPart float64 `toml:"fetch_part"`
 	// HomeMillis is added to the predicted start, in milliseconds, at targets other than
-	// the one that rendezvous hashing assigns to the shared parts, if no target keeps
-	// them. It makes schedulers that know nothing of each other choose the same target.
+	// the one that rendezvous hashing assigns to the shared parts, if no target has
+	// them cached. It makes schedulers that know nothing of each other choose the same target.
 	HomeMillis float64 `toml:"home_millis"`
 	// FarMillis is added to the predicted start, in milliseconds, at targets outside the
 	// entry's data centre, as operators pay for traffic between data centres.
--- a/filters/runrecord/runrecord.go
+++ b/filters/runrecord/runrecord.go
@@ -19,7 +19,7 @@
 
 // Filter claims run records.
 type Filter struct {
-	// Manager holds the run records.
+	// Manager claims the run records.
 	Manager *runrecord.Manager
 }
 
